--- a/internal/mesh/ctrl/directory.go
+++ b/internal/mesh/ctrl/directory.go
@@ -18,22 +18,22 @@
 // The times of the directory.
 const (
 	leaseTTL = 15 * time.Second
-	// renewEvery leaves time for one renewal that fails.
-	renewEvery  = 8 * time.Second
-	searchEvery = 2 * time.Second
-	// spread is the time over which the first look-ups of a herd that starts at
+	// renewInterval leaves time for one renewal that fails.
+	renewInterval  = 8 * time.Second
+	searchInterval = 2 * time.Second
+	// startJitter is the time over which the first look-ups of a herd that starts at
 	// once are spread, so that the later ones find the keys of the earlier ones
 	// and need none of their own.
-	spread = 300 * time.Millisecond
-	// registerAgain is how often a relay without a lease tries to register.
-	registerAgain = 500 * time.Millisecond
-	// hasty is how often a daemon without any link looks during its first
+	startJitter = 300 * time.Millisecond
+	// registerRetry is how often a relay without a lease tries to register.
+	registerRetry = 500 * time.Millisecond
+	// startSearchInterval is how often a daemon without any link looks during its first
 	// seconds.
-	hasty = 500 * time.Millisecond
-	// othersTime is how long a daemon that is alone in its failure domain waits
+	startSearchInterval = 500 * time.Millisecond
+	// remoteRelayWait is how long a daemon that is alone in its failure domain waits
 	// for the word of others that are registered; keys of dead ones lapse
 	// within leaseTTL.
-	othersTime = leaseTTL + 5*time.Second
+	remoteRelayWait = leaseTTL + 5*time.Second
 )
 
 // directory is what the platform's keys say of where daemons are. It serves
@@ -69,9 +69,9 @@
 
 func directoryKey(domain, vm string) string { return directoryPrefix + domain + "/" + vm }
 
-// search reads the whole directory in one call and notes the addresses of
+// searchDirectory reads the whole directory in one call and notes the addresses of
 // others.
-func (nd *Node) search(ctx context.Context) (map[string][]string, error) {
+func (nd *Node) searchDirectory(ctx context.Context) (map[string][]string, error) {
 	items, err := nd.cf.Store.List(ctx, directoryPrefix)
 	if err != nil {
 		return nil, err
@@ -90,9 +90,9 @@
 		}
 		found[domain] = append(found[domain], addr)
 	}
-	nd.setStance(stanceOf(found[nd.cf.Domain], own))
-	nd.linker.dirs.set(found)
-	nd.poke()
+	nd.setStartRole(startRoleFor(found[nd.cf.Domain], own))
+	nd.linker.directory.set(found)
+	nd.wakeLinker()
 	return found, nil
 }
 
@@ -117,8 +117,8 @@
 // runDirectory registers a relay, and looks up others while links are missing.
 func (nd *Node) runDirectory(ctx context.Context) {
 	reg := &registration{nd: nd}
-	defer reg.end()
-	if pause(ctx, rand.N(spread)) != nil {
+	defer reg.revoke()
+	if pause(ctx, rand.N(startJitter)) != nil {
 		return
 	}
 	for {
@@ -128,7 +128,7 @@
 		select {
 		case <-time.After(wait/2 + rand.N(wait/2)):
 		case <-nd.reregister:
-			if pause(ctx, rand.N(spread)) != nil {
+			if pause(ctx, rand.N(startJitter)) != nil {
 				return
 			}
 		case <-ctx.Done():
@@ -142,62 +142,62 @@
 	alone := nd.linker.alone()
 	if !alone && !nd.isRelay() {
 		// One that has just started may be about to become a relay.
-		if time.Since(nd.started) > bootTime+promoteAfter+searchEvery {
-			reg.end()
+		if time.Since(nd.started) > discoveryTime+promoteAfter+searchInterval {
+			reg.revoke()
 		}
-		return searchEvery
+		return searchInterval
 	}
-	kept := reg.renew(ctx)
-	if kept && !alone && len(nd.missing()) == 0 {
-		return renewEvery
+	hasLease := reg.renew(ctx)
+	if hasLease && !alone && len(nd.unlinkedDomains()) == 0 {
+		return renewInterval
 	}
-	found, err := nd.search(ctx)
+	found, err := nd.searchDirectory(ctx)
 	switch {
-	case err != nil && nd.isRelay() && !kept:
-		return registerAgain
+	case err != nil && nd.isRelay() && !hasLease:
+		return registerRetry
 	case err != nil:
-		return nd.hurry(searchEvery, alone)
+		return nd.searchWait(searchInterval, alone)
 	}
 	// A daemon that is alone registers where few are registered, so that the
 	// first ones of a failure domain find each other before any is a relay.
-	if !kept && (nd.isRelay() || len(found[nd.cf.Domain]) < relay.Count) {
+	if !hasLease && (nd.isRelay() || len(found[nd.cf.Domain]) < relay.Count) {
 		if err := reg.register(ctx); err != nil {
 			nd.log.Warn("directory-failed", slog.Any("error", err))
-			return registerAgain
+			return registerRetry
 		}
 	}
 	if len(found[nd.cf.Domain]) == 0 && nd.linker.alone() {
-		nd.settleAlone(ctx, found)
+		nd.settleFloorAlone(ctx, found)
 	}
-	return nd.hurry(searchEvery, alone)
+	return nd.searchWait(searchInterval, alone)
 }
 
-// hurry shortens the wait of a daemon that has just started and is alone.
-func (nd *Node) hurry(wait time.Duration, alone bool) time.Duration {
-	if alone && time.Since(nd.started) < 2*bootTime {
-		return hasty
+// searchWait shortens the wait of a daemon that has just started and is alone.
+func (nd *Node) searchWait(wait time.Duration, alone bool) time.Duration {
+	if alone && time.Since(nd.started) < 2*discoveryTime {
+		return startSearchInterval
 	}
 	return wait
 }
 
-// settleAlone settles the floor when nobody is there to tell it: no daemon of
+// settleFloorAlone settles the floor when nobody is there to tell it: no daemon of
 // the own failure domain is registered and no seed answers. Relays of other
 // failure domains may still know what was held here, so they are waited for.
-func (nd *Node) settleAlone(ctx context.Context, found map[string][]string) {
+func (nd *Node) settleFloorAlone(ctx context.Context, found map[string][]string) {
 	if err := nd.checkEpoch(ctx, 0); err != nil {
 		nd.log.Warn("store-epoch-unknown", slog.Any("error", err))
 		return
 	}
 	age := time.Since(nd.started)
 	// A store that came back from an older copy may lack the entries of live daemons.
-	empty := len(found) == 0 && nd.complete()
-	if age > bootTime && empty || age > othersTime {
+	empty := len(found) == 0 && nd.storeComplete()
+	if age > discoveryTime && empty || age > remoteRelayWait {
 		nd.Board.RaiseFloor(0, true)
 	}
 }
 
-// missing returns the failure domains that no link leads to.
-func (nd *Node) missing() []string {
+// unlinkedDomains returns the failure domains that no link leads to.
+func (nd *Node) unlinkedDomains() []string {
 	var list []string
 	for _, dm := range nd.otherDomains() {
 		if !nd.linker.linkedTo(dm) {
@@ -252,8 +252,8 @@
 	return nil
 }
 
-// end takes the key out when the daemon is no longer a relay or ends.
-func (rg *registration) end() {
+// revoke takes the key out when the daemon is no longer a relay or ends.
+func (rg *registration) revoke() {
 	if rg.lease == (store.LeaseID{}) {
 		return
 	}
--- a/internal/mesh/ctrl/epoch.go
+++ b/internal/mesh/ctrl/epoch.go
@@ -36,37 +36,37 @@
 // daemons had written, so each rewrites its own keys: relays their directory entries and
 // leases, the daemon beside a draining server its drain, followers the shared keys.
 func (nd *Node) enterEpoch(ep store.Epoch) {
-	entered, again := nd.Board.EnterEpoch(ep)
+	entered, known := nd.Board.EnterEpoch(ep)
 	if !entered {
 		return
 	}
 	nd.eachPeer(func(pr *link.Peer) {
 		pr.Next(func(pk *wirepb.Packet) { pk.Epoch = int64(ep) })
 	})
-	if !again {
+	if !known {
 		nd.log.Info("store-epoch", slog.Int64("epoch", int64(ep)))
 		if nd.cf.FirstStart {
-			nd.setComplete(ep)
+			nd.setStoreComplete(ep)
 		}
 		return
 	}
 	nd.log.Warn("store-epoch", slog.Int64("epoch", int64(ep)))
-	nd.keeper.due.Store(true)
+	nd.poison.due.Store(true)
 	nd.cf.StoreAnswers()
 	select {
 	case nd.reregister <- struct{}{}:
 	default:
 	}
-	nd.lookSoon()
+	nd.wakeWatcher()
 }
 
-// complete reports whether the store is known to have all accepted versions: it has not
+// passed reports whether the store is known to have all accepted versions: it has not
 // come back from an older copy, or was seen to have them since.
-func (nd *Node) complete() bool {
+func (nd *Node) storeComplete() bool {
 	ep := nd.Board.KnownEpoch()
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
-	return ep == 0 || nd.completeIn == ep
+	return ep == 0 || nd.completeEpoch == ep
 }
 
 // checkEpoch finds out whether the store has all versions in its present epoch. A daemon
@@ -75,23 +75,23 @@
 // epoch in the store for the others.
 func (nd *Node) checkEpoch(ctx context.Context, version uint64) error {
 	ep := nd.Board.KnownEpoch()
-	if ep == 0 || nd.marked(ep) {
+	if ep == 0 || nd.epochMarked(ep) {
 		return nil
 	}
 	write, at := nd.isRelay(), store.Revision{}
-	if !nd.complete() {
+	if !nd.storeComplete() {
 		ent, err := nd.cf.Store.Get(ctx, epochKey)
 		if err != nil {
 			return err
 		}
-		known := nd.knowsAll(version)
+		known := nd.isNewestVersion(version)
 		switch {
-		case nd.isMarked(ent, ep):
+		case nd.readEpochMarker(ent, ep):
 			return nil
 		case ent.Revision.Exists() && !known:
 			return nil
 		}
-		nd.setComplete(ep)
+		nd.setStoreComplete(ep)
 		write, at = write || known, ent.Revision
 	}
 	if !write {
@@ -99,12 +99,12 @@
 	}
 	ch := store.Change{Key: epochKey, Revision: at, Value: strconv.AppendInt(nil, int64(ep), 10)}
 	_, cur, err := nd.cf.Store.Swap(ctx, ch)
-	nd.isMarked(cur, ep)
+	nd.readEpochMarker(cur, ep)
 	return err
 }
 
-// isMarked reports whether an entry of epochKey names an epoch, and remembers that.
-func (nd *Node) isMarked(ent store.Entry, ep store.Epoch) bool {
+// readEpochMarker reports whether an entry of epochKey names an epoch, and remembers that.
+func (nd *Node) readEpochMarker(ent store.Entry, ep store.Epoch) bool {
 	if !ent.Revision.Exists() {
 		return false
 	}
@@ -115,49 +115,49 @@
 	if err != nil || store.Epoch(kept) != ep {
 		return false
 	}
-	nd.setComplete(ep)
+	nd.setStoreComplete(ep)
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
-	nd.markedIn = max(nd.markedIn, ep)
+	nd.markedEpoch = max(nd.markedEpoch, ep)
 	return true
 }
 
-// marked reports whether the store keeps an epoch.
-func (nd *Node) marked(ep store.Epoch) bool {
+// epochMarked reports whether the store keeps an epoch.
+func (nd *Node) epochMarked(ep store.Epoch) bool {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
-	return nd.markedIn == ep
+	return nd.markedEpoch == ep
 }
 
-// knowsAll reports whether a version of the store is the newest of all failure domains.
-func (nd *Node) knowsAll(version uint64) bool {
+// isNewestVersion reports whether a version of the store is the newest of all failure domains.
+func (nd *Node) isNewestVersion(version uint64) bool {
 	fl := nd.Board.Floor.Get()
 	settled := fl != nil && fl.Settled && version >= fl.Version
-	return settled && version > 0 && version >= nd.Board.LatestVersion() && len(nd.missing()) == 0
+	return settled && version > 0 && version >= nd.Board.LatestVersion() && len(nd.unlinkedDomains()) == 0
 }
 
-func (nd *Node) setComplete(ep store.Epoch) {
+func (nd *Node) setStoreComplete(ep store.Epoch) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
-	nd.completeIn = max(nd.completeIn, ep)
+	nd.completeEpoch = max(nd.completeEpoch, ep)
 }
 
 // restore writes the newest version to a store that lost it in a new epoch, where that is
 // for the daemons to do.
 func (nd *Node) restore(ctx context.Context, version uint64) {
 	cfg := nd.Board.Latest.Get()
-	if nd.cf.Source.Restore == nil || cfg == nil || version >= cfg.Version || nd.complete() {
+	if nd.cf.Source.Restore == nil || cfg == nil || version >= cfg.Version || nd.storeComplete() {
 		return
 	}
 	if !nd.restoring.CompareAndSwap(false, true) {
 		return
 	}
-	if !nd.background(func() { nd.restoreOnce(ctx, cfg) }) {
+	if !nd.background(func() { nd.restoreVersion(ctx, cfg) }) {
 		nd.restoring.Store(false)
 	}
 }
 
-func (nd *Node) restoreOnce(ctx context.Context, cfg *board.Config) {
+func (nd *Node) restoreVersion(ctx context.Context, cfg *board.Config) {
 	defer nd.restoring.Store(false)
 	ctx, cancel := context.WithTimeout(ctx, restoreTimeout)
 	defer cancel()
--- a/internal/mesh/ctrl/fleet_test.go
+++ b/internal/mesh/ctrl/fleet_test.go
@@ -139,7 +139,7 @@
 	ho, ln := fl.nw.Listen(addr, vm.Domain)
 	gd := guard.New(fl.store(vm))
 	tn := &testNode{vm: vm, ho: ho, guard: gd, done: make(chan struct{})}
-	src, seeds := headSource(), fl.seeds(vm)
+	src, seeds := defaultSource(), fl.seeds(vm)
 	if fl.newest {
 		src.Newest, src.Restore, seeds = true, nil, nil
 	}
@@ -198,7 +198,7 @@
 			}
 			select {
 			case <-changed:
-			case <-tn.life.Done():
+			case <-tn.ctx.Done():
 				return
 			}
 		}
--- a/internal/mesh/ctrl/follow.go
+++ b/internal/mesh/ctrl/follow.go
@@ -15,47 +15,47 @@
 
 // The times of a process that starts.
 const (
-	// lookTime is how long it waits for its first look at the directory. While the
+	// startDirectoryWait is how long it waits for its first look at the directory. While the
 	// store does not answer there is nothing to follow either.
-	lookTime = time.Second
-	// bootPatience is how long it waits for a link to others that may bring the
-	// configuration, and bootLonger for the configuration once it has one: the first
+	startDirectoryWait = time.Second
+	// startLinkWait is how long it waits for a link to others that may bring the
+	// configuration, and startConfigWait for the configuration once it has one: the first
 	// ones of a failure domain have read it by then. When each daemon of a herd
 	// reads it by itself, the store is busy for seconds. One that has read it leaves the
 	// store to the relays for as long.
-	bootPatience = 1200 * time.Millisecond
-	bootLonger   = 2 * time.Second
-	// bootRelay is how long one that holds a configuration waits for its failure
+	startLinkWait   = 1200 * time.Millisecond
+	startConfigWait = 2 * time.Second
+	// startRelayWait is how long one that holds a configuration waits for its failure
 	// domain to have relays.
-	bootRelay = 4 * time.Second
+	startRelayWait = 4 * time.Second
 )
 
-// stance is what a process that starts has seen in the directory.
-type stance int
+// startRole is what a process that starts has seen in the directory.
+type startRole int
 
 // The stances of a process that starts.
 const (
-	// looking: it has not seen the directory yet.
-	looking stance = iota
-	// leading: its failure domain has nobody else there, or its VM was there before the
+	// startUndecided: it has not seen the directory yet.
+	startUndecided startRole = iota
+	// startReader: its failure domain has nobody else there, or its VM was there before the
 	// process was replaced. It reads the store for the others.
-	leading
-	// waiting: others are there, who may bring the configuration.
-	waiting
+	startReader
+	// startWaiter: others are there, who may bring the configuration.
+	startWaiter
 )
 
-// stanceOf returns the stance of a daemon that found the others of its failure domain,
+// startRoleFor returns the stance of a daemon that found the others of its failure domain,
 // and maybe its own VM, in the directory.
-func stanceOf(others []string, own bool) stance {
+func startRoleFor(others []string, own bool) startRole {
 	if own || len(others) == 0 {
-		return leading
+		return startReader
 	}
-	return waiting
+	return startWaiter
 }
 
-// mayFollow reports whether this daemon follows the store now: a relay when it is its
+// shouldFollow reports whether this daemon follows the store now: a relay when it is its
 // turn, another one while it hears no relay.
-func (wt *watcher) mayFollow(isRelay bool) bool {
+func (wt *watcher) shouldFollow(isRelay bool) bool {
 	nd, now := wt.nd, time.Now()
 	if isRelay {
 		order := wt.relayOrder()
@@ -64,34 +64,34 @@
 		return wt.turn.Due(nd.cf.VM, order, &nd.followers, now)
 	}
 	wt.turn = follow.Turn{}
-	return !nd.hearsRelay() && !nd.waitsForOthers(now.Sub(nd.started))
+	return !nd.hearsRelay() && !nd.defersToOthers(now.Sub(nd.started))
 }
 
-// waitsForOthers reports whether a process of an age leaves it to others of its failure
+// defersToOthers reports whether a process of an age leaves it to others of its failure
 // domain to read the store.
-func (nd *Node) waitsForOthers(age time.Duration) bool {
+func (nd *Node) defersToOthers(age time.Duration) bool {
 	nd.mu.Lock()
-	st, linked := nd.starting, len(nd.peers) > 0
+	st, linked := nd.startRole, len(nd.peers) > 0
 	nd.mu.Unlock()
 	switch {
-	case st == leading:
+	case st == startReader:
 		// It has read the store for the others. Who follows it for good is soon known.
-		return linked && nd.Board.Held.Get() != nil && age < bootLonger
-	case st == looking && !linked:
-		return age < lookTime
+		return linked && nd.Board.Held.Get() != nil && age < startConfigWait
+	case st == startUndecided && !linked:
+		return age < startDirectoryWait
 	case !linked:
-		return age < bootPatience
+		return age < startLinkWait
 	case nd.Board.Held.Get() == nil:
-		return age < bootLonger
+		return age < startConfigWait
 	}
-	return age < bootRelay
+	return age < startRelayWait
 }
 
 // relayOrder returns the relays of all failure domains in the order in which they
 // follow the store.
 func (wt *watcher) relayOrder() []string {
 	vw := wt.nd.Board.Members.Get()
-	if wt.orderOf == vw {
+	if wt.orderView == vw {
 		return wt.order
 	}
 	var domains []string
@@ -107,7 +107,7 @@
 		}
 		relays = append(relays, own)
 	}
-	wt.order, wt.orderOf = follow.Order(relays), vw
+	wt.order, wt.orderView = follow.Order(relays), vw
 	return wt.order
 }
 
@@ -116,12 +116,12 @@
 func (wt *watcher) announceFollow(err error) {
 	nd, now := wt.nd, time.Now()
 	fo := link.Follow{VM: nd.cf.VM, At: now, Lost: err != nil}
-	if !fo.Lost && now.Sub(wt.told) < follow.TellEvery-follow.Wait/2 {
+	if !fo.Lost && now.Sub(wt.lastAnnounced) < follow.TellEvery-follow.Wait/2 {
 		return
 	}
-	wt.told = now
+	wt.lastAnnounced = now
 	if fo.Lost {
-		wt.told = time.Time{}
+		wt.lastAnnounced = time.Time{}
 	}
 	if pl := nd.Board.Platform.Get(); pl != nil {
 		fo.Version, fo.Behind = pl.Version, pl.Behind
@@ -129,14 +129,14 @@
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	if nd.recordFollow(fo) {
-		nd.passFollow(fo, nil)
+		nd.forwardFollow(fo, nil)
 	}
 }
 
-// passFollow sends news of a daemon that follows to the other relays. What came from
+// forwardFollow sends news of a daemon that follows to the other relays. What came from
 // another failure domain is passed on within the own one, and no further: each relay has
 // a link to the others of its own, and one to each other failure domain. nd.mu is held.
-func (nd *Node) passFollow(fo link.Follow, from *link.Peer) {
+func (nd *Node) forwardFollow(fo link.Follow, from *link.Peer) {
 	for pr := range nd.peers {
 		if !pr.Relay || pr == from {
 			continue
@@ -151,7 +151,7 @@
 // held.
 func (nd *Node) recordFollow(fo link.Follow) bool {
 	if fo.Lost {
-		nd.lookSoon()
+		nd.wakeWatcher()
 		return nd.followers.Lost(fo.VM, fo.At)
 	}
 	return nd.followers.Answered(fo.VM, fo.At)
@@ -163,18 +163,18 @@
 		return
 	}
 	nd.mu.Lock()
-	news := nd.recordFollow(fo)
-	if news {
-		nd.passFollow(fo, from)
+	changed := nd.recordFollow(fo)
+	if changed {
+		nd.forwardFollow(fo, from)
 	}
 	nd.mu.Unlock()
-	if news && !fo.Lost && fo.Version > 0 {
-		nd.recordStore(fo)
+	if changed && !fo.Lost && fo.Version > 0 {
+		nd.recordRemotePlatform(fo)
 	}
 }
 
-// recordStore keeps what another daemon saw in the store, where this one does not look.
-func (nd *Node) recordStore(fo link.Follow) {
+// recordRemotePlatform keeps what another daemon saw in the store, where this one does not look.
+func (nd *Node) recordRemotePlatform(fo link.Follow) {
 	nd.Board.Platform.Update(func(cur *board.Platform) *board.Platform {
 		if cur != nil && cur.Err == nil && cur.Version == fo.Version && cur.Behind == fo.Behind {
 			return cur
@@ -183,15 +183,15 @@
 	})
 }
 
-// loseFollower notes that the last link to a relay broke: if it followed the store, it
+// handleRelayLoss notes that the last link to a relay broke: if it followed the store, it
 // may be gone, and those who stand in must not wait until its word is too old. The first
 // ones to stand in have links to those who follow, so nobody else is told.
-func (nd *Node) loseFollower(pr *link.Peer) {
+func (nd *Node) handleRelayLoss(pr *link.Peer) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	if pr.Relay && !nd.linkedToVM(pr.Record.VM) {
 		nd.followers.Lost(pr.Record.VM, time.Now())
-		nd.lookSoon()
+		nd.wakeWatcher()
 	}
 }
 
@@ -205,101 +205,101 @@
 	return false
 }
 
-// proof is when the store was asked last for the operators' newest version and gave
+// freshRead is when the store was asked last for the operators' newest version and gave
 // it, for a platform whose store is never set back.
-type proof struct {
+type freshRead struct {
 	at      time.Time
 	version uint64
 }
 
-// recordProof keeps that a read of the store which began at a moment showed the newest
+// recordFreshRead keeps that a read of the store which began at a moment showed the newest
 // version, and tells the peers whose processes ran by then: they may hold that version,
 // since none that a former process of their VM held can be newer.
-func (nd *Node) recordProof(began time.Time, version uint64) {
-	if !nd.cf.Source.Newest || version == 0 || version < nd.Board.LatestVersion() || !nd.complete() {
+func (nd *Node) recordFreshRead(began time.Time, version uint64) {
+	if !nd.cf.Source.Newest || version == 0 || version < nd.Board.LatestVersion() || !nd.storeComplete() {
 		return
 	}
 	nd.Board.RaiseFloor(version, true)
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
-	nd.proof = proof{at: began, version: version}
+	nd.freshRead = freshRead{at: began, version: version}
 	for pr := range nd.peers {
-		nd.proveTo(pr)
+		nd.sendNewest(pr)
 	}
 }
 
-// proveTo tells a peer the newest version, once on each link, if it was read after the
+// sendNewest tells a peer the newest version, once on each link, if it was read after the
 // peer's process started; nd.mu is held.
-func (nd *Node) proveTo(pr *link.Peer) {
-	if pr.Proven || nd.proof.version == 0 || pr.Born.IsZero() || earlier(nd.proof.at, pr.Born) {
+func (nd *Node) sendNewest(pr *link.Peer) {
+	if pr.Proven || nd.freshRead.version == 0 || pr.Born.IsZero() || mayPrecede(nd.freshRead.at, pr.Born) {
 		return
 	}
 	pr.Proven = true
-	version := nd.proof.version
+	version := nd.freshRead.version
 	pr.Next(func(pk *wirepb.Packet) { pk.Newest = version })
 }
 
-// earlier reports whether a time may be before another one. A process that was suspended
+// mayPrecede reports whether a time may be before another one. A process that was suspended
 // between the two takes them for closer than they are by its steady clock, which the
 // clock of the wall shows.
-func earlier(a, b time.Time) bool { return a.Before(b) || a.Round(0).Before(b.Round(0)) }
+func mayPrecede(a, b time.Time) bool { return a.Before(b) || a.Round(0).Before(b.Round(0)) }
 
-// runProofs reads the store for peers that start while there is no relay to tell them
+// runFreshReads reads the store for peers that start while there is no relay to tell them
 // what they may hold. A read that finds nothing new carries no value.
-func (nd *Node) runProofs(ctx context.Context) {
+func (nd *Node) runFreshReads(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-nd.unproven:
+		case <-nd.freshReadWanted:
 		}
-		if pause(ctx, proofGather) != nil {
+		if pause(ctx, freshReadBatchTime) != nil {
 			return
 		}
-		seen, version := nd.seenVersion()
+		rev, version := nd.lastObserved()
 		if version == 0 {
 			// The first read is under way, and will be told to them.
 			continue
 		}
 		began := time.Now()
-		ent, err := nd.cf.Store.Watch(ctx, nd.cf.Source.Key, seen, 0)
-		if err == nil && ent.Revision == seen {
-			nd.recordProof(began, version)
+		ent, err := nd.cf.Store.Watch(ctx, nd.cf.Source.Key, rev, 0)
+		if err == nil && ent.Revision == rev {
+			nd.recordFreshRead(began, version)
 		}
 	}
 }
 
-// proofGather is how long a read for peers that start waits for more of them.
-const proofGather = 50 * time.Millisecond
+// freshReadBatchTime is how long a read for peers that start waits for more of them.
+const freshReadBatchTime = 50 * time.Millisecond
 
-// wantProof asks for a read for a peer that starts.
-func (nd *Node) wantProof() {
+// requestFreshRead asks for a read for a peer that starts.
+func (nd *Node) requestFreshRead() {
 	select {
-	case nd.unproven <- struct{}{}:
+	case nd.freshReadWanted <- struct{}{}:
 	default:
 	}
 }
 
-// seenVersion returns the revision that the store showed last, and its version.
-func (nd *Node) seenVersion() (store.Revision, uint64) {
+// lastObserved returns the revision that the store showed last, and its version.
+func (nd *Node) lastObserved() (store.Revision, uint64) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
-	return nd.seen.revision, nd.seen.version
+	return nd.observed.revision, nd.observed.version
 }
 
-// setStance notes what the first look at the directory showed.
-func (nd *Node) setStance(st stance) {
+// setStartRole notes what the first look at the directory showed.
+func (nd *Node) setStartRole(st startRole) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
-	if nd.starting == looking {
-		nd.starting = st
+	if nd.startRole == startUndecided {
+		nd.startRole = st
 	}
 }
 
-// lookSoon lets the watcher look whether it is this daemon's turn.
-func (nd *Node) lookSoon() {
+// wakeWatcher lets the watcher look whether it is this daemon's turn.
+func (nd *Node) wakeWatcher() {
 	select {
-	case nd.lookAgain <- struct{}{}:
+	case nd.watcherWake <- struct{}{}:
 	default:
 	}
 }
--- a/internal/mesh/ctrl/follow_test.go
+++ b/internal/mesh/ctrl/follow_test.go
@@ -148,21 +148,21 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				time.Sleep(time.Minute)
-				nd := New(Config{VM: "vm-p", Domain: "d0", Control: "p:1", Source: Source{Newest: true, Read: headSource().Read}})
-				defer nd.end()
-				nd.recordProof(time.Now().Add(-tc.read), 7)
+				nd := New(Config{VM: "vm-p", Domain: "d0", Control: "p:1", Source: Source{Newest: true, Read: defaultSource().Read}})
+				defer nd.cancel()
+				nd.recordFreshRead(time.Now().Add(-tc.read), 7)
 				sent := make(chan *wirepb.Packet, 9)
 				pr := link.New(link.Stream{
 					Send:    func(pk *wirepb.Packet) error { sent <- pk; return nil },
-					Receive: func() (*wirepb.Packet, error) { <-nd.life.Done(); return nil, nd.life.Err() },
+					Receive: func() (*wirepb.Packet, error) { <-nd.ctx.Done(); return nil, nd.ctx.Err() },
 					Abort:   func() {},
 				}, nd.offer)
-				go func() { _ = pr.Run(nd.life, nd.handle) }()
+				go func() { _ = pr.Run(nd.ctx, nd.handlePacket) }()
 				hello := &wirepb.Hello{Protocol: Protocol, AgeMs: uint64(tc.age.Milliseconds()), Record: (&member.Record{VM: "vm-x", Domain: "d0", Incarnation: 1}).ToWire()}
 				told := 0
 				for range 2 {
-					nd.handle(pr, &wirepb.Packet{Hello: hello})
-					nd.recordProof(time.Now().Add(-tc.read), 7)
+					nd.handlePacket(pr, &wirepb.Packet{Hello: hello})
+					nd.recordFreshRead(time.Now().Add(-tc.read), 7)
 					time.Sleep(100 * time.Millisecond)
 				}
 				for len(sent) > 0 {
@@ -176,10 +176,10 @@
 			})
 		})
 	}
-	nd := New(Config{VM: "vm-x", Domain: "d0", Control: "x:1", Source: Source{Newest: true, Read: headSource().Read}})
-	defer nd.end()
+	nd := New(Config{VM: "vm-x", Domain: "d0", Control: "x:1", Source: Source{Newest: true, Read: defaultSource().Read}})
+	defer nd.cancel()
 	pr := link.New(link.Stream{Abort: func() {}}, nd.offer)
-	nd.handle(pr, &wirepb.Packet{Hello: &wirepb.Hello{Record: (&member.Record{VM: "vm-p", Domain: "d0", Incarnation: 1}).ToWire()}, Newest: 7})
+	nd.handlePacket(pr, &wirepb.Packet{Hello: &wirepb.Hello{Record: (&member.Record{VM: "vm-p", Domain: "d0", Incarnation: 1}).ToWire()}, Newest: 7})
 	if fl := nd.Board.Floor.Get(); fl == nil || *fl != (board.Floor{Version: 7, Settled: true}) {
 		t.Errorf("the process that was told has the floor %+v", fl)
 	}
--- a/internal/mesh/ctrl/holds.go
+++ b/internal/mesh/ctrl/housekeeping.go
@@ -16,21 +16,21 @@
 
 // The times of housekeeping.
 const (
-	// summaryEvery bounds how often a summary is sent.
-	summaryEvery = 200 * time.Millisecond
-	// heardEvery is how often relays tell each other whom they hear. It goes
+	// summaryInterval bounds how often a summary is sent.
+	summaryInterval = 200 * time.Millisecond
+	// heardInterval is how often relays tell each other whom they hear. It goes
 	// into expire.After three times.
-	heardEvery = 2 * time.Second
-	// repairEvery is how often relays compare their records.
-	repairEvery = 10 * time.Second
-	// cutAfter is how long a failure domain may be without a link before it is
+	heardInterval = 2 * time.Second
+	// hashInterval is how often relays compare their records.
+	hashInterval = 10 * time.Second
+	// unreachableAfter is how long a failure domain may be without a link before it is
 	// said to be cut off.
-	cutAfter = 5 * time.Second
-	// maxNamed bounds how many VMs a summary names.
-	maxNamed = 20
+	unreachableAfter = 5 * time.Second
+	// maxListedVMs bounds how many VMs a summary names.
+	maxListedVMs = 20
 )
 
-func (hd hold) toWire(vm string) *wirepb.Held {
+func (hd heldVersion) toWire(vm string) *wirepb.Held {
 	return &wirepb.Held{Vm: vm, Version: hd.version, Refused: hd.refused, Reason: hd.reason}
 }
 
@@ -38,7 +38,7 @@
 // what the VM said it held or, where that memory died with the relays of the
 // VM's failure domain, the newest version that was known there. nd.mu is held.
 func (nd *Node) minVersionFor(rc *member.Record) uint64 {
-	floor := nd.holds[rc.VM].version
+	floor := nd.heldVersions[rc.VM].version
 	if su := nd.summaries[rc.Domain]; su != nil && rc.Domain != nd.cf.Domain {
 		floor = max(floor, su.Highest)
 	}
@@ -54,16 +54,16 @@
 	if pr.Record.Domain != nd.cf.Domain || hd.Vm == nd.cf.VM {
 		return
 	}
-	cur, had := nd.holds[hd.Vm]
-	next := hold{version: max(cur.version, hd.Version)}
+	cur, had := nd.heldVersions[hd.Vm]
+	next := heldVersion{version: max(cur.version, hd.Version)}
 	if hd.Refused > next.version {
 		next.refused, next.reason = hd.Refused, hd.Reason
 	}
 	if had && cur == next {
 		return
 	}
-	nd.holds[hd.Vm] = next
-	nd.sumDirty = true
+	nd.heldVersions[hd.Vm] = next
+	nd.summaryDirty = true
 	if hd.Vm == pr.Record.VM {
 		nd.broadcastHeld(pr, next.toWire(hd.Vm))
 	}
@@ -73,15 +73,15 @@
 // nd.mu is held.
 func (nd *Node) broadcastHeld(from *link.Peer, hd *wirepb.Held) {
 	for pr := range nd.peers {
-		if pr != from && nd.isUpward(pr) {
+		if pr != from && nd.isUpstream(pr) {
 			pr.SendHeld(hd)
 		}
 	}
 }
 
-// isUpward reports whether a peer is a relay of the own failure domain, or is
+// isUpstream reports whether a peer is a relay of the own failure domain, or is
 // used as one; nd.mu is held.
-func (nd *Node) isUpward(pr *link.Peer) bool {
+func (nd *Node) isUpstream(pr *link.Peer) bool {
 	return pr.Record.Domain == nd.cf.Domain && (pr.Relay || pr.Outgoing)
 }
 
@@ -98,7 +98,7 @@
 		if !pr.Relay {
 			// A daemon that is no relay, yet has members linked to it for the
 			// moment, speaks to one relay only; that one passes it on.
-			nd.through[vm] = now
+			nd.heardIndirectly[vm] = now
 		}
 	}
 }
@@ -120,16 +120,16 @@
 		set[pr.Record.VM] = true
 		nd.expiry.Heard(pr.Record.VM, now)
 	}
-	for vm, at := range nd.through {
-		if now.Sub(at) > 2*heardEvery {
-			delete(nd.through, vm)
+	for vm, at := range nd.heardIndirectly {
+		if now.Sub(at) > 2*heardInterval {
+			delete(nd.heardIndirectly, vm)
 			continue
 		}
 		set[vm] = true
 	}
 	list := slices.Sorted(maps.Keys(set))
 	for pr := range nd.peers {
-		if !nd.isUpward(pr) || len(list) <= 1 && len(domains) == 0 {
+		if !nd.isUpstream(pr) || len(list) <= 1 && len(domains) == 0 {
 			continue
 		}
 		pr.Next(func(pk *wirepb.Packet) { pk.Heard = list })
@@ -145,15 +145,15 @@
 	su := &wirepb.Summary{
 		Domain: nd.cf.Domain, Reporter: nd.cf.VM, Stamp: uint64(time.Now().UnixMilli()), Highest: latest,
 	}
-	add := func(vm string, hd hold) {
+	add := func(vm string, hd heldVersion) {
 		if su.Members == 0 || hd.version < su.Lowest {
 			su.Lowest = hd.version
 		}
 		su.Members++
-		if hd.version < latest && len(su.Behind) < maxNamed {
+		if hd.version < latest && len(su.Behind) < maxListedVMs {
 			su.Behind = append(su.Behind, vm)
 		}
-		if hd.refused > hd.version && len(su.Refused) < maxNamed {
+		if hd.refused > hd.version && len(su.Refused) < maxListedVMs {
 			su.Refused = append(su.Refused, vm+": "+hd.reason)
 		}
 		su.Highest = max(su.Highest, hd.version)
@@ -161,10 +161,10 @@
 	for _, rc := range nd.Board.Members.Get().Live(nd.cf.Domain) {
 		if rc.VM == nd.cf.VM {
 			own := nd.ownHeld()
-			add(rc.VM, hold{version: own.Version, refused: own.Refused, reason: own.Reason})
+			add(rc.VM, heldVersion{version: own.Version, refused: own.Refused, reason: own.Reason})
 			continue
 		}
-		add(rc.VM, nd.holds[rc.VM])
+		add(rc.VM, nd.heldVersions[rc.VM])
 	}
 	return su
 }
@@ -200,7 +200,7 @@
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	if pr.Relay && !re.Cut {
-		nd.reached[re.Domain] = time.Now()
+		nd.lastReached[re.Domain] = time.Now()
 	}
 }
 
@@ -226,7 +226,7 @@
 // runHousekeeping does what is done at intervals. A daemon that is no relay only tells
 // whom it hears: what relays do would wake it eight times a second for nothing.
 func (nd *Node) runHousekeeping(ctx context.Context) {
-	hrd := time.NewTicker(heardEvery)
+	hrd := time.NewTicker(heardInterval)
 	defer hrd.Stop()
 	for ctx.Err() == nil {
 		links, changed := nd.Board.Links.Watch()
@@ -245,11 +245,11 @@
 
 // runMaintenance does what a relay does at intervals, until the daemon is none any more.
 func (nd *Node) runMaintenance(ctx context.Context, heard <-chan time.Time) {
-	sum := time.NewTicker(summaryEvery)
+	sum := time.NewTicker(summaryInterval)
 	defer sum.Stop()
 	tick := time.NewTicker(expire.Tick)
 	defer tick.Stop()
-	rep := time.NewTicker(repairEvery)
+	rep := time.NewTicker(hashInterval)
 	defer rep.Stop()
 	for nd.isRelay() {
 		select {
@@ -259,7 +259,7 @@
 			nd.sendSummary()
 		case <-tick.C:
 			nd.expireMembers()
-			nd.checkReach()
+			nd.checkReachability()
 		case <-heard:
 			nd.sendHeard()
 		case <-rep.C:
@@ -274,10 +274,10 @@
 	}
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
-	if !nd.sumDirty {
+	if !nd.summaryDirty {
 		return
 	}
-	nd.sumDirty = false
+	nd.summaryDirty = false
 	su := nd.summary()
 	for pr := range nd.peers {
 		if pr.Relay && pr.Record.Domain != nd.cf.Domain {
@@ -334,26 +334,26 @@
 	if marked != nil {
 		nd.mergeRecords(marked)
 		nd.mu.Lock()
-		nd.sumDirty = true
+		nd.summaryDirty = true
 		nd.mu.Unlock()
 	}
 }
 
-// checkReach works out which failure domains can be reached, by this relay or
+// checkReachability works out which failure domains can be reached, by this relay or
 // by another one of its own failure domain, and tells the members.
-func (nd *Node) checkReach() {
+func (nd *Node) checkReachability() {
 	now := time.Now()
 	domains := nd.otherDomains()
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	for pr := range nd.peers {
-		nd.reached[pr.Record.Domain] = now
+		nd.lastReached[pr.Record.Domain] = now
 	}
 	for _, dm := range domains {
-		if nd.reached[dm].IsZero() {
-			nd.reached[dm] = now
+		if nd.lastReached[dm].IsZero() {
+			nd.lastReached[dm] = now
 		}
-		cut := now.Sub(nd.reached[dm]) > cutAfter
+		cut := now.Sub(nd.lastReached[dm]) > unreachableAfter
 		if cs := nd.Board.Cut.Get(); cut == (cs != nil && (*cs)[dm]) {
 			continue
 		}
--- a/internal/mesh/ctrl/linker.go
+++ b/internal/mesh/ctrl/linker.go
@@ -21,25 +21,25 @@
 	// be, idleTick how often otherwise; news of members comes in between.
 	linkTick = 250 * time.Millisecond
 	idleTick = 5 * time.Second
-	// firstBackoff and mostBackoff bound the wait before an address is tried
+	// minBackoff and maxBackoff bound the wait before an address is tried
 	// again; the wait is drawn from the whole range below the bound, so that
 	// daemons which lost one relay together do not come back together.
-	firstBackoff = 200 * time.Millisecond
-	mostBackoff  = 5 * time.Second
-	// failingFor is how long failed attempts count against an address.
-	failingFor = 10 * time.Second
-	// stable is how long a link must last for its backoff to start anew.
-	stable = 5 * time.Second
-	// grace is how long a choice must have changed before a working link or
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 5 * time.Second
+	// failureTTL is how long failed attempts count against an address.
+	failureTTL = 10 * time.Second
+	// stableAfter is how long a link must last for its backoff to start anew.
+	stableAfter = 5 * time.Second
+	// gracePeriod is how long a choice must have changed before a working link or
 	// the role of a relay is given up.
-	grace = 3 * time.Second
+	gracePeriod = 3 * time.Second
 	// promoteAfter is how long a daemon must have been chosen before it becomes
 	// a relay. One that has just started knows few members and is nearly always
 	// among the first three of them.
 	promoteAfter = time.Second
-	// bootTime is how long a daemon without links looks for others before it
+	// discoveryTime is how long a daemon without links looks for others before it
 	// takes itself for the first of its failure domain.
-	bootTime = 1500 * time.Millisecond
+	discoveryTime = 1500 * time.Millisecond
 )
 
 // linker keeps the links that this daemon opens.
@@ -47,23 +47,23 @@
 	nd      *Node
 	open    map[string]*outLink
 	backoff map[string]*backoff
-	// chosenNow is whether this daemon is among the relays by its own choice,
-	// chosenAt since when.
-	chosenNow bool
-	chosenAt  time.Time
-	ended     chan *outLink
-	dirs      directory
-	// chosen is the choice of relays among the members chosenOf.
-	chosen   []*member.Record
-	chosenOf *member.View
+	// isChosen is whether this daemon is among the relays by its own choice,
+	// chosenSince since when.
+	isChosen    bool
+	chosenSince time.Time
+	ended       chan *outLink
+	directory   directory
+	// ownRelayCache is the choice of relays among the members ownRelayView.
+	ownRelayCache []*member.Record
+	ownRelayView  *member.View
 }
 
 type outLink struct {
-	addr     string
-	cancel   context.CancelFunc
-	since    time.Time
-	unwanted time.Time
-	// failed is set at the end of a link that never came up or fell silent.
+	addr          string
+	cancel        context.CancelFunc
+	since         time.Time
+	unwantedSince time.Time
+	// failures is set at the end of a link that never came up or fell silent.
 	failed bool
 }
 
@@ -83,50 +83,50 @@
 func (lk *linker) run(ctx context.Context) {
 	for {
 		wait := idleTick
-		if lk.look(ctx) {
+		if lk.reconcile(ctx) {
 			wait = linkTick
 		}
 		select {
 		case <-ctx.Done():
-			lk.drain()
+			lk.waitClosed()
 			return
 		case ol := <-lk.ended:
-			lk.closed(ol)
+			lk.handleClosed(ol)
 		case <-time.After(wait):
-		case <-lk.nd.kick:
+		case <-lk.nd.linkerWake:
 		}
 	}
 }
 
-// drain waits for the links to end after their context has.
-func (lk *linker) drain() {
+// waitClosed waits for the links to end after their context has.
+func (lk *linker) waitClosed() {
 	for len(lk.open) > 0 {
 		ol := <-lk.ended
 		delete(lk.open, ol.addr)
 	}
 }
 
-func (lk *linker) closed(ol *outLink) {
+func (lk *linker) handleClosed(ol *outLink) {
 	delete(lk.open, ol.addr)
 	bo := lk.backoff[ol.addr]
-	if bo == nil || time.Since(ol.since) > stable {
-		bo = &backoff{bound: firstBackoff}
+	if bo == nil || time.Since(ol.since) > stableAfter {
+		bo = &backoff{bound: minBackoff}
 	} else {
-		bo = &backoff{bound: min(2*bo.bound, mostBackoff)}
+		bo = &backoff{bound: min(2*bo.bound, maxBackoff)}
 	}
 	bo.failed = ol.failed
 	bo.until = time.Now().Add(rand.N(bo.bound))
 	lk.backoff[ol.addr] = bo
 }
 
-// look compares the links that should be open with those that are, and tells
+// reconcile compares the links that should be open with those that are, and tells
 // whether anything is waiting for its time.
-func (lk *linker) look(ctx context.Context) (waiting bool) {
+func (lk *linker) reconcile(ctx context.Context) (waiting bool) {
 	if ctx.Err() != nil {
 		return false
 	}
 	now := time.Now()
-	lk.forget(now)
+	lk.pruneBackoff(now)
 	lk.setRole()
 	want := lk.wanted()
 	for _, addr := range want {
@@ -134,36 +134,36 @@
 			continue
 		}
 		waiting = true
-		if lk.ready(addr) {
+		if lk.mayDial(addr) {
 			lk.dial(ctx, addr)
 		}
 	}
 	for _, ol := range lk.open {
 		switch {
 		case slices.Contains(want, ol.addr):
-			ol.unwanted = time.Time{}
-		case ol.unwanted.IsZero():
-			ol.unwanted = now
+			ol.unwantedSince = time.Time{}
+		case ol.unwantedSince.IsZero():
+			ol.unwantedSince = now
 			waiting = true
-		case now.Sub(ol.unwanted) > grace:
+		case now.Sub(ol.unwantedSince) > gracePeriod:
 			ol.cancel()
 		default:
 			waiting = true
 		}
 	}
-	return waiting || !lk.settled() || lk.chosenNow != lk.nd.isRelay()
+	return waiting || !lk.membersKnown() || lk.isChosen != lk.nd.isRelay()
 }
 
-// forget drops the failures that no longer count.
-func (lk *linker) forget(now time.Time) {
+// pruneBackoff drops the failures that no longer count.
+func (lk *linker) pruneBackoff(now time.Time) {
 	for addr, bo := range lk.backoff {
-		if now.Sub(bo.until) > failingFor {
+		if now.Sub(bo.until) > failureTTL {
 			delete(lk.backoff, addr)
 		}
 	}
 }
 
-func (lk *linker) ready(addr string) bool {
+func (lk *linker) mayDial(addr string) bool {
 	bo := lk.backoff[addr]
 	return bo == nil || time.Now().After(bo.until)
 }
@@ -171,7 +171,7 @@
 // failing reports whether the last link to an address failed.
 func (lk *linker) failing(addr string) bool {
 	bo := lk.backoff[addr]
-	return bo != nil && bo.failed && time.Since(bo.until) < failingFor
+	return bo != nil && bo.failed && time.Since(bo.until) < failureTTL
 }
 
 // relaysOf returns the relays of a failure domain as far as this daemon can
@@ -194,13 +194,13 @@
 func (lk *linker) ownRelays() []*member.Record {
 	vw := lk.nd.Board.Members.Get()
 	if len(lk.backoff) > 0 {
-		lk.chosenOf = nil
+		lk.ownRelayView = nil
 		return lk.relaysOf(lk.nd.cf.Domain)
 	}
-	if lk.chosenOf != vw || vw == nil {
-		lk.chosenOf, lk.chosen = vw, lk.relaysOf(lk.nd.cf.Domain)
+	if lk.ownRelayView != vw || vw == nil {
+		lk.ownRelayView, lk.ownRelayCache = vw, lk.relaysOf(lk.nd.cf.Domain)
 	}
-	return lk.chosen
+	return lk.ownRelayCache
 }
 
 // setRole makes the daemon a relay once it is chosen, and takes the role away
@@ -208,25 +208,25 @@
 func (lk *linker) setRole() {
 	nd := lk.nd
 	chosen := slices.ContainsFunc(lk.ownRelays(), func(rc *member.Record) bool { return rc.VM == nd.cf.VM })
-	if chosen && !lk.settled() {
+	if chosen && !lk.membersKnown() {
 		chosen = false
 	}
 	now := time.Now()
-	if chosen != lk.chosenNow || lk.chosenAt.IsZero() {
-		lk.chosenNow, lk.chosenAt = chosen, now
+	if chosen != lk.isChosen || lk.chosenSince.IsZero() {
+		lk.isChosen, lk.chosenSince = chosen, now
 	}
-	after := grace
+	after := gracePeriod
 	if chosen {
 		after = promoteAfter
 	}
-	if chosen == nd.isRelay() || now.Sub(lk.chosenAt) < after {
+	if chosen == nd.isRelay() || now.Sub(lk.chosenSince) < after {
 		return
 	}
 	nd.Board.Links.Update(func(cur *board.Links) *board.Links {
 		return &board.Links{Relay: chosen, Peers: cur.Peers}
 	})
 	nd.mu.Lock()
-	nd.sumDirty = true
+	nd.summaryDirty = true
 	nd.mu.Unlock()
 	nd.eachPeer(func(pr *link.Peer) {
 		nd.sendHello(pr)
@@ -237,13 +237,13 @@
 	})
 }
 
-// settled reports whether the daemon knows its failure domain well enough to
+// membersKnown reports whether the daemon knows its failure domain well enough to
 // choose: it has a link, or has looked for one long enough.
-func (lk *linker) settled() bool {
+func (lk *linker) membersKnown() bool {
 	lk.nd.mu.Lock()
 	linked := len(lk.nd.peers) > 0
 	lk.nd.mu.Unlock()
-	return linked || time.Since(lk.nd.started) > bootTime
+	return linked || time.Since(lk.nd.started) > discoveryTime
 }
 
 // wanted returns the addresses that links should be open to.
@@ -262,11 +262,11 @@
 				add(rc.Control)
 			}
 		}
-		lk.acrossDomains(own, add)
+		lk.addRemoteRelays(own, add)
 	} else {
-		lk.upward(own, add)
+		lk.addUpstream(own, add)
 	}
-	lk.strangers(add)
+	lk.addUndiscovered(add)
 	if len(set) == 0 && lk.alone() {
 		for _, addr := range nd.cf.Seeds {
 			add(addr)
@@ -286,9 +286,9 @@
 	return len(lk.nd.peers) == 0
 }
 
-// upward adds the relay that a plain member is linked to, the first of its own
+// addUpstream adds the relay that a plain member is linked to, the first of its own
 // order.
-func (lk *linker) upward(own []*member.Record, add func(string)) {
+func (lk *linker) addUpstream(own []*member.Record, add func(string)) {
 	for _, rc := range relay.Order(own, lk.nd.cf.VM) {
 		if rc.VM != lk.nd.cf.VM {
 			add(rc.Control)
@@ -297,10 +297,10 @@
 	}
 }
 
-// acrossDomains adds relays of other failure domains. Of two failure domains
+// addRemoteRelays adds relays of other failure domains. Of two failure domains
 // the relays of the one first by name open the links, each to those whose rank
 // goes with its own, so that every relay has one.
-func (lk *linker) acrossDomains(own []*member.Record, add func(string)) {
+func (lk *linker) addRemoteRelays(own []*member.Record, add func(string)) {
 	nd := lk.nd
 	rank := slices.IndexFunc(own, func(rc *member.Record) bool { return rc.VM == nd.cf.VM })
 	if rank < 0 {
@@ -336,36 +336,36 @@
 
 // The links to addresses that the directory gave and whose daemons are not known yet.
 const (
-	// ownStrangers is how many a daemon opens at a time in its own failure domain.
+	// maxUndiscoveredLocal is how many a daemon opens at a time in its own failure domain.
 	// Whom they lead to makes the others known, so that no more are needed: links of
 	// a herd to every address would each carry every record. Two, so that one may be
 	// to an address where nobody answers.
-	ownStrangers = 2
-	// farStrangers is how many a daemon opens to another failure domain, if it stands
+	maxUndiscoveredLocal = 2
+	// maxUndiscoveredRemote is how many a daemon opens to another failure domain, if it stands
 	// for its own: as a relay, or among the first ones.
-	farStrangers = 1
+	maxUndiscoveredRemote = 1
 )
 
-// strangers adds addresses that the directory gave and whose daemons are not known as
+// addUndiscovered adds addresses that the directory gave and whose daemons are not known as
 // members yet, a few at a time and in an order of this daemon's own.
-func (lk *linker) strangers(add func(string)) {
+func (lk *linker) addUndiscovered(add func(string)) {
 	known := lk.nd.Board.Members.Get()
-	stands := lk.nd.isRelay() || lk.nd.registered.Load()
-	for domain, addrs := range lk.dirs.addresses {
-		most := ownStrangers
+	represents := lk.nd.isRelay() || lk.nd.registered.Load()
+	for domain, addrs := range lk.directory.addresses {
+		limit := maxUndiscoveredLocal
 		if domain != lk.nd.cf.Domain {
-			if !stands {
+			if !represents {
 				continue
 			}
-			most = farStrangers
+			limit = maxUndiscoveredRemote
 		}
 		for _, addr := range relay.OrderAddresses(addrs, lk.nd.cf.VM) {
-			if most == 0 {
+			if limit == 0 {
 				break
 			}
 			if !known.Controls[addr] && !lk.failing(addr) {
 				add(addr)
-				most--
+				limit--
 			}
 		}
 	}
@@ -405,7 +405,7 @@
 	}, nd.offer)
 	pr.Outgoing, pr.Addr, pr.Sent = true, addr, nd.countSent
 	nd.sendHello(pr)
-	err := pr.Run(ctx, nd.handle)
-	nd.drop(pr, err)
+	err := pr.Run(ctx, nd.handlePacket)
+	nd.removePeer(pr, err)
 	return !pr.Ready || errors.Is(err, link.ErrSilent)
 }
--- a/internal/mesh/ctrl/linker_test.go
+++ b/internal/mesh/ctrl/linker_test.go
@@ -15,7 +15,7 @@
 // member, it heard no relay and followed the store by itself.
 func TestChoiceAfterFailures(t *testing.T) {
 	nd := New(Config{VM: "vm-x", Domain: "d0", Control: "x:1"})
-	defer nd.end()
+	defer nd.cancel()
 	var recs []*member.Record
 	for i := range 9 {
 		recs = append(recs, &member.Record{
@@ -33,14 +33,14 @@
 	first := names()
 	now := time.Now()
 	for _, rc := range lk.ownRelays() {
-		lk.backoff[rc.Control] = &backoff{bound: firstBackoff, until: now, failed: true}
+		lk.backoff[rc.Control] = &backoff{bound: minBackoff, until: now, failed: true}
 	}
 	for _, vm := range names() {
 		if slices.Contains(first, vm) {
 			t.Errorf("%s is chosen though it cannot be reached", vm)
 		}
 	}
-	lk.forget(now.Add(2 * failingFor))
+	lk.pruneBackoff(now.Add(2 * failureTTL))
 	if got := names(); !slices.Equal(got, first) {
 		t.Errorf("%v are chosen once the failures are forgotten, want %v", got, first)
 	}
@@ -52,21 +52,21 @@
 // opens any to another; as the first become known, the next ones are tried.
 func TestFewStrangers(t *testing.T) {
 	nd := New(Config{VM: "vm-x", Domain: "d0", Control: "x:1"})
-	defer nd.end()
+	defer nd.cancel()
 	found := map[string][]string{}
 	for _, dm := range []string{"d0", "d1", "d2"} {
 		for i := range 10 {
 			found[dm] = append(found[dm], fmt.Sprintf("%s-%d:1", dm, i))
 		}
 	}
-	nd.linker.dirs.set(found)
+	nd.linker.directory.set(found)
 	tried := func() (list []string) {
-		nd.linker.strangers(func(addr string) { list = append(list, addr) })
+		nd.linker.addUndiscovered(func(addr string) { list = append(list, addr) })
 		slices.Sort(list)
 		return list
 	}
 	first := tried()
-	if len(first) != ownStrangers {
+	if len(first) != maxUndiscoveredLocal {
 		t.Errorf("a plain member opens links to %v", first)
 	}
 	var recs []*member.Record
@@ -80,7 +80,7 @@
 		}
 	}
 	nd.registered.Store(true)
-	if got := tried(); len(got) != ownStrangers+2*farStrangers {
+	if got := tried(); len(got) != maxUndiscoveredLocal+2*maxUndiscoveredRemote {
 		t.Errorf("one that stands for its failure domain opens links to %v", got)
 	}
 }
--- a/internal/mesh/ctrl/message_test.go
+++ b/internal/mesh/ctrl/message_test.go
@@ -37,7 +37,7 @@
 	}
 	ma.pr = link.New(link.Stream{Abort: func() {}}, ma.nd.offer)
 	ma.pr.Outgoing, ma.pr.Addr = true, "nobody:1"
-	ma.nd.handle(ma.pr, &wirepb.Packet{
+	ma.nd.handlePacket(ma.pr, &wirepb.Packet{
 		Hello:   &wirepb.Hello{Protocol: Protocol, Relay: true, Record: (&member.Record{VM: "vm-r", Domain: "d0", Incarnation: 1}).ToWire()},
 		Welcome: &wirepb.Welcome{},
 	})
@@ -59,7 +59,7 @@
 
 // deliver hands a packet over and brings up to date what the compiler would.
 func (ma *machine) deliver(pk *wirepb.Packet) {
-	ma.nd.handle(ma.pr, proto.Clone(pk).(*wirepb.Packet))
+	ma.nd.handlePacket(ma.pr, proto.Clone(pk).(*wirepb.Packet))
 	if cfg := ma.nd.Board.Latest.Get(); cfg != nil {
 		ma.nd.compile(cfg)
 	}
@@ -92,7 +92,7 @@
 func TestMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ma := newMachine(t)
-		defer ma.nd.end()
+		defer ma.nd.cancel()
 		var sent []*wirepb.Packet
 		t.Repeat(map[string]func(*rapid.T){
 			"": ma.check,
@@ -168,8 +168,8 @@
 func TestNewerPeer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ma := newMachine(t)
-		defer ma.nd.end()
-		ma.nd.take(1, ma.contents[0])
+		defer ma.nd.cancel()
+		ma.nd.adoptVersion(1, ma.contents[0])
 		pk := ma.version(0, 1)
 		// Field 200, a text.
 		pk.ProtoReflect().SetUnknown([]byte{0xc2, 0x0c, 2, 'h', 'i'})
@@ -194,11 +194,11 @@
 // word may let it take a version, and none below the floor.
 func TestFloorSettles(t *testing.T) {
 	nd := New(Config{VM: "vm-x", Domain: "d0", Control: "x:1"})
-	defer nd.end()
+	defer nd.cancel()
 	welcome := func(vm string, relay bool, floor uint64) *board.Floor {
 		pr := link.New(link.Stream{Abort: func() {}}, nd.offer)
 		pr.Outgoing = true
-		nd.handle(pr, &wirepb.Packet{
+		nd.handlePacket(pr, &wirepb.Packet{
 			Hello:   &wirepb.Hello{Relay: relay, Latest: 2, Record: (&member.Record{VM: vm, Domain: "d0", Incarnation: 1}).ToWire()},
 			Welcome: &wirepb.Welcome{Floor: floor},
 		})
--- a/internal/mesh/ctrl/node.go
+++ b/internal/mesh/ctrl/node.go
@@ -79,8 +79,8 @@
 	Rollouts Rollouts
 }
 
-// headSource reads the head that accept writes, and the content beside it.
-func headSource() Source {
+// defaultSource reads the head that accept writes, and the content beside it.
+func defaultSource() Source {
 	read := func(ctx context.Context, kv store.Store, known *board.Config, value []byte) (uint64, *pack.Content, error) {
 		hd, err := accept.ParseHead(value)
 		if err != nil || hd.Last.Version == 0 {
@@ -99,7 +99,7 @@
 	restore := func(ctx context.Context, kv store.Store, cfg *board.Config) error {
 		return accept.Restore(ctx, kv, cfg.Version, cfg.Content)
 	}
-	return Source{Key: accept.HeadKey, Read: read, Restore: restore, Rollouts: ownRollouts()}
+	return Source{Key: accept.HeadKey, Read: read, Restore: restore, Rollouts: defaultRollouts()}
 }
 
 // Node is the control part of one daemon.
@@ -113,49 +113,49 @@
 
 	history  pack.History
 	compiler snap.Compiler // used by runCompiler alone
-	// wholes and transfers bound the whole contents that are served; fetching
+	// fullLimiter and transfers bound the whole contents that are served; fetching
 	// is held by the one fetch that runs.
-	wholes    *rate.Limiter
-	transfers chan struct{}
-	fetching  chan struct{}
-	// firstEnds bounds the reports of requests that one server ended under.
-	firstEnds *rate.Limiter
-	keeper    *keeper
-	// kick lets the linker look again.
-	kick chan struct{}
+	fullLimiter *rate.Limiter
+	fullSlots   chan struct{}
+	fetchLock   chan struct{}
+	// singleCrashLimiter bounds the reports of requests that one server ended under.
+	singleCrashLimiter *rate.Limiter
+	poison             *poisonSyncer
+	// linkerWake lets the linker look again.
+	linkerWake chan struct{}
 
 	// mu guards what follows, and the Record and Relay of each peer.
 	mu    sync.Mutex
 	peers map[*link.Peer]bool
-	// holds has what the VMs of the own failure domain hold, summaries what
+	// heldVersions has what the VMs of the own failure domain hold, summaries what
 	// the other failure domains do, reached when a link to each was last known.
-	holds     map[string]hold
-	summaries map[string]*wirepb.Summary
-	reached   map[string]time.Time
-	// leavers has the last lifetime of each VM's backend server that said it
+	heldVersions map[string]heldVersion
+	summaries    map[string]*wirepb.Summary
+	lastReached  map[string]time.Time
+	// leaving has the last lifetime of each VM's backend server that said it
 	// leaves.
-	leavers map[string]member.Leaver
+	leaving map[string]member.Leaver
 	expiry  *expire.Watch
-	// through has the VMs that are heard through daemons that are no relays.
-	through map[string]time.Time
-	// bumped counts how often the incarnation was raised above a forerunner's.
-	bumped int
+	// heardIndirectly has the VMs that are heard through daemons that are no relays.
+	heardIndirectly map[string]time.Time
+	// incarnationRaises counts how often the incarnation was raised above a forerunner's.
+	incarnationRaises int
 	// followers are the daemons that follow the store, starting is what this process saw
 	// when it started, seen what the store showed last, and proof when.
 	followers follow.Heard
-	starting  stance
-	seen      seen
-	proof     proof
-	// unproven asks for a read for peers that start.
-	unproven chan struct{}
-	// lookAgain lets the watcher look again.
-	lookAgain chan struct{}
+	startRole startRole
+	observed  storeObservation
+	freshRead freshRead
+	// freshReadWanted asks for a read for peers that start.
+	freshReadWanted chan struct{}
+	// watcherWake lets the watcher look again.
+	watcherWake chan struct{}
 	// reregister lets a relay register again, in a new epoch of the store.
 	reregister chan struct{}
-	// completeIn is the last epoch in which the store was seen to have all versions.
-	completeIn store.Epoch
-	// markedIn is the last epoch that the store is known to keep.
-	markedIn store.Epoch
+	// completeEpoch is the last epoch in which the store was seen to have all versions.
+	completeEpoch store.Epoch
+	// markedEpoch is the last epoch that the store is known to keep.
+	markedEpoch store.Epoch
 	// following is set while this daemon follows the store.
 	following board.Cell[bool]
 	tallies   tallies
@@ -164,20 +164,20 @@
 	restoring atomic.Bool
 	// registered is set while the daemon's key is in the directory.
 	registered atomic.Bool
-	// sumDirty says that the own failure domain's summary is to be sent.
-	sumDirty bool
-	linker   *linker
-	wg       conc.WaitGroup
-	closed   bool
+	// summaryDirty says that the own failure domain's summary is to be sent.
+	summaryDirty bool
+	linker       *linker
+	wg           conc.WaitGroup
+	closed       bool
 
 	started time.Time
-	// life ends with Run.
-	life context.Context
-	end  context.CancelFunc
+	// ctx ends with Run.
+	ctx    context.Context
+	cancel context.CancelFunc
 }
 
-// hold is what a VM has said that it holds.
-type hold struct {
+// heldVersion is what a VM has said that it holds.
+type heldVersion struct {
 	version uint64
 	refused uint64
 	reason  string
@@ -185,42 +185,42 @@
 
 // The limits of whole transfers that a relay serves.
 const (
-	// wholeRate and wholeBurst bound how many whole contents a relay sends a
-	// second, wholeAtOnce how many at the same time.
-	wholeRate   = 50
-	wholeBurst  = 8
-	wholeAtOnce = 8
+	// fullRate and fullBurst bound how many whole contents a relay sends a
+	// second, maxFullTransfers how many at the same time.
+	fullRate         = 50
+	fullBurst        = 8
+	maxFullTransfers = 8
 )
 
 // New returns the control part for cf; Run starts it.
 func New(cf Config) *Node {
 	nd := &Node{
-		Board:      &board.Board{},
-		Traffic:    newTraffic(),
-		cf:         cf,
-		log:        cf.Log,
-		wholes:     rate.NewLimiter(wholeRate, wholeBurst),
-		transfers:  make(chan struct{}, wholeAtOnce),
-		firstEnds:  rate.NewLimiter(firstEndsRate, firstEndsBurst),
-		fetching:   make(chan struct{}, 1),
-		kick:       make(chan struct{}, 1),
-		unproven:   make(chan struct{}, 1),
-		lookAgain:  make(chan struct{}, 1),
-		reregister: make(chan struct{}, 1),
-		peers:      map[*link.Peer]bool{},
-		holds:      map[string]hold{},
-		summaries:  map[string]*wirepb.Summary{},
-		reached:    map[string]time.Time{},
-		leavers:    map[string]member.Leaver{},
-		expiry:     expire.New(),
-		through:    map[string]time.Time{},
-		started:    time.Now(),
+		Board:              &board.Board{},
+		Traffic:            newTraffic(),
+		cf:                 cf,
+		log:                cf.Log,
+		fullLimiter:        rate.NewLimiter(fullRate, fullBurst),
+		fullSlots:          make(chan struct{}, maxFullTransfers),
+		singleCrashLimiter: rate.NewLimiter(singleCrashRate, singleCrashBurst),
+		fetchLock:          make(chan struct{}, 1),
+		linkerWake:         make(chan struct{}, 1),
+		freshReadWanted:    make(chan struct{}, 1),
+		watcherWake:        make(chan struct{}, 1),
+		reregister:         make(chan struct{}, 1),
+		peers:              map[*link.Peer]bool{},
+		heldVersions:       map[string]heldVersion{},
+		summaries:          map[string]*wirepb.Summary{},
+		lastReached:        map[string]time.Time{},
+		leaving:            map[string]member.Leaver{},
+		expiry:             expire.New(),
+		heardIndirectly:    map[string]time.Time{},
+		started:            time.Now(),
 	}
 	if nd.log == nil {
 		nd.log = slog.New(slog.DiscardHandler)
 	}
 	if nd.cf.Source.Read == nil {
-		nd.cf.Source = headSource()
+		nd.cf.Source = defaultSource()
 	}
 	if nd.cf.Compile == nil {
 		nd.cf.Compile = nd.compiler.Compile
@@ -235,10 +235,10 @@
 		nd.cf.StoreAnswers = func() {}
 	}
 	nd.cf.Store = nd.watchEpochs(cf.Store)
-	nd.life, nd.end = context.WithCancel(context.Background())
+	nd.ctx, nd.cancel = context.WithCancel(context.Background())
 	nd.http = newHTTPClient(cf)
 	nd.linker = newLinker(nd)
-	nd.keeper = &keeper{nd: nd}
+	nd.poison = &poisonSyncer{nd: nd}
 	// The wall clock gives an incarnation above that of the process before
 	// in most cases; the first contact corrects it in the others.
 	self := &member.Record{
@@ -256,14 +256,14 @@
 
 // Run keeps the daemon in the mesh until ctx ends.
 func (nd *Node) Run(ctx context.Context) {
-	stop := context.AfterFunc(ctx, nd.end)
+	stop := context.AfterFunc(ctx, nd.cancel)
 	defer stop()
 	for _, fn := range []func(context.Context){
-		nd.linker.run, nd.runCompiler, nd.runHousekeeping, nd.runWatcher, nd.runProofs, nd.runDirectory, nd.runRollouts, nd.runTallies,
+		nd.linker.run, nd.runCompiler, nd.runHousekeeping, nd.runWatcher, nd.runFreshReads, nd.runDirectory, nd.runRollouts, nd.runTallies,
 	} {
-		nd.background(func() { fn(nd.life) })
+		nd.background(func() { fn(nd.ctx) })
 	}
-	<-nd.life.Done()
+	<-nd.ctx.Done()
 	nd.mu.Lock()
 	nd.closed = true
 	nd.mu.Unlock()
@@ -309,20 +309,20 @@
 func (nd *Node) Leave(ctx context.Context) {
 	nd.Announce(func(rc *member.Record) { rc.State = member.StateLeft })
 	select {
-	case <-time.After(leaveTime):
+	case <-time.After(leaveFlushTime):
 	case <-ctx.Done():
 	}
 }
 
-// leaveTime is enough for the news of a leaving daemon to be sent.
-const leaveTime = 200 * time.Millisecond
+// leaveFlushTime is enough for the news of a leaving daemon to be sent.
+const leaveFlushTime = 200 * time.Millisecond
 
 func (nd *Node) isRelay() bool { return nd.Board.Links.Get().Relay }
 
-// poke lets the linker look again.
-func (nd *Node) poke() {
+// wakeLinker lets the linker look again.
+func (nd *Node) wakeLinker() {
 	select {
-	case nd.kick <- struct{}{}:
+	case nd.linkerWake <- struct{}{}:
 	default:
 	}
 }
--- a/internal/mesh/ctrl/peers.go
+++ b/internal/mesh/ctrl/peers.go
@@ -66,9 +66,9 @@
 	return hd
 }
 
-// handle takes one packet of a peer. All it holds may come late, twice or out
+// handlePacket takes one packet of a peer. All it holds may come late, twice or out
 // of order: versions and records only replace older ones.
-func (nd *Node) handle(pr *link.Peer, pk *wirepb.Packet) {
+func (nd *Node) handlePacket(pr *link.Peer, pk *wirepb.Packet) {
 	if pk.Hello != nil {
 		nd.handleHello(pr, pk.Hello)
 	}
@@ -82,7 +82,7 @@
 		nd.handleRecords(pr, recs)
 	}
 	if pk.Hashes != nil {
-		nd.repair(pr, pk.Hashes)
+		nd.sendDifferingRecords(pr, pk.Hashes)
 	}
 	for _, hd := range pk.Held {
 		nd.handleHeld(pr, hd)
@@ -124,16 +124,16 @@
 	known := nd.Board.Members.Get().Get(rc.VM)
 	nd.mu.Lock()
 	// A peer that becomes a relay later has to be told what a new one is told.
-	greet := first || hello.Relay && !pr.Relay
+	initial := first || hello.Relay && !pr.Relay
 	pr.Record, pr.Relay, pr.Ready = rc, hello.Relay, true
 	nd.peers[pr] = true
 	if pr.Born.IsZero() && hello.AgeMs > 0 {
 		pr.Born = time.Now().Add(-time.Duration(hello.AgeMs) * time.Millisecond)
-		nd.proveTo(pr)
+		nd.sendNewest(pr)
 	}
 	proven := pr.Proven
 	floor := nd.minVersionFor(rc)
-	leaving := nd.leavers[rc.VM]
+	leaving := nd.leaving[rc.VM]
 	nd.mu.Unlock()
 	if len(hello.Digest) == len(pack.Digest{}) {
 		pr.Knows(hello.Latest, pack.Digest(hello.Digest))
@@ -153,29 +153,29 @@
 		pr.Next(func(pk *wirepb.Packet) { pk.Welcome = wc })
 	}
 	nd.handleRecords(pr, []*member.Record{rc})
-	nd.repair(pr, hello.Hashes)
+	nd.sendDifferingRecords(pr, hello.Hashes)
 	if first {
 		nd.log.Debug("link-up", slog.String("peer", rc.VM), slog.Bool("outgoing", pr.Outgoing))
-		nd.showLinks()
+		nd.publishLinks()
 	}
-	if greet {
-		nd.greet(pr)
+	if initial {
+		nd.sendInitialState(pr)
 	}
 	pr.Offer(nd.Board.LatestVersion())
 	if first {
-		pr.SendEnds(nd.Board.Poison.Get().Reports(toldFirst))
+		pr.SendEnds(nd.Board.Poison.Get().Reports(maxInitialReports))
 		for _, ro := range nd.Board.Rollouts.Get().All() {
 			pr.SendRollout(ro)
 		}
 	}
 	if first && !proven && !nd.isRelay() && nd.cf.Source.Newest {
-		nd.wantProof()
+		nd.requestFreshRead()
 	}
-	nd.poke()
+	nd.wakeLinker()
 }
 
-// greet sends what a new peer in the own failure domain needs to know.
-func (nd *Node) greet(pr *link.Peer) {
+// sendInitialState sends what a new peer in the own failure domain needs to know.
+func (nd *Node) sendInitialState(pr *link.Peer) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	if pr.Relay {
@@ -189,7 +189,7 @@
 		return
 	}
 	if pr.Relay {
-		for vm, hd := range nd.holds {
+		for vm, hd := range nd.heldVersions {
 			pr.SendHeld(hd.toWire(vm))
 		}
 	}
@@ -199,21 +199,21 @@
 	}
 }
 
-// drop takes a peer out once its link has ended.
-func (nd *Node) drop(pr *link.Peer, err error) {
+// removePeer takes a peer out once its link has ended.
+func (nd *Node) removePeer(pr *link.Peer, err error) {
 	nd.mu.Lock()
 	known := nd.peers[pr]
 	delete(nd.peers, pr)
 	nd.mu.Unlock()
 	if known {
-		nd.loseFollower(pr)
+		nd.handleRelayLoss(pr)
 		nd.log.Debug("link-down", slog.String("peer", pr.Record.VM), slog.Any("cause", err))
-		nd.showLinks()
+		nd.publishLinks()
 	}
-	nd.poke()
+	nd.wakeLinker()
 }
 
-func (nd *Node) showLinks() {
+func (nd *Node) publishLinks() {
 	nd.mu.Lock()
 	var names []string
 	for pr := range nd.peers {
@@ -238,16 +238,16 @@
 // Only relays keep what members hold, so only their word settles the floor.
 func (nd *Node) handleWelcome(pr *link.Peer, wc *wirepb.Welcome) {
 	self := nd.Board.Self.Get()
-	nd.learnForerunner(pr.Record.VM, member.Leaver{Lifetime: wc.Leaving, StartedMs: wc.LeavingStartedMs, At: wc.LeftAt})
+	nd.recordPredecessor(pr.Record.VM, member.Leaver{Lifetime: wc.Leaving, StartedMs: wc.LeavingStartedMs, At: wc.LeftAt})
 	if wc.Nonce != self.Nonce && wc.Incarnation >= self.Incarnation {
-		nd.handleRival(&member.Record{VM: self.VM, Incarnation: wc.Incarnation, Nonce: wc.Nonce})
+		nd.handleConflict(&member.Record{VM: self.VM, Incarnation: wc.Incarnation, Nonce: wc.Nonce})
 	}
 	nd.Board.RaiseFloor(wc.Floor, pr.Relay)
 }
 
-// learnForerunner puts on the board what a peer keeps of the VM's former
+// recordPredecessor puts on the board what a peer keeps of the VM's former
 // process; a peer that knows of nothing says so too.
-func (nd *Node) learnForerunner(peer string, lv member.Leaver) {
+func (nd *Node) recordPredecessor(peer string, lv member.Leaver) {
 	nd.Board.Forerunner.Update(func(cur *board.Forerunner) *board.Forerunner {
 		next := &board.Forerunner{Leaver: lv, Peers: []string{peer}}
 		if cur == nil {
@@ -264,47 +264,47 @@
 	})
 }
 
-// recordLeavers keeps which lifetimes leave, apart from the records. A new
+// recordLeaving keeps which lifetimes leave, apart from the records. A new
 // process's own record replaces the one that said so as soon as its first Hello
 // is read; were the answer to that Hello lost, the next one would find nothing,
 // and the new process could take a late announcement of the lifetime.
-func (nd *Node) recordLeavers(recs []*member.Record) {
+func (nd *Node) recordLeaving(recs []*member.Record) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	for _, rc := range recs {
 		if rc.Leaving.Lifetime != "" {
-			nd.leavers[rc.VM] = rc.Leaving
+			nd.leaving[rc.VM] = rc.Leaving
 		}
 	}
-	if len(nd.leavers) > maxLeavers {
-		nd.leavers = map[string]member.Leaver{}
+	if len(nd.leaving) > maxLeaving {
+		nd.leaving = map[string]member.Leaver{}
 	}
 }
 
-// maxLeavers bounds the VMs of which a leaving lifetime is remembered; beyond it
+// maxLeaving bounds the VMs of which a leaving lifetime is remembered; beyond it
 // all are forgotten. A lifetime is of use for some seconds, and the target has
 // 230 replaced VMs a day.
-const maxLeavers = 4096
+const maxLeaving = 4096
 
 // The bounds of what a new process takes for its forerunner's.
 const (
-	youth    = 20 * time.Second
-	maxBumps = 3
+	startupPeriod        = 20 * time.Second
+	maxIncarnationRaises = 3
 )
 
-// handleRival answers a record of another process under this VM's name with a
+// handleConflict answers a record of another process under this VM's name with a
 // higher incarnation. For a new process that is what its forerunner left
 // behind, started by a clock that was ahead: it goes above it. For one that has
 // run for a time, or that was outbid again and again, the other one is newer,
 // and only one of the two may serve.
-func (nd *Node) handleRival(rc *member.Record) {
+func (nd *Node) handleConflict(rc *member.Record) {
 	nd.mu.Lock()
-	young := time.Since(nd.started) < youth && nd.bumped < maxBumps
-	if young {
-		nd.bumped++
+	recent := time.Since(nd.started) < startupPeriod && nd.incarnationRaises < maxIncarnationRaises
+	if recent {
+		nd.incarnationRaises++
 	}
 	nd.mu.Unlock()
-	if young {
+	if recent {
 		nd.Announce(func(me *member.Record) { me.Incarnation = rc.Incarnation + 1 })
 		return
 	}
@@ -322,16 +322,16 @@
 		}
 		others = append(others, rc)
 	}
-	news := nd.merge(others)
-	if len(news) == 0 {
+	added := nd.merge(others)
+	if len(added) == 0 {
 		return
 	}
 	nd.eachPeer(func(pr *link.Peer) {
 		if pr != from {
-			pr.SendRecords(news)
+			pr.SendRecords(added)
 		}
 	})
-	nd.poke()
+	nd.wakeLinker()
 }
 
 // handleOwnRecord answers a record that others keep of this VM.
@@ -345,34 +345,34 @@
 			nd.Announce(func(me *member.Record) { me.Sequence = rc.Sequence })
 		}
 	case rc.Compare(self) > 0:
-		nd.handleRival(rc)
+		nd.handleConflict(rc)
 	}
 }
 
 // merge puts records on the board and returns those that were new.
-func (nd *Node) merge(recs []*member.Record) (news []*member.Record) {
+func (nd *Node) merge(recs []*member.Record) (added []*member.Record) {
 	nd.Board.Members.Update(func(vw *member.View) *member.View {
 		var next *member.View
-		next, news = vw.Merge(recs)
+		next, added = vw.Merge(recs)
 		return next
 	})
-	nd.recordLeavers(news)
-	return news
+	nd.recordLeaving(added)
+	return added
 }
 
 // mergeRecords puts own statements on the board and sends them to all peers.
 func (nd *Node) mergeRecords(recs []*member.Record) {
-	news := nd.merge(recs)
-	if len(news) == 0 {
+	added := nd.merge(recs)
+	if len(added) == 0 {
 		return
 	}
-	nd.eachPeer(func(pr *link.Peer) { pr.SendRecords(news) })
-	nd.poke()
+	nd.eachPeer(func(pr *link.Peer) { pr.SendRecords(added) })
+	nd.wakeLinker()
 }
 
-// repair sends all records of the failure domains in which the peer's differ,
+// sendDifferingRecords sends all records of the failure domains in which the peer's differ,
 // the peer's own among them: it may bear a mark that the peer must answer.
-func (nd *Node) repair(pr *link.Peer, hashes []*wirepb.DomainHash) {
+func (nd *Node) sendDifferingRecords(pr *link.Peer, hashes []*wirepb.DomainHash) {
 	vw := nd.Board.Members.Get()
 	theirs := make(map[string]uint64, len(hashes))
 	for _, dh := range hashes {
@@ -403,15 +403,15 @@
 	}
 	if cur != nil && len(vn.Body) > 0 {
 		if co, err := pack.Advance(cur.Content, vn.Body, dg); err == nil {
-			nd.take(vn.Number, co)
+			nd.adoptVersion(vn.Number, co)
 			return
 		}
 	}
 	nd.background(func() { nd.fetch(pr, vn.Number) })
 }
 
-// take puts a configuration on the board and offers it to all peers.
-func (nd *Node) take(version uint64, co *pack.Content) {
+// adoptVersion puts a configuration on the board and offers it to all peers.
+func (nd *Node) adoptVersion(version uint64, co *pack.Content) {
 	if !nd.Board.Offer(&board.Config{Version: version, Content: co}) {
 		return
 	}
@@ -431,9 +431,9 @@
 // many peers bring one transfer.
 func (nd *Node) fetch(pr *link.Peer, version uint64) {
 	select {
-	case nd.fetching <- struct{}{}:
-		defer func() { <-nd.fetching }()
-	case <-nd.life.Done():
+	case nd.fetchLock <- struct{}{}:
+		defer func() { <-nd.fetchLock }()
+	case <-nd.ctx.Done():
 		return
 	}
 	for nd.Board.LatestVersion() < version && nd.hasPeer(pr) {
@@ -442,7 +442,7 @@
 			nd.log.Warn("fetch-failed", slog.String("address", nd.addressOf(pr)), slog.Any("error", err))
 			wait = rand.N(fetchRetry)
 		}
-		if pause(nd.life, wait) != nil {
+		if pause(nd.ctx, wait) != nil {
 			return
 		}
 	}
@@ -471,7 +471,7 @@
 		base = cfg.Content
 		req.Have = base.Digest[:]
 	}
-	res, err := nd.fetchClient(pr).Fetch(nd.life, connect.NewRequest(req))
+	res, err := nd.fetchClient(pr).Fetch(nd.ctx, connect.NewRequest(req))
 	if err != nil {
 		return 0, err
 	}
@@ -486,6 +486,6 @@
 	if err != nil {
 		return 0, err
 	}
-	nd.take(ms.Number, co)
+	nd.adoptVersion(ms.Number, co)
 	return 0, nil
 }
--- a/internal/mesh/ctrl/replace_test.go
+++ b/internal/mesh/ctrl/replace_test.go
@@ -231,19 +231,19 @@
 // lifetime and sent requests to a server that had left.
 func TestLeaverOutlivesRecord(t *testing.T) {
 	nd := New(Config{VM: "a", Domain: "d"})
-	defer nd.end()
+	defer nd.cancel()
 	old := &member.Record{VM: "b", Domain: "d", Incarnation: 1, Sequence: 3, Leaving: member.Leaver{Lifetime: "i-1", At: 5}}
 	next := &member.Record{VM: "b", Domain: "d", Incarnation: 2, Sequence: 1}
 	nd.merge([]*member.Record{old})
 	nd.merge([]*member.Record{next})
 	want := member.Leaver{Lifetime: "i-1", At: 5}
-	if got := nd.leavers["b"]; got != want {
+	if got := nd.leaving["b"]; got != want {
 		t.Errorf("the peer remembers %+v, want %+v", got, want)
 	}
 	var fresh Node
 	fresh.Board = &board.Board{}
 	for i, lv := range []member.Leaver{{}, want, {}} {
-		fresh.learnForerunner([]string{"p", "q", "q"}[i], lv)
+		fresh.recordPredecessor([]string{"p", "q", "q"}[i], lv)
 	}
 	if got := fresh.Board.Forerunner.Get(); got == nil || got.Leaver != want || len(got.Peers) != 2 {
 		t.Errorf("the new process learned %+v, want %+v of two peers", got, want)
--- a/internal/mesh/ctrl/rollout.go
+++ b/internal/mesh/ctrl/rollout.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// orderWait is how long a watch of the orders waits.
-	orderWait = 10 * time.Second
+	// orderWatchTimeout is how long a watch of the orders waits.
+	orderWatchTimeout = 10 * time.Second
 	// decideInterval is how often the daemons that follow the store decide on a rollout.
 	decideInterval = 250 * time.Millisecond
-	// settleRelay and settlePlain are how long a daemon follows the store before it watches
+	// settleRelay and settleMember are how long a daemon follows the store before it watches
 	// the orders, as a relay and as one that hears no relay yet.
-	settleRelay = time.Second
-	settlePlain = 2500 * time.Millisecond
+	settleRelay  = time.Second
+	settleMember = 2500 * time.Millisecond
 	// statusRetry is the pause before the state of a rollout is written again.
 	statusRetry = 300 * time.Millisecond
 	// beganPrefix begins the keys that have when a rollout began, for daemons that start
@@ -45,27 +45,27 @@
 	Decode    func(value []byte) (target string, st canary.State, err error)
 }
 
-// roller decides on rollouts while this daemon follows the store.
-type roller struct {
+// rolloutController decides on rollouts while this daemon follows the store.
+type rolloutController struct {
 	nd *Node
-	// seen are the orders in the store, at the write given.
-	seen   map[string]canary.Order
-	at     store.Revision
-	trials map[string]*trial
+	// orders are the orders in the store, at the write given.
+	orders         map[string]canary.Order
+	ordersRevision store.Revision
+	evaluations    map[string]*evaluation
 }
 
-// trial is the judgement of one order.
-type trial struct {
+// evaluation is the judgement of one order.
+type evaluation struct {
 	order canary.Order
 	judge *judge.Judge
 	ramp  judge.Ramp
-	// complete is set once the version was found good: that holds though its state is not
+	// passed is set once the version was found good: that holds though its state is not
 	// written yet.
-	complete bool
+	passed bool
 	// writing is set while the state is written.
 	writing atomic.Bool
-	// announced is when a decision was sent to the others last.
-	announced time.Time
+	// lastAnnounced is when a decision was sent to the others last.
+	lastAnnounced time.Time
 }
 
 // runRollouts watches the orders and decides, while this daemon follows the store.
@@ -73,11 +73,11 @@
 	if nd.cf.Source.Rollouts.Prefix == "" {
 		return
 	}
-	ro := &roller{nd: nd, trials: map[string]*trial{}}
+	ro := &rolloutController{nd: nd, evaluations: map[string]*evaluation{}}
 	for ctx.Err() == nil {
 		following, changed := nd.following.Watch()
 		if following == nil || !*following {
-			ro.at = store.Revision{}
+			ro.ordersRevision = store.Revision{}
 			select {
 			case <-changed:
 			case <-ctx.Done():
@@ -101,14 +101,14 @@
 	if nd.isRelay() {
 		return settleRelay
 	}
-	return settlePlain
+	return settleMember
 }
 
 // follow watches and decides until this daemon no longer follows the store.
-func (ro *roller) follow(ctx context.Context, over <-chan struct{}) {
+func (ro *rolloutController) follow(ctx context.Context, stopped <-chan struct{}) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	listings, at := make(chan store.Listing), ro.at
+	listings, at := make(chan store.Listing), ro.ordersRevision
 	ro.nd.background(func() { ro.nd.watchOrders(ctx, at, listings) })
 	tick := time.NewTicker(decideInterval)
 	defer tick.Stop()
@@ -116,23 +116,23 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-over:
+		case <-stopped:
 			return
 		case li := <-listings:
-			ro.at = li.At
+			ro.ordersRevision = li.At
 			ro.handleOrders(ctx, li.Items)
 		case <-tick.C:
 		}
-		ro.round(ctx)
+		ro.decideAll(ctx)
 	}
 }
 
 // watchOrders sends each change of the orders until ctx ends.
 func (nd *Node) watchOrders(ctx context.Context, at store.Revision, listings chan<- store.Listing) {
 	for ctx.Err() == nil {
-		li, err := nd.cf.Store.WatchAll(ctx, nd.cf.Source.Rollouts.Prefix, at, orderWait)
+		li, err := nd.cf.Store.WatchAll(ctx, nd.cf.Source.Rollouts.Prefix, at, orderWatchTimeout)
 		if err != nil {
-			if pause(ctx, mostRetry) != nil {
+			if pause(ctx, maxRetry) != nil {
 				return
 			}
 			continue
@@ -149,9 +149,9 @@
 }
 
 // handleOrders takes the orders that the store has.
-func (ro *roller) handleOrders(ctx context.Context, items []store.Item) {
+func (ro *rolloutController) handleOrders(ctx context.Context, items []store.Item) {
 	src := &ro.nd.cf.Source.Rollouts
-	ro.seen = map[string]canary.Order{}
+	ro.orders = map[string]canary.Order{}
 	for _, it := range items {
 		or, err := src.Read(it.Key, it.Value)
 		if err != nil {
@@ -159,16 +159,16 @@
 			continue
 		}
 		or.Revision = it.Revision
-		ro.seen[or.Service] = or
+		ro.orders[or.Service] = or
 	}
-	for _, service := range slices.Sorted(maps.Keys(ro.seen)) {
-		ro.handleOrder(ctx, ro.seen[service])
+	for _, service := range slices.Sorted(maps.Keys(ro.orders)) {
+		ro.handleOrder(ctx, ro.orders[service])
 	}
 }
 
 // handleOrder takes an order that the store has. One that is known goes on, also where the store
 // has it anew in another epoch.
-func (ro *roller) handleOrder(ctx context.Context, or canary.Order) {
+func (ro *rolloutController) handleOrder(ctx context.Context, or canary.Order) {
 	nd := ro.nd
 	cur := nd.Board.Rollouts.Get().Of(or.Service)
 	switch {
@@ -184,16 +184,16 @@
 	if or.Abort {
 		next.State = canary.RolledBack
 	}
-	if known, err := ro.recall(ctx, next); err != nil || !known {
+	if known, err := ro.loadState(ctx, next); err != nil || !known {
 		nd.log.Warn("rollout-began", slog.String(logs.Service, or.Service), slog.String("target", or.Target),
 			slog.Any("baseline", next.Baseline), slog.Duration("duration", or.Duration), slog.Any("error", err))
 	}
 	nd.mergeRollout(nil, next)
 }
 
-// recall takes what the store has of a rollout that no daemon knows: all may have been
+// loadState takes what the store has of a rollout that no daemon knows: all may have been
 // killed since it began.
-func (ro *roller) recall(ctx context.Context, next *canary.Rollout) (known bool, err error) {
+func (ro *rolloutController) loadState(ctx context.Context, next *canary.Rollout) (known bool, err error) {
 	nd, or := ro.nd, &next.Order
 	src := &nd.cf.Source.Rollouts
 	ent, err := nd.cf.Store.Get(ctx, src.StatusKey(or.Service))
@@ -244,37 +244,37 @@
 	return list
 }
 
-// round decides on all rollouts in progress, and has their states written.
-func (ro *roller) round(ctx context.Context) {
+// decideAll decides on all rollouts in progress, and has their states written.
+func (ro *rolloutController) decideAll(ctx context.Context) {
 	vw := ro.nd.Board.Rollouts.Get()
 	for _, cur := range vw.All() {
-		tr := ro.trials[cur.Order.Service]
-		if tr == nil || tr.order.Revision != cur.Order.Revision {
-			tr = &trial{
+		ev := ro.evaluations[cur.Order.Service]
+		if ev == nil || ev.order.Revision != cur.Order.Revision {
+			ev = &evaluation{
 				order: cur.Order, judge: judge.New(cur.Order.Target, cur.Order.Duration),
 				ramp: judge.Resume(cur.Share),
 			}
-			ro.trials[cur.Order.Service] = tr
+			ro.evaluations[cur.Order.Service] = ev
 		}
 		if cur.State == canary.InProgress {
-			cur = ro.decide(tr, cur)
+			cur = ro.decide(ev, cur)
 		}
-		if cur.Stored || !tr.writing.CompareAndSwap(false, true) {
+		if cur.Stored || !ev.writing.CompareAndSwap(false, true) {
 			continue
 		}
-		if !ro.nd.background(func() { ro.write(ctx, tr, cur) }) {
+		if !ro.nd.background(func() { ro.saveState(ctx, ev, cur) }) {
 			return
 		}
 	}
 }
 
 // decide takes the next decision on a rollout in progress.
-func (ro *roller) decide(tr *trial, cur *canary.Rollout) *canary.Rollout {
+func (ro *rolloutController) decide(ev *evaluation, cur *canary.Rollout) *canary.Rollout {
 	nd, now := ro.nd, time.Now()
 	elapsed := now.Sub(cur.Began)
-	tr.judge.Look(elapsed, nd.tallySums(cur.Order.Service, now))
-	de := tr.ramp.Step(elapsed, tr.judge)
-	if tr.complete {
+	ev.judge.Look(elapsed, nd.tallySums(cur.Order.Service, now))
+	de := ev.ramp.Step(elapsed, ev.judge)
+	if ev.passed {
 		de.State, de.Share = canary.Complete, 1
 	}
 	next := *cur
@@ -290,35 +290,35 @@
 	next.Share, next.Servers, next.Until = de.Share, de.Servers, now.Add(canary.TTL)
 	if de.State == canary.Complete {
 		// Operators stop the baseline once the store says so; until then it may serve again.
-		tr.complete = true
+		ev.passed = true
 		final := next
 		final.State, final.Stored = canary.Complete, false
-		ro.announce(tr, cur, &next, now)
+		ro.announce(ev, cur, &next, now)
 		return &final
 	}
-	ro.announce(tr, cur, &next, now)
+	ro.announce(ev, cur, &next, now)
 	return &next
 }
 
 // announce sends a decision to the others: at once where the share changes, else now and
 // then.
-func (ro *roller) announce(tr *trial, cur, next *canary.Rollout, now time.Time) {
-	if next.Share == cur.Share && next.Servers == cur.Servers && now.Sub(tr.announced) < canary.TTL/3 {
+func (ro *rolloutController) announce(ev *evaluation, cur, next *canary.Rollout, now time.Time) {
+	if next.Share == cur.Share && next.Servers == cur.Servers && now.Sub(ev.lastAnnounced) < canary.TTL/3 {
 		return
 	}
 	if next.Share != cur.Share {
 		ro.nd.log.Info("rollout-share", slog.String(logs.Service, next.Order.Service), slog.Float64("share", next.Share), slog.Int("servers", next.Servers))
 	}
-	tr.announced = now
+	ev.lastAnnounced = now
 	ro.nd.mergeRollout(nil, next)
 }
 
-// write writes the state of a rollout, unless the store has an end of it already, which
+// saveState writes the state of a rollout, unless the store has an end of it already, which
 // holds then.
-func (ro *roller) write(ctx context.Context, tr *trial, cur *canary.Rollout) {
+func (ro *rolloutController) saveState(ctx context.Context, ev *evaluation, cur *canary.Rollout) {
 	nd := ro.nd
 	next := *cur
-	err := ro.swap(ctx, &next)
+	err := ro.storeState(ctx, &next)
 	if err != nil {
 		nd.log.Warn("rollout-not-stored", slog.String(logs.Service, cur.Order.Service), slog.String("state", cur.State.String()), slog.Any("error", err))
 		_ = pause(ctx, statusRetry)
@@ -329,12 +329,12 @@
 		}
 		nd.mergeRollout(nil, &next)
 	}
-	tr.writing.Store(false)
+	ev.writing.Store(false)
 }
 
-// swap makes the store have a state. Where it has an end of the same order, that one is
+// storeState makes the store have a state. Where it has an end of the same order, that one is
 // taken.
-func (ro *roller) swap(ctx context.Context, next *canary.Rollout) error {
+func (ro *rolloutController) storeState(ctx context.Context, next *canary.Rollout) error {
 	kv, src, or := ro.nd.cf.Store, &ro.nd.cf.Source.Rollouts, &next.Order
 	if next.State == canary.InProgress {
 		value := strconv.AppendInt(nil, next.Began.UnixMilli(), 10)
@@ -380,13 +380,13 @@
 // mergeRollout takes a statement on a rollout, of a peer or this daemon's own, and passes it
 // on if it is news.
 func (nd *Node) mergeRollout(from *link.Peer, ro *canary.Rollout) {
-	news := false
+	changed := false
 	nd.Board.Rollouts.Update(func(vw *canary.View) *canary.View {
 		var next *canary.View
-		next, news = vw.Merge(ro)
+		next, changed = vw.Merge(ro)
 		return next
 	})
-	if !news {
+	if !changed {
 		return
 	}
 	nd.eachPeer(func(pr *link.Peer) {
--- a/internal/mesh/ctrl/serve.go
+++ b/internal/mesh/ctrl/serve.go
@@ -25,7 +25,7 @@
 // dialTimeout bounds the opening of a connection to another daemon.
 const dialTimeout = time.Second
 
-type deadlineKey struct{}
+type controllerKey struct{}
 
 // Handler serves the other daemons. It needs HTTP/2, see Protocols.
 func (nd *Node) Handler() http.Handler {
@@ -41,7 +41,7 @@
 			return
 		}
 		rc := http.NewResponseController(w)
-		h.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), deadlineKey{}, rc)))
+		h.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), controllerKey{}, rc)))
 	}))
 	return mux
 }
@@ -136,12 +136,12 @@
 // Link serves a link that another daemon has opened.
 func (sr *server) Link(ctx context.Context, bs *connect.BidiStream[wirepb.Packet, wirepb.Packet]) error {
 	ab := &aborter{}
-	ab.rc, _ = ctx.Value(deadlineKey{}).(*http.ResponseController)
-	defer ab.over()
+	ab.rc, _ = ctx.Value(controllerKey{}).(*http.ResponseController)
+	defer ab.release()
 	pr := link.New(link.Stream{Send: bs.Send, Receive: bs.Receive, Abort: ab.abort}, sr.nd.offer)
 	pr.Sent = sr.nd.countSent
-	err := pr.Run(ctx, sr.nd.handle)
-	sr.nd.drop(pr, err)
+	err := pr.Run(ctx, sr.nd.handlePacket)
+	sr.nd.removePeer(pr, err)
 	return nil
 }
 
@@ -164,7 +164,7 @@
 	}
 }
 
-func (ab *aborter) over() {
+func (ab *aborter) release() {
 	ab.mu.Lock()
 	defer ab.mu.Unlock()
 	ab.rc = nil
@@ -189,26 +189,26 @@
 		}
 	}
 	select {
-	case nd.transfers <- struct{}{}:
-		defer func() { <-nd.transfers }()
+	case nd.fullSlots <- struct{}{}:
+		defer func() { <-nd.fullSlots }()
 	default:
-		return connect.NewResponse(&wirepb.FetchResponse{LaterMs: later()}), nil
+		return connect.NewResponse(&wirepb.FetchResponse{LaterMs: retryDelayMs()}), nil
 	}
-	if !nd.wholes.Allow() {
-		return connect.NewResponse(&wirepb.FetchResponse{LaterMs: later()}), nil
+	if !nd.fullLimiter.Allow() {
+		return connect.NewResponse(&wirepb.FetchResponse{LaterMs: retryDelayMs()}), nil
 	}
 	body, ok := nd.history.Whole(dg)
 	if !ok {
-		return connect.NewResponse(&wirepb.FetchResponse{LaterMs: later()}), nil
+		return connect.NewResponse(&wirepb.FetchResponse{LaterMs: retryDelayMs()}), nil
 	}
 	res.Body = body
 	nd.Traffic.Add("fetch/wholes", int64(len(body)))
 	return connect.NewResponse(res), nil
 }
 
-// later draws the time after which a refused fetch should come back, in
+// retryDelayMs draws the time after which a refused fetch should come back, in
 // milliseconds, spread over a second so that those refused do not come at once.
-func later() uint32 { return 50 + rand.Uint32N(1000) }
+func retryDelayMs() uint32 { return 50 + rand.Uint32N(1000) }
 
 // Drain takes the order to drain, if it is meant for this VM.
 func (sr *server) Drain(_ context.Context, req *connect.Request[wirepb.DrainRequest]) (*connect.Response[wirepb.DrainResponse], error) {
--- a/internal/mesh/ctrl/tallies.go
+++ b/internal/mesh/ctrl/tallies.go
@@ -14,11 +14,11 @@
 	tallyInterval = 300 * time.Millisecond
 	// tallyTTL is how long the counts of a VM or failure domain hold.
 	tallyTTL = 3 * time.Second
-	// sumServers is how many servers' counts a relay sends to those of other failure
+	// serversPerTick is how many servers' counts a relay sends to those of other failure
 	// domains in tallyInterval; it sends those of more servers less often, but at least
 	// once in maxSumTicks intervals.
-	sumServers  = 16
-	maxSumTicks = 4
+	serversPerTick = 16
+	maxSumTicks    = 4
 )
 
 // Counts is what the VM's own backend server did.
@@ -42,9 +42,9 @@
 	at time.Time
 }
 
-// gives reports whether counts take the place of those that are kept: later ones of the same
+// replacedBy reports whether counts take the place of those that are kept: later ones of the same
 // relay, or those of another relay once the former has sent none for a while.
-func (ht heardTally) gives(ta *wirepb.Tally, now time.Time) bool {
+func (ht heardTally) replacedBy(ta *wirepb.Tally, now time.Time) bool {
 	if ht.Process == ta.Process {
 		return ta.Stamp > ht.Stamp
 	}
@@ -95,7 +95,7 @@
 
 // sumInterval returns how often the counts of some servers are sent to other failure domains.
 func sumInterval(servers int) time.Duration {
-	return tallyInterval * time.Duration(min(maxSumTicks, max(1, (servers+sumServers-1)/sumServers)))
+	return tallyInterval * time.Duration(min(maxSumTicks, max(1, (servers+serversPerTick-1)/serversPerTick)))
 }
 
 func (nd *Node) ownTally(cs *Counts) *wirepb.Tally {
@@ -173,7 +173,7 @@
 	}
 	if ta.Vm == "" {
 		key := ta.Domain + "/" + ta.Service
-		if cur, ok := nd.tallies.domains[key]; ta.Domain == nd.cf.Domain || ok && !cur.gives(ta, now) {
+		if cur, ok := nd.tallies.domains[key]; ta.Domain == nd.cf.Domain || ok && !cur.replacedBy(ta, now) {
 			return
 		}
 		nd.tallies.domains[key] = heardTally{ta, now}
@@ -184,7 +184,7 @@
 		}
 		return
 	}
-	if ta.Domain != nd.cf.Domain || len(nd.tallies.vms) >= maxLeavers {
+	if ta.Domain != nd.cf.Domain || len(nd.tallies.vms) >= maxLeaving {
 		return
 	}
 	if cur, ok := nd.tallies.vms[ta.Vm]; ok && cur.Process == ta.Process && cur.Stamp >= ta.Stamp {
@@ -192,7 +192,7 @@
 	}
 	nd.tallies.vms[ta.Vm] = heardTally{ta, now}
 	for pr := range nd.peers {
-		if pr != from && nd.isUpward(pr) {
+		if pr != from && nd.isUpstream(pr) {
 			pr.SendTally(ta)
 		}
 	}
--- a/internal/mesh/ctrl/traffic.go
+++ b/internal/mesh/ctrl/traffic.go
@@ -12,15 +12,15 @@
 // countSent counts the bytes of a packet by what they say and by whether they leave the
 // failure domain. Fields of one packet share its framing, which is not counted.
 func (nd *Node) countSent(pr *link.Peer, pk *wirepb.Packet) {
-	way := "within/"
+	scope := "within/"
 	nd.mu.Lock()
 	if pr.Record != nil && pr.Record.Domain != nd.cf.Domain {
-		way = "across/"
+		scope = "across/"
 	}
 	nd.mu.Unlock()
 	add := func(kind string, n int) {
 		if n > 0 {
-			nd.Traffic.Add(way+kind, int64(n))
+			nd.Traffic.Add(scope+kind, int64(n))
 		}
 	}
 	add("hello", sizeOf(pk.Hello)+sizeOf(pk.Welcome))
@@ -32,20 +32,20 @@
 	add("ends", sizeOfAll(pk.Ends))
 	heard := 0
 	for _, vm := range pk.Heard {
-		heard += len(vm) + keyBytes
+		heard += len(vm) + fieldOverhead
 	}
 	add("heard", heard)
-	nd.Traffic.Add(way+"packets", 1)
+	nd.Traffic.Add(scope+"packets", 1)
 }
 
-// keyBytes is what the key and the length of a short field take on the wire.
-const keyBytes = 2
+// fieldOverhead is what the key and the length of a short field take on the wire.
+const fieldOverhead = 2
 
 func sizeOf[M proto.Message](ms M) int { return proto.Size(ms) }
 
 func sizeOfAll[M proto.Message](list []M) (n int) {
 	for _, ms := range list {
-		n += proto.Size(ms) + keyBytes
+		n += proto.Size(ms) + fieldOverhead
 	}
 	return n
 }
--- a/internal/mesh/ctrl/watcher.go
+++ b/internal/mesh/ctrl/watcher.go
@@ -16,39 +16,39 @@
 
 // The times of the watcher.
 const (
-	// firstRetry and mostRetry bound the wait after failed calls, which doubles
+	// minRetry and maxRetry bound the wait after failed calls, which doubles
 	// from the one to the other. The first is short since a watch that was cut
 	// off costs a read at once; the most keeps a daemon that the platform turns
-	// away at two calls a second, and mostStandInRetry one that only stands in for
+	// away at two calls a second, and maxStandbyRetry one that only stands in for
 	// others.
-	firstRetry       = 50 * time.Millisecond
-	mostRetry        = 500 * time.Millisecond
-	mostStandInRetry = 2 * time.Second
-	// soonLook is how often a daemon that does not follow the platform looks whether it is
-	// its turn, while that may change from one moment to the next, and lateLook how often
+	minRetry        = 50 * time.Millisecond
+	maxRetry        = 500 * time.Millisecond
+	maxStandbyRetry = 2 * time.Second
+	// turnPollFast is how often a daemon that does not follow the platform looks whether it is
+	// its turn, while that may change from one moment to the next, and turnPollSlow how often
 	// otherwise; news of those who follow comes in between.
-	soonLook = 50 * time.Millisecond
-	lateLook = 500 * time.Millisecond
-	// deaf is how long a daemon may hear no relay before it follows the platform
+	turnPollFast = 50 * time.Millisecond
+	turnPollSlow = 500 * time.Millisecond
+	// relaySilence is how long a daemon may hear no relay before it follows the platform
 	// itself: a beat and a half, so that a version accepted while all its relays
 	// are frozen is still in force within two seconds.
-	deaf = link.Beat + link.Beat/2
+	relaySilence = link.Beat + link.Beat/2
 )
 
 // watcher follows the platform's store for the mesh while it is this daemon's turn.
 type watcher struct {
-	nd     *Node
-	turn   follow.Turn
-	failed int
-	// told is when the others were told last that it follows.
-	told time.Time
-	// order is that of the relays among the members orderOf.
-	order   []string
-	orderOf *member.View
+	nd       *Node
+	turn     follow.Turn
+	failures int
+	// lastAnnounced is when the others were told last that it follows.
+	lastAnnounced time.Time
+	// order is that of the relays among the members orderView.
+	order     []string
+	orderView *member.View
 }
 
-// seen is what the store showed last, and the version of it, 0 for none.
-type seen struct {
+// orders is what the store showed last, and the version of it, 0 for none.
+type storeObservation struct {
 	revision store.Revision
 	version  uint64
 }
@@ -60,13 +60,13 @@
 	wt := &watcher{nd: nd}
 	for ctx.Err() == nil {
 		links, changed := nd.Board.Links.Watch()
-		if !wt.mayFollow(links.Relay) {
+		if !wt.shouldFollow(links.Relay) {
 			nd.setFollowing(false)
 			select {
 			case <-changed:
-			case <-nd.lookAgain:
+			case <-nd.watcherWake:
 			case <-ctx.Done():
-			case <-time.After(wt.nextLook(links.Relay)):
+			case <-time.After(wt.turnPollInterval(links.Relay)):
 			}
 			continue
 		}
@@ -75,15 +75,15 @@
 			return
 		}
 		nd.setFollowing(err == nil)
-		nd.recordPlatform(err)
+		nd.recordPlatformState(err)
 		wt.announceFollow(err)
 		if err == nil {
-			wt.failed = 0
-			nd.keeper.round(ctx)
+			wt.failures = 0
+			nd.poison.syncIfDue(ctx)
 			continue
 		}
-		bound := min(firstRetry<<min(wt.failed, 10), wt.mostRetry(links.Relay))
-		wt.failed++
+		bound := min(minRetry<<min(wt.failures, 10), wt.maxRetry(links.Relay))
+		wt.failures++
 		if pause(ctx, bound/2+rand.N(bound/2)) != nil {
 			return
 		}
@@ -99,32 +99,32 @@
 	})
 }
 
-// nextLook returns after which time it may be this daemon's turn.
-func (wt *watcher) nextLook(isRelay bool) time.Duration {
+// turnPollInterval returns after which time it may be this daemon's turn.
+func (wt *watcher) turnPollInterval(isRelay bool) time.Duration {
 	nd := wt.nd
 	switch {
-	case isRelay && wt.turn.Vacant(), !isRelay && time.Since(nd.started) < bootRelay:
-		return soonLook
+	case isRelay && wt.turn.Vacant(), !isRelay && time.Since(nd.started) < startRelayWait:
+		return turnPollFast
 	case isRelay:
-		return lateLook
+		return turnPollSlow
 	}
-	return max(soonLook, deaf-time.Since(nd.relayHeard()))
+	return max(turnPollFast, relaySilence-time.Since(nd.relayLastHeard()))
 }
 
-// mostRetry returns how long the wait after failed calls may get. Those who follow the
+// maxRetry returns how long the wait after failed calls may get. Those who follow the
 // store as a rule find it back soon, and tell the others.
-func (wt *watcher) mostRetry(isRelay bool) time.Duration {
+func (wt *watcher) maxRetry(isRelay bool) time.Duration {
 	if isRelay && follow.Position(wt.nd.cf.VM, wt.relayOrder()) >= follow.Enough {
-		return mostStandInRetry
+		return maxStandbyRetry
 	}
-	return mostRetry
+	return maxRetry
 }
 
 // hearsRelay reports whether a relay sent something lately.
-func (nd *Node) hearsRelay() bool { return time.Since(nd.relayHeard()) < deaf }
+func (nd *Node) hearsRelay() bool { return time.Since(nd.relayLastHeard()) < relaySilence }
 
-// relayHeard returns when a relay sent something last, the zero time for none.
-func (nd *Node) relayHeard() (last time.Time) {
+// relayLastHeard returns when a relay sent something last, the zero time for none.
+func (nd *Node) relayLastHeard() (last time.Time) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	for pr := range nd.peers {
@@ -139,7 +139,7 @@
 func (wt *watcher) watchOnce(ctx context.Context) error {
 	nd := wt.nd
 	src := &nd.cf.Source
-	last, version := nd.seenVersion()
+	last, version := nd.lastObserved()
 	began := time.Now()
 	ent, err := nd.cf.Store.Watch(ctx, src.Key, last, follow.Wait)
 	if err != nil {
@@ -157,14 +157,14 @@
 		// Reading it again would show the same; the version held stays.
 		nd.log.Error("version-unreadable", slog.Uint64("version", version), slog.Any("error", err))
 		nd.Board.Refused.Set(&board.Refusal{Version: version, Reason: err.Error()})
-		nd.setSeen(ent.Revision, 0)
+		nd.setObserved(ent.Revision, 0)
 		return nil
 	}
 	nd.recordPlatformVersion(version)
 	if co != nil {
-		nd.take(version, co)
+		nd.adoptVersion(version, co)
 	}
-	nd.setSeen(ent.Revision, version)
+	nd.setObserved(ent.Revision, version)
 	return nd.handleRead(ctx, began, version)
 }
 
@@ -173,18 +173,18 @@
 	if err := nd.checkEpoch(ctx, version); err != nil {
 		return err
 	}
-	nd.recordProof(began, version)
+	nd.recordFreshRead(began, version)
 	nd.restore(ctx, version)
 	return nil
 }
 
-func (nd *Node) setSeen(rev store.Revision, version uint64) {
+func (nd *Node) setObserved(rev store.Revision, version uint64) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
-	nd.seen = seen{revision: rev, version: version}
+	nd.observed = storeObservation{revision: rev, version: version}
 }
 
-func (nd *Node) recordPlatform(err error) {
+func (nd *Node) recordPlatformState(err error) {
 	nd.Board.Platform.Update(func(cur *board.Platform) *board.Platform {
 		switch {
 		case cur == nil:
@@ -226,7 +226,7 @@
 			return
 		case <-newer:
 		case <-raised:
-		case <-time.After(keepCompiled):
+		case <-time.After(compilerCacheTTL):
 			nd.compiler.Forget()
 			select {
 			case <-ctx.Done():
@@ -238,9 +238,9 @@
 	}
 }
 
-// keepCompiled is how long what speeds up the next version is kept: versions come in
+// compilerCacheTTL is how long what speeds up the next version is kept: versions come in
 // quick succession, and what is kept grows with the routes.
-const keepCompiled = 10 * time.Second
+const compilerCacheTTL = 10 * time.Second
 
 // compile builds the whole snapshot before it swaps one pointer, so that no
 // request sees a version in part. A version that this release cannot compile
@@ -255,27 +255,27 @@
 	} else if nd.Board.Install(sn) {
 		nd.log.Info("version-held", slog.Uint64("version", cfg.Version), slog.String("digest", sn.Digest.String()[:12]),
 			slog.Duration("compile", time.Since(start)))
-		nd.Board.Members.Update(nd.withoutUndeclared)
+		nd.Board.Members.Update(nd.pruneMembers)
 	}
 	held := nd.ownHeld()
 	nd.mu.Lock()
-	nd.sumDirty = true
+	nd.summaryDirty = true
 	nd.mu.Unlock()
 	nd.eachPeer(func(pr *link.Peer) {
 		if pr.Record.Domain == nd.cf.Domain && (pr.Relay || pr.Outgoing) {
 			pr.SendHeld(held)
 		}
 	})
-	nd.poke()
+	nd.wakeLinker()
 }
 
-// withoutUndeclared drops the records of VMs that have gone and are no longer
+// pruneMembers drops the records of VMs that have gone and are no longer
 // declared, so that what is kept is bounded by the inventory. Where no inventory
 // lists the VMs, the number of the dead is bounded by that of the living.
-func (nd *Node) withoutUndeclared(vw *member.View) *member.View {
+func (nd *Node) pruneMembers(vw *member.View) *member.View {
 	sn := nd.Board.Held.Get()
 	if len(sn.VMs) == 0 {
-		return vw.WithoutOldest(keepDead)
+		return vw.WithoutOldest(maxDeadRecords)
 	}
 	return vw.Without(func(vm string) bool {
 		_, declared := sn.VMs[vm]
@@ -283,6 +283,6 @@
 	})
 }
 
-// keepDead is how many records of VMs that have gone are kept beyond as many as
+// maxDeadRecords is how many records of VMs that have gone are kept beyond as many as
 // there are live ones: a day's replacements at the size of the target.
-const keepDead = 256
+const maxDeadRecords = 256
