--- a/internal/mesh/ctrl/crashes.go
+++ b/internal/mesh/ctrl/crashes.go
@@ -11,25 +11,25 @@
 	"github.com/flamingomast/flamingomast/internal/stat/logs"
 )
 
-// maxInitialReports is of how many requests that servers ended under a new peer is told, the
-// worst first.
+// maxInitialReports is the number of requests whose crash reports a new peer is sent, the worst
+// first.
 const maxInitialReports = 128
 
-// How many reports of a single end a daemon passes on a second. When all servers end again
-// and again, as of a bad version, each takes down requests that nobody has seen before, and
-// what is told of them would fill the links of the relays. A request that more than one
-// server ended under is always told.
+// singleCrashRate and singleCrashBurst bound how many reports of requests that only one server
+// crashed under a daemon forwards per second. When all servers crash repeatedly, as with a faulty
+// version, each crash involves requests not seen before, and their reports would fill the links of
+// the relays. A request that more than one server crashed under is always reported.
 const (
 	singleCrashRate  = 10
 	singleCrashBurst = 200
 )
 
-// ReportEnds tells all daemons of requests that a backend server ended under, or that
-// were answered since.
+// ReportEnds informs all daemons of requests that were running when a backend server crashed, or
+// that have been answered since.
 func (nd *Node) ReportEnds(list []poison.Report) { nd.handleCrashReports(nil, list) }
 
-// handleCrashReports keeps reports of a peer, or this daemon's own, and passes on what is new.
-// Reports reach all daemons as records do, by relays.
+// handleCrashReports merges reports of a peer, or this daemon's own, and forwards the new ones.
+// Like records, reports reach all daemons through the relays.
 func (nd *Node) handleCrashReports(from *link.Peer, list []poison.Report) {
 	var added []poison.Report
 	var before, after *poison.View
@@ -56,9 +56,9 @@
 	}
 }
 
-// reportsToForward returns what is passed on of the news between two views: all that is known
-// of a request that more than one server ended under, as its first end may not have been
-// told, and of others as long as there are not too many.
+// reportsToForward selects the reports to forward from those added between two views. Of a request
+// that more than one server crashed under it returns all known reports, since the first one may not
+// have been forwarded; reports of a single crash are subject to singleCrashLimiter.
 func (nd *Node) reportsToForward(added []poison.Report, before, after *poison.View) (forward []poison.Report) {
 	dropped := 0
 	for _, re := range added {
@@ -77,8 +77,8 @@
 	return forward
 }
 
-// handlePoisonChange logs that a request is not run any more, or is again, and has the platform's
-// store changed accordingly.
+// handlePoisonChange logs that a request is now refused as poison, or is accepted again, and
+// schedules an update of the platform's store.
 func (nd *Node) handlePoisonChange(key ident.Key, before, after int) {
 	event, level := logs.PoisonFound, slog.LevelWarn
 	switch {
--- a/internal/mesh/ctrl/directory.go
+++ b/internal/mesh/ctrl/directory.go
@@ -15,34 +15,33 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// The times of the directory.
+// Timing of the directory.
 const (
 	leaseTTL = 15 * time.Second
-	// renewInterval leaves time for one renewal that fails.
+	// renewInterval leaves time for one failed renewal within leaseTTL.
 	renewInterval  = 8 * time.Second
 	searchInterval = 2 * time.Second
-	// startJitter is the time over which the first look-ups of a herd that starts at
-	// once are spread, so that the later ones find the keys of the earlier ones
-	// and need none of their own.
+	// startJitter spreads the first look-ups of many daemons that start together, so that the later
+	// ones find the keys of the earlier ones and need not register themselves.
 	startJitter = 300 * time.Millisecond
 	// registerRetry is how often a relay without a lease tries to register.
 	registerRetry = 500 * time.Millisecond
-	// startSearchInterval is how often a daemon without any link looks during its first
-	// seconds.
+	// startSearchInterval is the search interval of a daemon without links shortly after its start.
 	startSearchInterval = 500 * time.Millisecond
-	// remoteRelayWait is how long a daemon that is alone in its failure domain waits
-	// for the word of others that are registered; keys of dead ones lapse
-	// within leaseTTL.
+	// remoteRelayWait is how long a daemon that is alone in its failure domain waits for the
+	// version floor from daemons registered in other failure domains. The keys of dead daemons
+	// expire within leaseTTL.
 	remoteRelayWait = leaseTTL + 5*time.Second
 )
 
-// directory is what the platform's keys say of where daemons are. It serves
-// daemons that start and failure domains that have lost each other; a key that
-// outlives its daemon, or one written by a daemon that was paused past its
-// lease, costs a failed connection and nothing else.
+// directory holds the daemon addresses found under the platform's directory keys. It serves daemons
+// that start and failure domains that have lost contact with each other. A stale key, left by a
+// daemon that has ended or written by one that was paused past its lease, only costs a failed
+// connection.
 type directory struct {
 	mu sync.Mutex
-	// found has the addresses of others by failure domain; it is replaced as a whole.
+	// found has the addresses of other daemons by failure domain. The map is replaced as a whole
+	// and never modified.
 	found map[string][]string
 }
 
@@ -52,7 +51,7 @@
 	dr.found = found
 }
 
-// addresses calls yield for each failure domain with the addresses found there.
+// addresses calls yield for each failure domain with the addresses found in it.
 func (dr *directory) addresses(yield func(domain string, addrs []string) bool) {
 	dr.mu.Lock()
 	found := dr.found
@@ -64,13 +63,12 @@
 	}
 }
 
-// directoryPrefix begins the keys of the directory: relays/DOMAIN/VM.
+// directoryPrefix is the prefix of the directory keys, relays/DOMAIN/VM.
 const directoryPrefix = "relays/"
 
 func directoryKey(domain, vm string) string { return directoryPrefix + domain + "/" + vm }
 
-// searchDirectory reads the whole directory in one call and notes the addresses of
-// others.
+// searchDirectory reads the whole directory in one call and records the addresses of other daemons.
 func (nd *Node) searchDirectory(ctx context.Context) (map[string][]string, error) {
 	items, err := nd.cf.Store.List(ctx, directoryPrefix)
 	if err != nil {
@@ -96,25 +94,25 @@
 	return found, nil
 }
 
-// readEntry returns the failure domain and the control address of a directory entry.
-// One that cannot be read was written by something else; a daemon that took it for a
-// relay would wait for it to answer.
+// readEntry returns the failure domain and the control address of a directory entry. An entry that
+// is not valid was not written by a daemon, and dialing it as a relay would only wait for an answer
+// that never comes.
 func readEntry(key string, value []byte) (domain, addr string, err error) {
 	domain, vm, _ := strings.Cut(strings.TrimPrefix(key, directoryPrefix), "/")
 	if domain == "" || vm == "" {
-		return "", "", fmt.Errorf("key %q: name a failure domain and a VM", key)
+		return "", "", fmt.Errorf("key %q: must name a failure domain and a VM", key)
 	}
 	host, port, err := net.SplitHostPort(string(value))
 	if err != nil {
 		return "", "", fmt.Errorf("key %q: %w", key, err)
 	}
 	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 || host == "" {
-		return "", "", fmt.Errorf("key %q: the address is %.64q; write host:port", key, value)
+		return "", "", fmt.Errorf("key %q: address is %.64q, want host:port", key, value)
 	}
 	return domain, string(value), nil
 }
 
-// runDirectory registers a relay, and looks up others while links are missing.
+// runDirectory registers a relay, and searches for other daemons while links are missing.
 func (nd *Node) runDirectory(ctx context.Context) {
 	reg := &registration{nd: nd}
 	defer reg.revoke()
@@ -123,8 +121,7 @@
 	}
 	for {
 		wait := nd.directoryRound(ctx, reg)
-		// The waits are drawn anew each time, so that a herd that starts at
-		// once spreads over the interval.
+		// Random waits keep daemons that started together spread over the interval.
 		select {
 		case <-time.After(wait/2 + rand.N(wait/2)):
 		case <-nd.reregister:
@@ -137,11 +134,12 @@
 	}
 }
 
-// directoryRound does what is due once and returns the wait until the next.
+// directoryRound renews, searches and registers as needed, and returns the wait until the next
+// round.
 func (nd *Node) directoryRound(ctx context.Context, reg *registration) time.Duration {
 	alone := nd.linker.alone()
 	if !alone && !nd.isRelay() {
-		// One that has just started may be about to become a relay.
+		// A daemon that has just started may be about to become a relay.
 		if time.Since(nd.started) > discoveryTime+promoteAfter+searchInterval {
 			reg.revoke()
 		}
@@ -158,8 +156,8 @@
 	case err != nil:
 		return nd.searchWait(searchInterval, alone)
 	}
-	// A daemon that is alone registers where few are registered, so that the
-	// first ones of a failure domain find each other before any is a relay.
+	// A daemon without links registers if few others are registered, so that the first daemons of a
+	// failure domain find each other before any of them is a relay.
 	if !hasLease && (nd.isRelay() || len(found[nd.cf.Domain]) < relay.Count) {
 		if err := reg.register(ctx); err != nil {
 			nd.log.Warn("directory-failed", slog.Any("error", err))
@@ -172,7 +170,7 @@
 	return nd.searchWait(searchInterval, alone)
 }
 
-// searchWait shortens the wait of a daemon that has just started and is alone.
+// searchWait shortens the wait of a daemon that has just started and has no links.
 func (nd *Node) searchWait(wait time.Duration, alone bool) time.Duration {
 	if alone && time.Since(nd.started) < 2*discoveryTime {
 		return startSearchInterval
@@ -180,23 +178,23 @@
 	return wait
 }
 
-// settleFloorAlone settles the floor when nobody is there to tell it: no daemon of
-// the own failure domain is registered and no seed answers. Relays of other
-// failure domains may still know what was held here, so they are waited for.
+// settleFloorAlone settles the version floor if there is no daemon to learn it from: none is
+// registered in the local failure domain and no seed answers. Relays of other failure domains may
+// still know what was held here, so it first waits for those that are registered.
 func (nd *Node) settleFloorAlone(ctx context.Context, found map[string][]string) {
 	if err := nd.checkEpoch(ctx, 0); err != nil {
 		nd.log.Warn("store-epoch-unknown", slog.Any("error", err))
 		return
 	}
 	age := time.Since(nd.started)
-	// A store that came back from an older copy may lack the entries of live daemons.
+	// A store restored from an older copy may lack the entries of live daemons.
 	empty := len(found) == 0 && nd.storeComplete()
 	if age > discoveryTime && empty || age > remoteRelayWait {
 		nd.Board.RaiseFloor(0, true)
 	}
 }
 
-// unlinkedDomains returns the failure domains that no link leads to.
+// unlinkedDomains returns the other failure domains to which there is no link.
 func (nd *Node) unlinkedDomains() []string {
 	var list []string
 	for _, dm := range nd.otherDomains() {
@@ -207,16 +205,15 @@
 	return list
 }
 
-// registration keeps a daemon's key in the directory.
+// registration maintains a daemon's key in the directory.
 type registration struct {
 	nd    *Node
 	lease store.LeaseID
 }
 
-// renew renews the lease and reports whether there is one. That the lease may
-// have ended while this process was paused does no harm: the key is only a
-// hint, and Gone leads to a new registration. A platform that does not answer
-// is asked again with the next round.
+// renew renews the lease and reports whether there is one. The lease may have expired while this
+// process was paused; this is harmless, since the key is only a hint and the error Gone leads to a
+// new registration. If the platform does not answer, the next round tries again.
 func (rg *registration) renew(ctx context.Context) bool {
 	if rg.lease == (store.LeaseID{}) {
 		return false
@@ -230,8 +227,8 @@
 	return rg.lease != (store.LeaseID{})
 }
 
-// register writes the key under a new lease, whatever it holds: only this VM's
-// processes write it.
+// register writes the key under a new lease, overwriting any value: only processes of this VM write
+// it.
 func (rg *registration) register(ctx context.Context) error {
 	kv := rg.nd.cf.Store
 	id, err := kv.Grant(ctx, leaseTTL)
@@ -252,7 +249,7 @@
 	return nil
 }
 
-// revoke takes the key out when the daemon is no longer a relay or ends.
+// revoke removes the key, when the daemon is no longer a relay or shuts down.
 func (rg *registration) revoke() {
 	if rg.lease == (store.LeaseID{}) {
 		return
--- a/internal/mesh/ctrl/epoch.go
+++ b/internal/mesh/ctrl/epoch.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// epochKey is where the store keeps the last epoch in which it was seen to have all
-	// versions that the daemons knew.
+	// epochKey is the store key with the last epoch in which the store was seen to have all
+	// versions known to the daemons.
 	epochKey = "store-epoch"
-	// restoreTimeout bounds the rewriting of a version that the store lost.
+	// restoreTimeout bounds the rewriting of a version that the store has lost.
 	restoreTimeout = 10 * time.Second
 )
 
-// watchEpochs returns kv with a look at the epoch after each call.
+// watchEpochs wraps kv so that its epoch is checked after each call.
 func (nd *Node) watchEpochs(kv store.Store) store.Store {
 	if kv.Epoch == nil {
 		kv.Epoch = func() store.Epoch { return 0 }
@@ -32,9 +32,10 @@
 	})
 }
 
-// enterEpoch records an epoch that the store or a peer showed. A new one may lack what
-// daemons had written, so each rewrites its own keys: relays their directory entries and
-// leases, the daemon beside a draining server its drain, followers the shared keys.
+// enterEpoch handles an epoch seen in the store or reported by a peer. In a new epoch the store may
+// lack keys that daemons had written, so each daemon rewrites its own: relays their directory
+// entries and leases, the daemon of a draining server its drain, and the followers of the store the
+// shared keys.
 func (nd *Node) enterEpoch(ep store.Epoch) {
 	entered, known := nd.Board.EnterEpoch(ep)
 	if !entered {
@@ -60,8 +61,8 @@
 	nd.wakeWatcher()
 }
 
-// passed reports whether the store is known to have all accepted versions: it has not
-// come back from an older copy, or was seen to have them since.
+// storeComplete reports whether the store is known to have all accepted versions: it has not been
+// restored from an older copy, or was seen to have them since.
 func (nd *Node) storeComplete() bool {
 	ep := nd.Board.KnownEpoch()
 	nd.mu.Lock()
@@ -69,10 +70,10 @@
 	return ep == 0 || nd.completeEpoch == ep
 }
 
-// checkEpoch finds out whether the store has all versions in its present epoch. A daemon
-// that has just started cannot tell by itself whether the store lost the version that its
-// VM held; one that follows the store with links to all failure domains can, and keeps the
-// epoch in the store for the others.
+// checkEpoch determines whether the store has all versions in its current epoch. A daemon that has
+// just started cannot tell whether the store has lost the version that its VM held. A daemon that
+// follows the store and has links to all failure domains can, and records the epoch in the store
+// for the others.
 func (nd *Node) checkEpoch(ctx context.Context, version uint64) error {
 	ep := nd.Board.KnownEpoch()
 	if ep == 0 || nd.epochMarked(ep) {
@@ -103,7 +104,8 @@
 	return err
 }
 
-// readEpochMarker reports whether an entry of epochKey names an epoch, and remembers that.
+// readEpochMarker reports whether an entry of epochKey names the epoch, and if so remembers that
+// the epoch is complete and marked.
 func (nd *Node) readEpochMarker(ent store.Entry, ep store.Epoch) bool {
 	if !ent.Revision.Exists() {
 		return false
@@ -122,14 +124,15 @@
 	return true
 }
 
-// epochMarked reports whether the store keeps an epoch.
+// epochMarked reports whether the epoch is known to be recorded in the store.
 func (nd *Node) epochMarked(ep store.Epoch) bool {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	return nd.markedEpoch == ep
 }
 
-// isNewestVersion reports whether a version of the store is the newest of all failure domains.
+// isNewestVersion reports whether a version read from the store is the newest one in all failure
+// domains.
 func (nd *Node) isNewestVersion(version uint64) bool {
 	fl := nd.Board.Floor.Get()
 	settled := fl != nil && fl.Settled && version >= fl.Version
@@ -142,8 +145,8 @@
 	nd.completeEpoch = max(nd.completeEpoch, ep)
 }
 
-// restore writes the newest version to a store that lost it in a new epoch, where that is
-// for the daemons to do.
+// restore rewrites the newest version to a store that lost it in a new epoch, if the source leaves
+// this to the daemons.
 func (nd *Node) restore(ctx context.Context, version uint64) {
 	cfg := nd.Board.Latest.Get()
 	if nd.cf.Source.Restore == nil || cfg == nil || version >= cfg.Version || nd.storeComplete() {
--- a/internal/mesh/ctrl/follow.go
+++ b/internal/mesh/ctrl/follow.go
@@ -13,39 +13,40 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// The times of a process that starts.
+// How long a process that starts leaves it to other daemons to read the store.
 const (
-	// startDirectoryWait is how long it waits for its first look at the directory. While the
-	// store does not answer there is nothing to follow either.
+	// startDirectoryWait is how long it waits for its first directory look-up. While the store does
+	// not answer, there is nothing to follow either.
 	startDirectoryWait = time.Second
-	// startLinkWait is how long it waits for a link to others that may bring the
-	// configuration, and startConfigWait for the configuration once it has one: the first
-	// ones of a failure domain have read it by then. When each daemon of a herd
-	// reads it by itself, the store is busy for seconds. One that has read it leaves the
-	// store to the relays for as long.
+	// startLinkWait is how long it waits for a link to a daemon that may supply the configuration,
+	// and startConfigWait how long it then waits for the configuration: the first daemons of a
+	// failure domain have read it by then. If every one of many daemons starting together read it
+	// from the store, the store would be busy for seconds. A daemon that has read the configuration
+	// itself leaves the store to the relays for startConfigWait as well.
 	startLinkWait   = 1200 * time.Millisecond
 	startConfigWait = 2 * time.Second
-	// startRelayWait is how long one that holds a configuration waits for its failure
-	// domain to have relays.
+	// startRelayWait is how long a daemon that holds a configuration waits for its failure domain
+	// to have relays.
 	startRelayWait = 4 * time.Second
 )
 
-// startRole is what a process that starts has seen in the directory.
+// startRole says whether a process that starts reads the store itself, according to its first
+// directory look-up.
 type startRole int
 
-// The stances of a process that starts.
+// The start roles.
 const (
-	// startUndecided: it has not seen the directory yet.
+	// startUndecided means that the directory has not been read yet.
 	startUndecided startRole = iota
-	// startReader: its failure domain has nobody else there, or its VM was there before the
-	// process was replaced. It reads the store for the others.
+	// startReader means that no other daemon of the failure domain is registered, or that the VM
+	// itself was, before its process was replaced. The process reads the store for the others.
 	startReader
-	// startWaiter: others are there, who may bring the configuration.
+	// startWaiter means that others are registered, which may supply the configuration.
 	startWaiter
 )
 
-// startRoleFor returns the stance of a daemon that found the others of its failure domain,
-// and maybe its own VM, in the directory.
+// startRoleFor returns the start role of a daemon that found the given other daemons of its failure
+// domain in the directory; own says whether it also found its own VM.
 func startRoleFor(others []string, own bool) startRole {
 	if own || len(others) == 0 {
 		return startReader
@@ -53,8 +54,8 @@
 	return startWaiter
 }
 
-// shouldFollow reports whether this daemon follows the store now: a relay when it is its
-// turn, another one while it hears no relay.
+// shouldFollow reports whether this daemon should follow the store now: a relay when it is its
+// turn, any other daemon while it hears no relay.
 func (wt *watcher) shouldFollow(isRelay bool) bool {
 	nd, now := wt.nd, time.Now()
 	if isRelay {
@@ -67,7 +68,7 @@
 	return !nd.hearsRelay() && !nd.defersToOthers(now.Sub(nd.started))
 }
 
-// defersToOthers reports whether a process of an age leaves it to others of its failure
+// defersToOthers reports whether a process of the given age leaves it to others of its failure
 // domain to read the store.
 func (nd *Node) defersToOthers(age time.Duration) bool {
 	nd.mu.Lock()
@@ -75,7 +76,7 @@
 	nd.mu.Unlock()
 	switch {
 	case st == startReader:
-		// It has read the store for the others. Who follows it for good is soon known.
+		// It has read the store for the others. Which daemons follow it from now on is soon known.
 		return linked && nd.Board.Held.Get() != nil && age < startConfigWait
 	case st == startUndecided && !linked:
 		return age < startDirectoryWait
@@ -87,8 +88,8 @@
 	return age < startRelayWait
 }
 
-// relayOrder returns the relays of all failure domains in the order in which they
-// follow the store.
+// relayOrder returns the relays of all failure domains in the order in which they take turns
+// following the store.
 func (wt *watcher) relayOrder() []string {
 	vw := wt.nd.Board.Members.Get()
 	if wt.orderView == vw {
@@ -111,8 +112,8 @@
 	return wt.order
 }
 
-// announceFollow tells the other relays that the store answered this daemon, now and then
-// while it does, or that it no longer does.
+// announceFollow tells the other relays that the store answers this daemon, about every
+// follow.TellEvery, or at once that it no longer does.
 func (wt *watcher) announceFollow(err error) {
 	nd, now := wt.nd, time.Now()
 	fo := link.Follow{VM: nd.cf.VM, At: now, Lost: err != nil}
@@ -133,9 +134,9 @@
 	}
 }
 
-// forwardFollow sends news of a daemon that follows to the other relays. What came from
-// another failure domain is passed on within the own one, and no further: each relay has
-// a link to the others of its own, and one to each other failure domain. nd.mu is held.
+// forwardFollow sends the state of a daemon that follows the store to the other relays. State from
+// another failure domain is forwarded only within the local one: each relay has links to the other
+// relays of its own failure domain and one to each other failure domain. nd.mu is held.
 func (nd *Node) forwardFollow(fo link.Follow, from *link.Peer) {
 	for pr := range nd.peers {
 		if !pr.Relay || pr == from {
@@ -147,8 +148,8 @@
 	}
 }
 
-// recordFollow keeps news of a daemon that follows, and reports whether it is any; nd.mu is
-// held.
+// recordFollow records the state of a daemon that follows the store, and reports whether it is new;
+// nd.mu is held.
 func (nd *Node) recordFollow(fo link.Follow) bool {
 	if fo.Lost {
 		nd.wakeWatcher()
@@ -157,7 +158,7 @@
 	return nd.followers.Answered(fo.VM, fo.At)
 }
 
-// handleFollow notes that a daemon follows the store, or no longer does.
+// handleFollow handles a message that a daemon follows the store, or no longer does.
 func (nd *Node) handleFollow(from *link.Peer, fo link.Follow) {
 	if !nd.isRelay() || fo.VM == nd.cf.VM {
 		return
@@ -173,7 +174,8 @@
 	}
 }
 
-// recordRemotePlatform keeps what another daemon saw in the store, where this one does not look.
+// recordRemotePlatform records what another daemon saw in the store, on a daemon that does not read
+// it itself.
 func (nd *Node) recordRemotePlatform(fo link.Follow) {
 	nd.Board.Platform.Update(func(cur *board.Platform) *board.Platform {
 		if cur != nil && cur.Err == nil && cur.Version == fo.Version && cur.Behind == fo.Behind {
@@ -183,9 +185,9 @@
 	})
 }
 
-// handleRelayLoss notes that the last link to a relay broke: if it followed the store, it
-// may be gone, and those who stand in must not wait until its word is too old. The first
-// ones to stand in have links to those who follow, so nobody else is told.
+// handleRelayLoss handles the loss of the last link to a relay. If the relay followed the store it
+// may be gone, and its replacements must not wait until its last message has expired. The first
+// replacements in order have links to the followers themselves, so nobody else is told.
 func (nd *Node) handleRelayLoss(pr *link.Peer) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
@@ -195,7 +197,7 @@
 	}
 }
 
-// linkedToVM reports whether a link leads to a VM; nd.mu is held.
+// linkedToVM reports whether there is a link to a VM; nd.mu is held.
 func (nd *Node) linkedToVM(vm string) bool {
 	for pr := range nd.peers {
 		if pr.Record.VM == vm {
@@ -205,16 +207,16 @@
 	return false
 }
 
-// freshRead is when the store was asked last for the operators' newest version and gave
-// it, for a platform whose store is never set back.
+// freshRead is the last read of the store that confirmed the operators' newest version, for sources
+// whose reads are linearizable.
 type freshRead struct {
 	at      time.Time
 	version uint64
 }
 
-// recordFreshRead keeps that a read of the store which began at a moment showed the newest
-// version, and tells the peers whose processes ran by then: they may hold that version,
-// since none that a former process of their VM held can be newer.
+// recordFreshRead records that a read of the store which began at the given time returned the
+// newest version, and tells the peers whose processes were running by then. They may install that
+// version, since no previous process of their VM can have held a newer one.
 func (nd *Node) recordFreshRead(began time.Time, version uint64) {
 	if !nd.cf.Source.Newest || version == 0 || version < nd.Board.LatestVersion() || !nd.storeComplete() {
 		return
@@ -228,8 +230,8 @@
 	}
 }
 
-// sendNewest tells a peer the newest version, once on each link, if it was read after the
-// peer's process started; nd.mu is held.
+// sendNewest tells a peer the newest version, once per link, if it was read after the peer's
+// process started; nd.mu is held.
 func (nd *Node) sendNewest(pr *link.Peer) {
 	if pr.Proven || nd.freshRead.version == 0 || pr.Born.IsZero() || mayPrecede(nd.freshRead.at, pr.Born) {
 		return
@@ -239,13 +241,12 @@
 	pr.Next(func(pk *wirepb.Packet) { pk.Newest = version })
 }
 
-// mayPrecede reports whether a time may be before another one. A process that was suspended
-// between the two takes them for closer than they are by its steady clock, which the
-// clock of the wall shows.
+// mayPrecede reports whether time a may be before time b. If the process was suspended between
+// them, the monotonic clock shows a smaller difference than the wall clock, so both are compared.
 func mayPrecede(a, b time.Time) bool { return a.Before(b) || a.Round(0).Before(b.Round(0)) }
 
-// runFreshReads reads the store for peers that start while there is no relay to tell them
-// what they may hold. A read that finds nothing new carries no value.
+// runFreshReads reads the store on behalf of peers that start while there is no relay to tell them
+// which version they may install. A read that finds no change transfers no value.
 func (nd *Node) runFreshReads(ctx context.Context) {
 	for {
 		select {
@@ -258,7 +259,7 @@
 		}
 		rev, version := nd.lastObserved()
 		if version == 0 {
-			// The first read is under way, and will be told to them.
+			// The first read is in progress, and its result will be sent to them.
 			continue
 		}
 		began := time.Now()
@@ -269,10 +270,11 @@
 	}
 }
 
-// freshReadBatchTime is how long a read for peers that start waits for more of them.
+// freshReadBatchTime is how long a read on behalf of starting peers is delayed so that it serves
+// more of them.
 const freshReadBatchTime = 50 * time.Millisecond
 
-// requestFreshRead asks for a read for a peer that starts.
+// requestFreshRead requests a read of the store on behalf of a peer that starts.
 func (nd *Node) requestFreshRead() {
 	select {
 	case nd.freshReadWanted <- struct{}{}:
@@ -280,14 +282,14 @@
 	}
 }
 
-// lastObserved returns the revision that the store showed last, and its version.
+// lastObserved returns the revision that the store showed last, and the version in it.
 func (nd *Node) lastObserved() (store.Revision, uint64) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	return nd.observed.revision, nd.observed.version
 }
 
-// setStartRole notes what the first look at the directory showed.
+// setStartRole records the result of the first directory look-up.
 func (nd *Node) setStartRole(st startRole) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
@@ -296,7 +298,7 @@
 	}
 }
 
-// wakeWatcher lets the watcher look whether it is this daemon's turn.
+// wakeWatcher makes the watcher check whether it should follow the store.
 func (nd *Node) wakeWatcher() {
 	select {
 	case nd.watcherWake <- struct{}{}:
@@ -304,7 +306,7 @@
 	}
 }
 
-// fromWireFollow reads when the store answered a daemon.
+// fromWireFollow decodes the state of a daemon that follows the store.
 func fromWireFollow(pb *wirepb.Follow, now time.Time) link.Follow {
 	age := time.Duration(min(pb.GetAgeMs(), uint64(time.Hour.Milliseconds()))) * time.Millisecond
 	return link.Follow{VM: pb.GetVm(), At: now.Add(-age), Lost: pb.GetLost(), Version: pb.GetVersion(), Behind: pb.GetBehind()}
--- a/internal/mesh/ctrl/housekeeping.go
+++ b/internal/mesh/ctrl/housekeeping.go
@@ -14,19 +14,19 @@
 	"github.com/flamingomast/flamingomast/internal/mesh/wirepb"
 )
 
-// The times of housekeeping.
+// Timing and limits of housekeeping.
 const (
-	// summaryInterval bounds how often a summary is sent.
+	// summaryInterval is the shortest time between two summaries.
 	summaryInterval = 200 * time.Millisecond
-	// heardInterval is how often relays tell each other whom they hear. It goes
-	// into expire.After three times.
+	// heardInterval is how often relays tell each other which VMs they hear. expire.After spans
+	// three of these intervals.
 	heardInterval = 2 * time.Second
-	// hashInterval is how often relays compare their records.
+	// hashInterval is how often relays compare hashes of their records.
 	hashInterval = 10 * time.Second
-	// unreachableAfter is how long a failure domain may be without a link before it is
-	// said to be cut off.
+	// unreachableAfter is how long a failure domain may be without a link before it counts as
+	// unreachable.
 	unreachableAfter = 5 * time.Second
-	// maxListedVMs bounds how many VMs a summary names.
+	// maxListedVMs bounds how many VMs a summary lists.
 	maxListedVMs = 20
 )
 
@@ -34,9 +34,9 @@
 	return &wirepb.Held{Vm: vm, Version: hd.version, Refused: hd.refused, Reason: hd.reason}
 }
 
-// minVersionFor returns the lowest version that a new process of the VM may hold:
-// what the VM said it held or, where that memory died with the relays of the
-// VM's failure domain, the newest version that was known there. nd.mu is held.
+// minVersionFor returns the version floor of a new process of the VM: the version that the VM held
+// or, where this record was lost together with the relays of the VM's failure domain, the newest
+// version that was known there. nd.mu is held.
 func (nd *Node) minVersionFor(rc *member.Record) uint64 {
 	floor := nd.heldVersions[rc.VM].version
 	if su := nd.summaries[rc.Domain]; su != nil && rc.Domain != nd.cf.Domain {
@@ -45,9 +45,9 @@
 	return floor
 }
 
-// handleHeld notes what a VM of the own failure domain holds. What a VM says of
-// itself is passed on to the other relays, so that each can tell a new process
-// of the VM what the one before held.
+// handleHeld records the version held by a VM of the local failure domain. What a VM reports about
+// itself is forwarded to the other relays, so that each of them can tell a new process of the VM
+// what the previous one held.
 func (nd *Node) handleHeld(pr *link.Peer, hd *wirepb.Held) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
@@ -69,8 +69,8 @@
 	}
 }
 
-// broadcastHeld sends a statement to the other relays of the own failure domain;
-// nd.mu is held.
+// broadcastHeld sends a held version to the other relays of the local failure domain; nd.mu is
+// held.
 func (nd *Node) broadcastHeld(from *link.Peer, hd *wirepb.Held) {
 	for pr := range nd.peers {
 		if pr != from && nd.isUpstream(pr) {
@@ -79,13 +79,13 @@
 	}
 }
 
-// isUpstream reports whether a peer is a relay of the own failure domain, or is
-// used as one; nd.mu is held.
+// isUpstream reports whether a peer is a relay of the local failure domain, or is used as one;
+// nd.mu is held.
 func (nd *Node) isUpstream(pr *link.Peer) bool {
 	return pr.Record.Domain == nd.cf.Domain && (pr.Relay || pr.Outgoing)
 }
 
-// handleLiveness notes which VMs a peer of the own failure domain has links to.
+// handleLiveness records which VMs a peer of the local failure domain has links to.
 func (nd *Node) handleLiveness(pr *link.Peer, vms []string) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
@@ -96,16 +96,16 @@
 	for _, vm := range vms {
 		nd.expiry.Heard(vm, now)
 		if !pr.Relay {
-			// A daemon that is no relay, yet has members linked to it for the
-			// moment, speaks to one relay only; that one passes it on.
+			// A daemon that is not a relay, but temporarily has members linked to it, has a link to
+			// one relay only. That relay forwards what it hears.
 			nd.heardIndirectly[vm] = now
 		}
 	}
 }
 
-// sendHeard tells the other relays of the own failure domain which VMs are
-// heard here and which other failure domains are reached. It is sent anew each time, so that nothing has to be taken back
-// when a link or a relay is lost.
+// sendHeard tells the other relays of the local failure domain which VMs are heard here and which
+// other failure domains are reachable. The full lists are sent each time, so that nothing has to be
+// withdrawn when a link or a relay is lost.
 func (nd *Node) sendHeard() {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
@@ -139,7 +139,7 @@
 	}
 }
 
-// summary returns what the own failure domain holds; nd.mu is held.
+// summary returns the held versions of the local failure domain; nd.mu is held.
 func (nd *Node) summary() *wirepb.Summary {
 	latest := nd.Board.LatestVersion()
 	su := &wirepb.Summary{
@@ -187,8 +187,8 @@
 	}
 }
 
-// handleReach notes which failure domains a relay of the own one reaches. A
-// member takes its relay's word; relays put theirs together.
+// handleReach records which failure domains a relay of the local one reaches. A member adopts its
+// relay's statement; relays combine those of all relays.
 func (nd *Node) handleReach(pr *link.Peer, re *wirepb.Reach) {
 	if pr.Record.Domain != nd.cf.Domain {
 		return
@@ -223,8 +223,8 @@
 	})
 }
 
-// runHousekeeping does what is done at intervals. A daemon that is no relay only tells
-// whom it hears: what relays do would wake it eight times a second for nothing.
+// runHousekeeping runs the periodic tasks. A daemon that is no relay only sends the VMs that it
+// hears: the timers of a relay would wake it eight times a second for nothing.
 func (nd *Node) runHousekeeping(ctx context.Context) {
 	hrd := time.NewTicker(heardInterval)
 	defer hrd.Stop()
@@ -243,7 +243,7 @@
 	}
 }
 
-// runMaintenance does what a relay does at intervals, until the daemon is none any more.
+// runMaintenance runs the periodic tasks of a relay until the daemon is no longer one.
 func (nd *Node) runMaintenance(ctx context.Context, heard <-chan time.Time) {
 	sum := time.NewTicker(summaryInterval)
 	defer sum.Stop()
@@ -286,8 +286,8 @@
 	}
 }
 
-// sendHashes lets the other relays send what this one lacks. Records flow as
-// they change; this mends what a lost link or a fault left out.
+// sendHashes makes the other relays send the records that this one lacks. Records are sent as they
+// change; this repairs what a lost link or a fault left out.
 func (nd *Node) sendHashes() {
 	hashes := nd.hashes()
 	nd.eachPeer(func(pr *link.Peer) {
@@ -297,7 +297,7 @@
 	})
 }
 
-// expireMembers marks the members whose time has run out.
+// expireMembers marks the members that have not been heard in time.
 func (nd *Node) expireMembers() {
 	vw := nd.Board.Members.Get()
 	var vms []string
@@ -339,8 +339,8 @@
 	}
 }
 
-// checkReachability works out which failure domains can be reached, by this relay or
-// by another one of its own failure domain, and tells the members.
+// checkReachability determines which failure domains are reachable, by this relay or by another one
+// of the local failure domain, and tells the members.
 func (nd *Node) checkReachability() {
 	now := time.Now()
 	domains := nd.otherDomains()
@@ -367,7 +367,7 @@
 	}
 }
 
-// otherDomains returns the failure domains that are declared or have members.
+// otherDomains returns the other failure domains that are declared or have members.
 func (nd *Node) otherDomains() []string {
 	set := map[string]bool{}
 	if sn := nd.Board.Held.Get(); sn != nil {
--- a/internal/mesh/ctrl/linker.go
+++ b/internal/mesh/ctrl/linker.go
@@ -15,45 +15,43 @@
 	"github.com/flamingomast/flamingomast/internal/mesh/wirepb"
 )
 
-// The times of the linker.
+// Timing of the linker.
 const (
-	// linkTick is how often links are looked at while any is not as it should
-	// be, idleTick how often otherwise; news of members comes in between.
+	// linkTick is how often links are reconciled while any of them needs a change, and idleTick how
+	// often otherwise. Changes of members trigger it in between.
 	linkTick = 250 * time.Millisecond
 	idleTick = 5 * time.Second
-	// minBackoff and maxBackoff bound the wait before an address is tried
-	// again; the wait is drawn from the whole range below the bound, so that
-	// daemons which lost one relay together do not come back together.
+	// minBackoff and maxBackoff bound the wait before an address is tried again. The wait is drawn
+	// from the whole range below the bound, so that daemons that lost the same relay do not all
+	// reconnect at once.
 	minBackoff = 200 * time.Millisecond
 	maxBackoff = 5 * time.Second
 	// failureTTL is how long failed attempts count against an address.
 	failureTTL = 10 * time.Second
-	// stableAfter is how long a link must last for its backoff to start anew.
+	// stableAfter is how long a link must last for its backoff to be reset.
 	stableAfter = 5 * time.Second
-	// gracePeriod is how long a choice must have changed before a working link or
-	// the role of a relay is given up.
+	// gracePeriod is how long a choice must stay changed before a working link or the role of relay
+	// is given up.
 	gracePeriod = 3 * time.Second
-	// promoteAfter is how long a daemon must have been chosen before it becomes
-	// a relay. One that has just started knows few members and is nearly always
-	// among the first three of them.
+	// promoteAfter is how long a daemon must have been chosen before it becomes a relay. A daemon
+	// that has just started knows few members and is nearly always among the first three of them.
 	promoteAfter = time.Second
-	// discoveryTime is how long a daemon without links looks for others before it
-	// takes itself for the first of its failure domain.
+	// discoveryTime is how long a daemon without links searches for others before it assumes that
+	// it is the first one of its failure domain.
 	discoveryTime = 1500 * time.Millisecond
 )
 
-// linker keeps the links that this daemon opens.
+// linker maintains the links that this daemon opens.
 type linker struct {
 	nd      *Node
 	open    map[string]*outLink
 	backoff map[string]*backoff
-	// isChosen is whether this daemon is among the relays by its own choice,
-	// chosenSince since when.
+	// isChosen says whether this daemon counts itself among the relays, chosenSince since when.
 	isChosen    bool
 	chosenSince time.Time
 	ended       chan *outLink
 	directory   directory
-	// ownRelayCache is the choice of relays among the members ownRelayView.
+	// ownRelayCache has the relays chosen among the members of ownRelayView.
 	ownRelayCache []*member.Record
 	ownRelayView  *member.View
 }
@@ -63,7 +61,7 @@
 	cancel        context.CancelFunc
 	since         time.Time
 	unwantedSince time.Time
-	// failures is set at the end of a link that never came up or fell silent.
+	// failed is set when a link ends that never came up or whose peer fell silent.
 	failed bool
 }
 
@@ -98,7 +96,7 @@
 	}
 }
 
-// waitClosed waits for the links to end after their context has.
+// waitClosed waits for the links to end after their context was cancelled.
 func (lk *linker) waitClosed() {
 	for len(lk.open) > 0 {
 		ol := <-lk.ended
@@ -119,8 +117,8 @@
 	lk.backoff[ol.addr] = bo
 }
 
-// reconcile compares the links that should be open with those that are, and tells
-// whether anything is waiting for its time.
+// reconcile opens the links that are missing and closes those no longer wanted. It reports whether
+// any change is pending.
 func (lk *linker) reconcile(ctx context.Context) (waiting bool) {
 	if ctx.Err() != nil {
 		return false
@@ -154,7 +152,7 @@
 	return waiting || !lk.membersKnown() || lk.isChosen != lk.nd.isRelay()
 }
 
-// pruneBackoff drops the failures that no longer count.
+// pruneBackoff deletes failures older than failureTTL.
 func (lk *linker) pruneBackoff(now time.Time) {
 	for addr, bo := range lk.backoff {
 		if now.Sub(bo.until) > failureTTL {
@@ -168,16 +166,16 @@
 	return bo == nil || time.Now().After(bo.until)
 }
 
-// failing reports whether the last link to an address failed.
+// failing reports whether the last link to an address failed recently.
 func (lk *linker) failing(addr string) bool {
 	bo := lk.backoff[addr]
 	return bo != nil && bo.failed && time.Since(bo.until) < failureTTL
 }
 
-// relaysOf returns the relays of a failure domain as far as this daemon can
-// reach them. Only relays mark members as gone: when all relays of a failure
-// domain die together nobody does, and the others would wait for them for ever.
-// So each daemon leaves out those that it cannot reach itself.
+// relaysOf returns the relays of a failure domain among the members that this daemon can reach.
+// Only relays mark members as gone: if all relays of a failure domain die together, nobody marks
+// them, and other daemons would try to reach them for ever. So each daemon leaves out those that it
+// fails to reach.
 func (lk *linker) relaysOf(domain string) []*member.Record {
 	live := lk.nd.Board.Members.Get().Live(domain)
 	failing := func(rc *member.Record) bool { return lk.failing(rc.Control) }
@@ -187,10 +185,10 @@
 	return relay.Choose(live)
 }
 
-// ownRelays returns the relays of the own failure domain. While no link fails
-// the choice depends on the members alone, and is kept. One that leaves out an address
-// which failed is not: a daemon that started before its relays kept to a plain member
-// for good, heard no relay, and followed the store by itself.
+// ownRelays returns the relays of the local failure domain. While no address has failed the choice
+// depends on the members alone, and is cached. A choice that leaves out a failed address must not
+// be cached: with it, a daemon that started before its relays stayed linked to a member that was no
+// relay, heard no relay, and followed the store by itself for good.
 func (lk *linker) ownRelays() []*member.Record {
 	vw := lk.nd.Board.Members.Get()
 	if len(lk.backoff) > 0 {
@@ -203,8 +201,8 @@
 	return lk.ownRelayCache
 }
 
-// setRole makes the daemon a relay once it is chosen, and takes the role away
-// when it has not been chosen for some time.
+// setRole makes the daemon a relay once it has been chosen for promoteAfter, and removes the role
+// once it has not been chosen for gracePeriod.
 func (lk *linker) setRole() {
 	nd := lk.nd
 	chosen := slices.ContainsFunc(lk.ownRelays(), func(rc *member.Record) bool { return rc.VM == nd.cf.VM })
@@ -237,8 +235,8 @@
 	})
 }
 
-// membersKnown reports whether the daemon knows its failure domain well enough to
-// choose: it has a link, or has looked for one long enough.
+// membersKnown reports whether the daemon knows enough of its failure domain's members to choose
+// relays: it has a link, or has searched for one for discoveryTime.
 func (lk *linker) membersKnown() bool {
 	lk.nd.mu.Lock()
 	linked := len(lk.nd.peers) > 0
@@ -246,7 +244,7 @@
 	return linked || time.Since(lk.nd.started) > discoveryTime
 }
 
-// wanted returns the addresses that links should be open to.
+// wanted returns the addresses to which links should be open.
 func (lk *linker) wanted() []string {
 	nd := lk.nd
 	set := map[string]bool{}
@@ -286,8 +284,8 @@
 	return len(lk.nd.peers) == 0
 }
 
-// addUpstream adds the relay that a plain member is linked to, the first of its own
-// order.
+// addUpstream adds the relay that a daemon which is no relay links to, the first in an order
+// specific to its VM.
 func (lk *linker) addUpstream(own []*member.Record, add func(string)) {
 	for _, rc := range relay.Order(own, lk.nd.cf.VM) {
 		if rc.VM != lk.nd.cf.VM {
@@ -297,9 +295,9 @@
 	}
 }
 
-// addRemoteRelays adds relays of other failure domains. Of two failure domains
-// the relays of the one first by name open the links, each to those whose rank
-// goes with its own, so that every relay has one.
+// addRemoteRelays adds relays of other failure domains. For each pair of failure domains, the
+// relays of the one whose name sorts first open the links, each to the relays whose rank matches
+// its own, so that every relay has one.
 func (lk *linker) addRemoteRelays(own []*member.Record, add func(string)) {
 	nd := lk.nd
 	rank := slices.IndexFunc(own, func(rc *member.Record) bool { return rc.VM == nd.cf.VM })
@@ -309,8 +307,8 @@
 	for _, dm := range nd.otherDomains() {
 		theirs := lk.relaysOf(dm)
 		if dm < nd.cf.Domain {
-			// They open the link; after a cut that may take them a while, and
-			// a relay without any goes ahead.
+			// The other side opens the link. After a partition that may take a while, so a relay
+			// without a link opens one itself.
 			if lk.linkedTo(dm) || len(theirs) == 0 {
 				continue
 			}
@@ -334,20 +332,20 @@
 	return false
 }
 
-// The links to addresses that the directory gave and whose daemons are not known yet.
+// Limits on links to addresses from the directory whose daemons are not known as members yet.
 const (
-	// maxUndiscoveredLocal is how many a daemon opens at a time in its own failure domain.
-	// Whom they lead to makes the others known, so that no more are needed: links of
-	// a herd to every address would each carry every record. Two, so that one may be
-	// to an address where nobody answers.
+	// maxUndiscoveredLocal bounds such links within the local failure domain. The first daemon
+	// reached makes the others known, so more are not needed: if many daemons starting together
+	// linked to every address, each link would carry every record. Two allow for one address at
+	// which nobody answers.
 	maxUndiscoveredLocal = 2
-	// maxUndiscoveredRemote is how many a daemon opens to another failure domain, if it stands
-	// for its own: as a relay, or among the first ones.
+	// maxUndiscoveredRemote bounds such links to each other failure domain. Only a relay or a
+	// registered daemon opens them.
 	maxUndiscoveredRemote = 1
 )
 
-// addUndiscovered adds addresses that the directory gave and whose daemons are not known as
-// members yet, a few at a time and in an order of this daemon's own.
+// addUndiscovered adds directory addresses whose daemons are not known as members yet, a few at a
+// time and in an order specific to this VM.
 func (lk *linker) addUndiscovered(add func(string)) {
 	known := lk.nd.Board.Members.Get()
 	represents := lk.nd.isRelay() || lk.nd.registered.Load()
@@ -386,8 +384,8 @@
 	lk.open[addr] = ol
 }
 
-// runLink opens a link and keeps it until it ends. It reports whether the peer
-// failed: the link never came up, or fell silent.
+// runLink opens a link and keeps it until it ends. It reports whether the peer failed: the link
+// never came up, or the peer fell silent.
 func (nd *Node) runLink(ctx context.Context, addr string) (failed bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -397,7 +395,7 @@
 		Receive: bs.Receive,
 		Abort: func() {
 			cancel()
-			// Closing waits for the peer's answer; the context ends that.
+			// Closing waits for the peer's answer, and cancelling the context ends that wait.
 			if err := errors.Join(bs.CloseRequest(), bs.CloseResponse()); err != nil {
 				nd.log.Debug("link-closed", slog.String("address", addr), slog.Any("error", err))
 			}
--- a/internal/mesh/ctrl/node.go
+++ b/internal/mesh/ctrl/node.go
@@ -26,60 +26,60 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// Protocol is the version of the messages, sent in each Hello.
+// Protocol is the version of the link messages, sent in each Hello.
 const Protocol = 1
 
-// Config says who a daemon is and how it reaches others.
+// Config holds the identity of a daemon and the functions and addresses with which it reaches
+// others.
 type Config struct {
 	VM, Domain string
-	// Control and Inlet are the addresses (host:port) that others use.
+	// Control and Inlet are the addresses (host:port) at which other daemons reach this one.
 	Control, Inlet string
-	// Capacity is the rate of the VM's link in Mbit/s, 0 where it is not known.
-	// Relays are chosen by it.
+	// Capacity is the bandwidth of the VM's network link in Mbit/s, 0 if unknown. It influences
+	// which daemons are chosen as relays.
 	Capacity uint32
-	// Seeds are addresses of daemons to try before the platform is asked.
+	// Seeds are addresses of daemons to try before the platform has been queried.
 	Seeds []string
-	// Token is a secret that all daemons of the mesh share; empty for none.
+	// Token is a secret shared by all daemons of the mesh; empty for none.
 	Token string
 	Store store.Store
-	// StoreAnswers, if set, is called when a peer has seen the store in a new epoch, so
-	// that calls are not held back any more.
+	// OnNewEpoch, if set, is called when the store is seen in a new epoch, by this daemon or by a
+	// peer. The store is then known to answer again, so that calls need not be held back.
 	StoreAnswers func()
 	// FirstStart says that the whole mesh starts for the first time.
 	FirstStart bool
-	// Source says where the operators' versions are in the store; the zero
-	// value stands for the head that accept writes.
+	// Source says where the store keeps the operators' versions; the zero value selects the head
+	// key written by package accept.
 	Source Source
 	Log    *slog.Logger
-	// Dial opens a connection; nil stands for TCP.
+	// Dial opens a connection; nil means TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
-	// Compile makes the snapshot of a version; nil stands for a snap.Compiler.
+	// Compile builds the snapshot of a version; nil means a snap.Compiler.
 	Compile func(version uint64, co *pack.Content, domain string) (*snap.Snapshot, error)
-	// Counts returns what the VM's own backend server did; nil where there is none.
+	// Counts returns the request counts of the VM's backend server; nil if there is none.
 	Counts func() Counts
-	// Drain orders the inlet to take no new work and returns how many requests
-	// are running.
+	// Drain makes the inlet refuse new requests and returns how many are still running.
 	Drain func() int
 }
 
-// Source says where the newest version of the operators is kept.
+// Source describes where the operators' newest version is stored.
 type Source struct {
-	// Key is the store's key that changes with each version.
+	// Key is the store key that changes with each version.
 	Key string
-	// Read makes a version of the key's value; known is the newest one known,
-	// nil for none. The content is nil when the version is not newer.
+	// Read decodes a version from the key's value; known is the newest known version, or nil. The
+	// content is nil if the version is not newer than known.
 	Read func(ctx context.Context, kv store.Store, known *board.Config, value []byte) (uint64, *pack.Content, error)
-	// Newest says that a read shows every version that was ever accepted, but where the
-	// store came back from an older copy. Such a read settles the floor of a new process.
+	// Linearizable says that a read returns every version ever accepted, unless the store was
+	// restored from an older copy. Such a read determines the version floor of a new process.
 	Newest bool
-	// Restore writes a version again that the store lost; nil where whoever wrote it does
-	// so. Daemons may call it at the same time, and more than once.
+	// Restore rewrites a version that the store has lost; nil if the writer of versions does this
+	// itself. Several daemons may call it concurrently and repeatedly.
 	Restore func(ctx context.Context, kv store.Store, cfg *board.Config) error
-	// Rollouts says where the orders of rollouts are; the zero value stands for none.
+	// Rollouts says where rollout orders are stored; the zero value means there are none.
 	Rollouts Rollouts
 }
 
-// defaultSource reads the head that accept writes, and the content beside it.
+// defaultSource reads the head key written by package accept, and the content stored next to it.
 func defaultSource() Source {
 	read := func(ctx context.Context, kv store.Store, known *board.Config, value []byte) (uint64, *pack.Content, error) {
 		hd, err := accept.ParseHead(value)
@@ -102,10 +102,10 @@
 	return Source{Key: accept.HeadKey, Read: read, Restore: restore, Rollouts: defaultRollouts()}
 }
 
-// Node is the control part of one daemon.
+// Node is the control plane of one daemon.
 type Node struct {
 	Board *board.Board
-	// Traffic counts what links have sent, in bytes by kind.
+	// Traffic counts the bytes sent over links, by kind.
 	Traffic *expvar.Map
 	cf      Config
 	log     *slog.Logger
@@ -113,86 +113,89 @@
 
 	history  pack.History
 	compiler snap.Compiler // used by runCompiler alone
-	// fullLimiter and transfers bound the whole contents that are served; fetching
-	// is held by the one fetch that runs.
+	// fullLimiter and fullSlots bound the rate and the number of full content transfers served.
+	// fetchLock is held by the fetch in progress.
 	fullLimiter *rate.Limiter
 	fullSlots   chan struct{}
 	fetchLock   chan struct{}
-	// singleCrashLimiter bounds the reports of requests that one server ended under.
+	// singleCrashLimiter bounds the forwarded reports of requests that only one server has crashed
+	// under.
 	singleCrashLimiter *rate.Limiter
 	poison             *poisonSyncer
-	// linkerWake lets the linker look again.
+	// linkerWake makes the linker reconcile its links.
 	linkerWake chan struct{}
 
-	// mu guards what follows, and the Record and Relay of each peer.
+	// mu guards the fields below, and the Record and Relay fields of each peer.
 	mu    sync.Mutex
 	peers map[*link.Peer]bool
-	// heldVersions has what the VMs of the own failure domain hold, summaries what
-	// the other failure domains do, reached when a link to each was last known.
+	// heldVersions has the held versions of the VMs of the local failure domain, summaries those of
+	// the remote ones. lastReached is when a link to each failure domain last existed.
 	heldVersions map[string]heldVersion
 	summaries    map[string]*wirepb.Summary
 	lastReached  map[string]time.Time
-	// leaving has the last lifetime of each VM's backend server that said it
-	// leaves.
+	// leaving has, for each VM, the last lifetime of its backend server that announced its
+	// departure.
 	leaving map[string]member.Leaver
 	expiry  *expire.Watch
-	// heardIndirectly has the VMs that are heard through daemons that are no relays.
+	// heardIndirectly has the VMs that are heard through daemons which are not relays.
 	heardIndirectly map[string]time.Time
-	// incarnationRaises counts how often the incarnation was raised above a forerunner's.
+	// incarnationRaises counts how often the incarnation was raised above that of a previous
+	// process.
 	incarnationRaises int
-	// followers are the daemons that follow the store, starting is what this process saw
-	// when it started, seen what the store showed last, and proof when.
+	// followers are the daemons that follow the store. startRole is derived from the first
+	// directory look-up of this process, observed is what the store last showed, and freshRead the
+	// last read that confirmed the newest version.
 	followers follow.Heard
 	startRole startRole
 	observed  storeObservation
 	freshRead freshRead
-	// freshReadWanted asks for a read for peers that start.
+	// freshReadWanted requests a read of the store on behalf of peers that start.
 	freshReadWanted chan struct{}
-	// watcherWake lets the watcher look again.
+	// watcherWake makes the watcher check whether it should follow the store.
 	watcherWake chan struct{}
-	// reregister lets a relay register again, in a new epoch of the store.
+	// reregister makes a relay register again after the store has entered a new epoch.
 	reregister chan struct{}
 	// completeEpoch is the last epoch in which the store was seen to have all versions.
 	completeEpoch store.Epoch
-	// markedEpoch is the last epoch that the store is known to keep.
+	// markedEpoch is the last epoch known to be recorded in the store under epochKey.
 	markedEpoch store.Epoch
 	// following is set while this daemon follows the store.
 	following board.Cell[bool]
 	tallies   tallies
 	stamps    atomic.Uint64
-	// restoring is set while a version that the store lost is written again.
+	// restoring is set while a version lost by the store is being rewritten.
 	restoring atomic.Bool
 	// registered is set while the daemon's key is in the directory.
 	registered atomic.Bool
-	// summaryDirty says that the own failure domain's summary is to be sent.
+	// summaryDirty says that the local failure domain's summary has changed since it was last sent.
 	summaryDirty bool
 	linker       *linker
 	wg           conc.WaitGroup
 	closed       bool
 
 	started time.Time
-	// ctx ends with Run.
+	// ctx is cancelled when the context of Run ends.
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// heldVersion is what a VM has said that it holds.
+// heldVersion is what a VM reports about its configuration: the version it holds, and a newer one
+// that it refused, if any, with the reason.
 type heldVersion struct {
 	version uint64
 	refused uint64
 	reason  string
 }
 
-// The limits of whole transfers that a relay serves.
+// Limits on the full content transfers that a relay serves.
 const (
-	// fullRate and fullBurst bound how many whole contents a relay sends a
-	// second, maxFullTransfers how many at the same time.
+	// fullRate and fullBurst bound the transfers per second, maxFullTransfers the concurrent ones.
 	fullRate         = 50
 	fullBurst        = 8
 	maxFullTransfers = 8
 )
 
-// New returns the control part for cf; Run starts it.
+// New returns the control plane for cf; call Run to start it.
 func New(cf Config) *Node {
 	nd := &Node{
 		Board:              &board.Board{},
@@ -239,8 +242,8 @@
 	nd.http = newHTTPClient(cf)
 	nd.linker = newLinker(nd)
 	nd.poison = &poisonSyncer{nd: nd}
-	// The wall clock gives an incarnation above that of the process before
-	// in most cases; the first contact corrects it in the others.
+	// The wall clock usually gives a higher incarnation than the previous process had. If it does
+	// not, the first contact with a peer corrects it.
 	self := &member.Record{
 		VM: cf.VM, Domain: cf.Domain, Incarnation: uint64(time.Now().UnixMilli()), Sequence: 1,
 		Nonce: rand.Uint64(), State: member.StateAbsent, Inlet: cf.Inlet, Control: cf.Control, Capacity: cf.Capacity,
@@ -251,7 +254,7 @@
 	return nd
 }
 
-// Store returns the platform's store; its calls tell the node of a new epoch.
+// Store returns the platform's store. Calls made through it inform the node of new epochs.
 func (nd *Node) Store() store.Store { return nd.cf.Store }
 
 // Run keeps the daemon in the mesh until ctx ends.
@@ -271,8 +274,8 @@
 	nd.http.CloseIdleConnections()
 }
 
-// background runs fn, which must end with the node, and reports whether it did
-// so: a node that has ended starts nothing more.
+// background runs fn in a goroutine, which must end with nd.ctx. It reports whether fn was started:
+// after Run has ended, nothing is.
 func (nd *Node) background(fn func()) bool {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
@@ -292,7 +295,7 @@
 	}
 }
 
-// Announce changes the daemon's own record and tells the others.
+// Announce changes the daemon's own record and sends it to the other daemons.
 func (nd *Node) Announce(fn func(*member.Record)) {
 	var next member.Record
 	nd.Board.Self.Update(func(cur *member.Record) *member.Record {
@@ -304,8 +307,8 @@
 	nd.mergeRecords([]*member.Record{&next})
 }
 
-// Leave tells the others that the daemon ends. It returns after the news has
-// had the time to be sent.
+// Leave announces that the daemon is shutting down, and waits long enough for the message to be
+// sent.
 func (nd *Node) Leave(ctx context.Context) {
 	nd.Announce(func(rc *member.Record) { rc.State = member.StateLeft })
 	select {
@@ -314,12 +317,12 @@
 	}
 }
 
-// leaveFlushTime is enough for the news of a leaving daemon to be sent.
+// leaveFlushTime is enough for the message of a departing daemon to be sent.
 const leaveFlushTime = 200 * time.Millisecond
 
 func (nd *Node) isRelay() bool { return nd.Board.Links.Get().Relay }
 
-// wakeLinker lets the linker look again.
+// wakeLinker makes the linker reconcile its links.
 func (nd *Node) wakeLinker() {
 	select {
 	case nd.linkerWake <- struct{}{}:
--- a/internal/mesh/ctrl/orders.go
+++ b/internal/mesh/ctrl/orders.go
@@ -4,7 +4,7 @@
 	"github.com/flamingomast/flamingomast/internal/roll/order"
 )
 
-// defaultRollouts returns where the project's own commands write orders of rollouts.
+// defaultRollouts returns the location and format of rollout orders defined by package order.
 func defaultRollouts() Rollouts {
 	return Rollouts{Prefix: order.Prefix, Read: order.Read, StatusKey: order.StatusKey, Encode: order.EncodeStatus, Decode: order.DecodeStatus}
 }
--- a/internal/mesh/ctrl/peers.go
+++ b/internal/mesh/ctrl/peers.go
@@ -16,11 +16,11 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// maxInline is the largest body in bytes of a version within a packet. The peer fetches a
-// larger one: a packet that takes longer than link.Silence would end the link each time.
+// maxInline is the largest version body in bytes that is sent within a packet. The peer fetches a
+// larger one: a packet that takes longer than link.Silence to send would end the link each time.
 const maxInline = 32 << 10
 
-// offer makes the packet that brings a peer with the content base up to date.
+// offer builds the message that updates a peer from the content base to the newest version.
 func (nd *Node) offer(_ *link.Peer, base pack.Digest) *wirepb.Version {
 	cfg := nd.Board.Latest.Get()
 	if cfg == nil {
@@ -66,8 +66,8 @@
 	return hd
 }
 
-// handlePacket takes one packet of a peer. All it holds may come late, twice or out
-// of order: versions and records only replace older ones.
+// handlePacket processes a packet of a peer. Its contents may arrive late, twice or out of order:
+// versions and records only ever replace older ones.
 func (nd *Node) handlePacket(pr *link.Peer, pk *wirepb.Packet) {
 	if pk.Hello != nil {
 		nd.handleHello(pr, pk.Hello)
@@ -123,7 +123,7 @@
 	first := !pr.Ready
 	known := nd.Board.Members.Get().Get(rc.VM)
 	nd.mu.Lock()
-	// A peer that becomes a relay later has to be told what a new one is told.
+	// A peer that becomes a relay later needs the same initial state as a new one.
 	initial := first || hello.Relay && !pr.Relay
 	pr.Record, pr.Relay, pr.Ready = rc, hello.Relay, true
 	nd.peers[pr] = true
@@ -138,8 +138,8 @@
 	if len(hello.Digest) == len(pack.Digest{}) {
 		pr.Knows(hello.Latest, pack.Digest(hello.Digest))
 	}
-	// The peer can bring the version that it knows, so it is safe to take none
-	// below that, whatever the platform shows.
+	// The peer can supply the version that it knows, so no older one need be installed, whatever
+	// the platform shows.
 	nd.Board.RaiseFloor(hello.Latest, false)
 	if first {
 		wc := &wirepb.Welcome{Floor: floor}
@@ -174,12 +174,15 @@
 	nd.wakeLinker()
 }
 
-// sendInitialState sends what a new peer in the own failure domain needs to know.
+// sendInitialState sends a new peer, or one that has become a relay, the state that it needs: the
+// followers of the store and the summary to a relay, the held versions and reachable failure
+// domains within the local failure domain.
 func (nd *Node) sendInitialState(pr *link.Peer) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	if pr.Relay {
-		// One that has just become a relay would stand in for those it has not heard of.
+		// Without it, a new relay would follow the store in place of the followers that it has not
+		// heard of.
 		nd.followers.Each(time.Now(), func(vm string, at time.Time) { pr.SendFollow(link.Follow{VM: vm, At: at}) })
 	}
 	if pr.Record.Domain != nd.cf.Domain {
@@ -199,7 +202,7 @@
 	}
 }
 
-// removePeer takes a peer out once its link has ended.
+// removePeer removes a peer whose link has ended.
 func (nd *Node) removePeer(pr *link.Peer, err error) {
 	nd.mu.Lock()
 	known := nd.peers[pr]
@@ -234,8 +237,8 @@
 	}
 }
 
-// handleWelcome learns from a peer what the VM's former process was and held.
-// Only relays keep what members hold, so only their word settles the floor.
+// handleWelcome learns from a peer the identity of the VM's previous process and the version that
+// it held. Only relays record what members hold, so only their answer settles the version floor.
 func (nd *Node) handleWelcome(pr *link.Peer, wc *wirepb.Welcome) {
 	self := nd.Board.Self.Get()
 	nd.recordPredecessor(pr.Record.VM, member.Leaver{Lifetime: wc.Leaving, StartedMs: wc.LeavingStartedMs, At: wc.LeftAt})
@@ -245,8 +248,8 @@
 	nd.Board.RaiseFloor(wc.Floor, pr.Relay)
 }
 
-// recordPredecessor puts on the board what a peer keeps of the VM's former
-// process; a peer that knows of nothing says so too.
+// recordPredecessor records what a peer knows of the VM's previous process. A peer that knows
+// nothing of one is recorded as well.
 func (nd *Node) recordPredecessor(peer string, lv member.Leaver) {
 	nd.Board.Forerunner.Update(func(cur *board.Forerunner) *board.Forerunner {
 		next := &board.Forerunner{Leaver: lv, Peers: []string{peer}}
@@ -264,10 +267,10 @@
 	})
 }
 
-// recordLeaving keeps which lifetimes leave, apart from the records. A new
-// process's own record replaces the one that said so as soon as its first Hello
-// is read; were the answer to that Hello lost, the next one would find nothing,
-// and the new process could take a late announcement of the lifetime.
+// recordLeaving keeps departing lifetimes separately from the member records. The record of a new
+// process replaces the one with the departure as soon as its first Hello is read. If the answer to
+// that Hello were lost, the next one would find nothing, and the new process could accept a late
+// announcement of the departed lifetime.
 func (nd *Node) recordLeaving(recs []*member.Record) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
@@ -281,22 +284,21 @@
 	}
 }
 
-// maxLeaving bounds the VMs of which a leaving lifetime is remembered; beyond it
-// all are forgotten. A lifetime is of use for some seconds, and the target has
-// 230 replaced VMs a day.
+// maxLeaving bounds the VMs whose departing lifetime is remembered; beyond it all are forgotten. A
+// lifetime is only needed for some seconds, and the largest planned mesh replaces 230 VMs a day.
 const maxLeaving = 4096
 
-// The bounds of what a new process takes for its forerunner's.
+// Within startupPeriod and up to maxIncarnationRaises, a conflicting record is taken for one of a
+// previous process.
 const (
 	startupPeriod        = 20 * time.Second
 	maxIncarnationRaises = 3
 )
 
-// handleConflict answers a record of another process under this VM's name with a
-// higher incarnation. For a new process that is what its forerunner left
-// behind, started by a clock that was ahead: it goes above it. For one that has
-// run for a time, or that was outbid again and again, the other one is newer,
-// and only one of the two may serve.
+// handleConflict handles a record of another process under this VM's name with a higher
+// incarnation. For a new process it is usually one left by the previous process, whose clock was
+// ahead, so the new process raises its incarnation above it. If this process has run for a while,
+// or was outbid several times, the other one is newer, and only one of the two may serve.
 func (nd *Node) handleConflict(rc *member.Record) {
 	nd.mu.Lock()
 	recent := time.Since(nd.started) < startupPeriod && nd.incarnationRaises < maxIncarnationRaises
@@ -312,7 +314,7 @@
 	nd.Board.Replaced.Set(rc)
 }
 
-// handleRecords merges records of a peer and passes on what is new.
+// handleRecords merges records of a peer and forwards the new ones.
 func (nd *Node) handleRecords(from *link.Peer, recs []*member.Record) {
 	var others []*member.Record
 	for _, rc := range recs {
@@ -334,13 +336,13 @@
 	nd.wakeLinker()
 }
 
-// handleOwnRecord answers a record that others keep of this VM.
+// handleOwnRecord handles a record of this VM that another daemon keeps.
 func (nd *Node) handleOwnRecord(rc *member.Record) {
 	self := nd.Board.Self.Get()
 	switch {
 	case rc.SameProcess(self):
-		// Others took this daemon for silent or dead. A newer statement takes
-		// the mark away.
+		// Others have marked this daemon as silent or gone. A record with a higher sequence number
+		// clears the mark.
 		if rc.Mark != member.MarkNone && rc.Sequence >= self.Sequence {
 			nd.Announce(func(me *member.Record) { me.Sequence = rc.Sequence })
 		}
@@ -349,7 +351,7 @@
 	}
 }
 
-// merge puts records on the board and returns those that were new.
+// merge adds records to the board and returns the new ones.
 func (nd *Node) merge(recs []*member.Record) (added []*member.Record) {
 	nd.Board.Members.Update(func(vw *member.View) *member.View {
 		var next *member.View
@@ -360,7 +362,7 @@
 	return added
 }
 
-// mergeRecords puts own statements on the board and sends them to all peers.
+// mergeRecords adds this daemon's own statements to the board and sends them to all peers.
 func (nd *Node) mergeRecords(recs []*member.Record) {
 	added := nd.merge(recs)
 	if len(added) == 0 {
@@ -370,8 +372,8 @@
 	nd.wakeLinker()
 }
 
-// sendDifferingRecords sends all records of the failure domains in which the peer's differ,
-// the peer's own among them: it may bear a mark that the peer must answer.
+// sendDifferingRecords sends all records of the failure domains whose hashes differ from the
+// peer's. The peer's own record is included, as it may bear a mark that the peer must answer.
 func (nd *Node) sendDifferingRecords(pr *link.Peer, hashes []*wirepb.DomainHash) {
 	vw := nd.Board.Members.Get()
 	theirs := make(map[string]uint64, len(hashes))
@@ -387,7 +389,7 @@
 	pr.SendRecords(recs)
 }
 
-// handleVersion takes an offered configuration.
+// handleVersion handles a configuration offered by a peer.
 func (nd *Node) handleVersion(pr *link.Peer, vn *wirepb.Version) {
 	if len(vn.Digest) != len(pack.Digest{}) {
 		return
@@ -410,7 +412,7 @@
 	nd.background(func() { nd.fetch(pr, vn.Number) })
 }
 
-// adoptVersion puts a configuration on the board and offers it to all peers.
+// adoptVersion makes a configuration the newest one known and offers it to all peers.
 func (nd *Node) adoptVersion(version uint64, co *pack.Content) {
 	if !nd.Board.Offer(&board.Config{Version: version, Content: co}) {
 		return
@@ -419,16 +421,15 @@
 	nd.eachPeer(func(pr *link.Peer) { pr.Offer(version) })
 }
 
-// The times of fetching.
+// Timing of fetches.
 const (
-	// fetchTimeout bounds the time in which nothing of an answer comes.
+	// fetchTimeout bounds the time during which no data of an answer arrives.
 	fetchTimeout = 3 * time.Second
 	fetchRetry   = 500 * time.Millisecond
 )
 
-// fetch asks a peer for the version that it offered, until some peer has
-// brought it or the link is gone. One fetch runs at a time, so that offers of
-// many peers bring one transfer.
+// fetch requests the version that a peer offered, until it has arrived from any peer or the link
+// has ended. Only one fetch runs at a time, so that offers from many peers cause one transfer.
 func (nd *Node) fetch(pr *link.Peer, version uint64) {
 	select {
 	case nd.fetchLock <- struct{}{}:
@@ -454,7 +455,7 @@
 	return nd.peers[pr]
 }
 
-// addressOf returns where a peer is reached. Its record changes with its next Hello.
+// addressOf returns the address of a peer. The record of an incoming peer changes with its Hello.
 func (nd *Node) addressOf(pr *link.Peer) string {
 	if pr.Outgoing {
 		return pr.Addr
--- a/internal/mesh/ctrl/poison.go
+++ b/internal/mesh/ctrl/poison.go
@@ -11,31 +11,34 @@
 )
 
 const (
-	// poisonKey is where the platform's store has the requests that are not run.
+	// poisonKey is the store key with the requests refused as poison.
 	poisonKey = "poison-requests"
-	// maxSwapAttempts is how often a change of it is tried that another daemon was ahead of.
+	// maxSwapAttempts bounds the attempts to update poisonKey while other daemons update it
+	// concurrently.
 	maxSwapAttempts = 3
-	// partitionedReadInterval is how often it is read while a failure domain cannot be reached,
-	// whose daemons may have written to it. With the rounds of those who follow the
-	// store it stays below the three seconds in which the news must have come.
+	// partitionedReadInterval is how often poisonKey is read while a failure domain cannot be
+	// reached, whose daemons may have written to it. Together with the interval at which followers
+	// read the store it stays below the three seconds within which a poison request must be known
+	// everywhere.
 	partitionedReadInterval = time.Second
 )
 
-// poisonSyncer keeps the requests that are not run in the platform's store: for daemons that
-// start after all were killed, and for those on the other side of a cut. Both ended as
-// many servers again otherwise. Those who follow the store do it, since it answers them.
+// poisonSyncer synchronises the requests refused as poison with the platform's store, for daemons
+// that start after all were killed and for those on the other side of a partition. Without it each
+// of these crashed as many servers again. It runs on the daemons that follow the store, since the
+// store answers them.
 type poisonSyncer struct {
 	nd *Node
-	// due is set when what the store should have has changed.
+	// due is set when the contents of poisonKey may have to change.
 	due atomic.Bool
-	// running is held by the round that runs, and guards looked.
+	// running is set while a synchronisation runs, which owns lastRead meanwhile.
 	running atomic.Bool
-	// lastRead is when the key was read last, the zero time for not yet.
+	// lastRead is when the key was last read, zero if it has not been.
 	lastRead time.Time
 }
 
-// decideAll reads and writes the key if that is due, beside what the caller does: it must not
-// wait for the store with a new version on the way.
+// syncIfDue synchronises with the store in the background if that is due: the caller must not wait
+// for the store while it could receive a new version.
 func (ps *poisonSyncer) syncIfDue(ctx context.Context) {
 	if !ps.running.CompareAndSwap(false, true) {
 		return
@@ -47,7 +50,7 @@
 	}
 }
 
-// runSync ends the round that runs.
+// runSync runs one synchronisation, and schedules another if it fails.
 func (ps *poisonSyncer) runSync(ctx context.Context) {
 	defer ps.running.Store(false)
 	if err := ps.sync(ctx); err != nil {
@@ -58,7 +61,7 @@
 	ps.lastRead = time.Now()
 }
 
-// sync makes this daemon and the store know the same.
+// sync merges the reports in the store with those of this daemon, and writes the result back.
 func (ps *poisonSyncer) sync(ctx context.Context) error {
 	kv := ps.nd.cf.Store
 	ent, err := kv.Get(ctx, poisonKey)
@@ -68,7 +71,8 @@
 		}
 		list, decodeErr := poison.Decode(ent.Value, time.Now())
 		if decodeErr != nil {
-			// Something else wrote it; it is written anew once there is anything to keep.
+			// The value was not written by a daemon; it is overwritten once there is anything to
+			// store.
 			ps.nd.log.Warn("poison-unreadable", slog.Any("error", decodeErr))
 		}
 		ps.nd.handleCrashReports(nil, list)
@@ -85,7 +89,7 @@
 	return &store.Error{Kind: store.Unavailable, Op: "swap", Key: poisonKey}
 }
 
-// saveState replaces what the store has at a revision.
+// write replaces the value of poisonKey if it is still at the given revision.
 func (ps *poisonSyncer) write(ctx context.Context, list []poison.Report, at store.Revision) (ok bool, cur store.Entry, err error) {
 	text, err := poison.Encode(list, time.Now())
 	if err != nil {
--- a/internal/mesh/ctrl/rollout.go
+++ b/internal/mesh/ctrl/rollout.go
@@ -17,29 +17,29 @@
 )
 
 const (
-	// orderWatchTimeout is how long a watch of the orders waits.
+	// orderWatchTimeout is the longest duration of one watch call on the orders.
 	orderWatchTimeout = 10 * time.Second
 	// decideInterval is how often the daemons that follow the store decide on a rollout.
 	decideInterval = 250 * time.Millisecond
-	// settleRelay and settleMember are how long a daemon follows the store before it watches
-	// the orders, as a relay and as one that hears no relay yet.
+	// settleRelay and settleMember are how long a daemon must have followed the store before it
+	// watches the orders, as a relay and as one that hears no relay yet.
 	settleRelay  = time.Second
 	settleMember = 2500 * time.Millisecond
-	// statusRetry is the pause before the state of a rollout is written again.
+	// statusRetry is the delay before the state of a rollout is written again after a failure.
 	statusRetry = 300 * time.Millisecond
-	// beganPrefix begins the keys that have when a rollout began, for daemons that start
-	// after all were killed.
+	// beganPrefix is the prefix of the keys with the start times of rollouts, for daemons that
+	// start after all were killed.
 	beganPrefix = "rollout-began/"
 )
 
-// Rollouts says where an operator's orders of rollouts are in the store, and how their state
-// is written there.
+// Rollouts describes where the store has the operators' rollout orders, and how the state of a
+// rollout is stored.
 type Rollouts struct {
-	// Prefix begins the keys of the orders.
+	// Prefix is the prefix of the keys of the orders.
 	Prefix string
 	Read   func(key string, value []byte) (canary.Order, error)
-	// StatusKey is the key of the state of a service's rollout, Encode its value and Decode
-	// reads that.
+	// StatusKey returns the key of the state of a service's rollout; Encode and Decode convert its
+	// value.
 	StatusKey func(service string) string
 	Encode    func(target string, st canary.State) ([]byte, error)
 	Decode    func(value []byte) (target string, st canary.State, err error)
@@ -48,7 +48,7 @@
 // rolloutController decides on rollouts while this daemon follows the store.
 type rolloutController struct {
 	nd *Node
-	// orders are the orders in the store, at the write given.
+	// orders are the orders in the store as of ordersRevision.
 	orders         map[string]canary.Order
 	ordersRevision store.Revision
 	evaluations    map[string]*evaluation
@@ -59,16 +59,16 @@
 	order canary.Order
 	judge *judge.Judge
 	ramp  judge.Ramp
-	// passed is set once the version was found good: that holds though its state is not
-	// written yet.
+	// passed is set once the target version was judged good. It stays set even if the final state
+	// has not been written yet.
 	passed bool
-	// writing is set while the state is written.
+	// writing is set while the state is being written.
 	writing atomic.Bool
-	// lastAnnounced is when a decision was sent to the others last.
+	// lastAnnounced is when a decision was last sent to the other daemons.
 	lastAnnounced time.Time
 }
 
-// runRollouts watches the orders and decides, while this daemon follows the store.
+// runRollouts watches the orders and decides on rollouts while this daemon follows the store.
 func (nd *Node) runRollouts(ctx context.Context) {
 	if nd.cf.Source.Rollouts.Prefix == "" {
 		return
@@ -86,7 +86,7 @@
 		}
 		select {
 		case <-changed:
-			// One of many that start together and follow the store for a moment.
+			// Many daemons that start together follow the store only for a moment.
 			continue
 		case <-ctx.Done():
 			return
@@ -96,7 +96,8 @@
 	}
 }
 
-// settleTime returns how long this daemon follows the store before it watches the orders.
+// settleTime returns how long this daemon must have followed the store before it watches the
+// orders.
 func (nd *Node) settleTime() time.Duration {
 	if nd.isRelay() {
 		return settleRelay
@@ -104,7 +105,7 @@
 	return settleMember
 }
 
-// follow watches and decides until this daemon no longer follows the store.
+// follow watches the orders and decides on rollouts until this daemon no longer follows the store.
 func (ro *rolloutController) follow(ctx context.Context, stopped <-chan struct{}) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -127,7 +128,7 @@
 	}
 }
 
-// watchOrders sends each change of the orders until ctx ends.
+// watchOrders sends each change of the orders to listings until ctx ends.
 func (nd *Node) watchOrders(ctx context.Context, at store.Revision, listings chan<- store.Listing) {
 	for ctx.Err() == nil {
 		li, err := nd.cf.Store.WatchAll(ctx, nd.cf.Source.Rollouts.Prefix, at, orderWatchTimeout)
@@ -148,7 +149,7 @@
 	}
 }
 
-// handleOrders takes the orders that the store has.
+// handleOrders processes the orders in the store.
 func (ro *rolloutController) handleOrders(ctx context.Context, items []store.Item) {
 	src := &ro.nd.cf.Source.Rollouts
 	ro.orders = map[string]canary.Order{}
@@ -166,8 +167,8 @@
 	}
 }
 
-// handleOrder takes an order that the store has. One that is known goes on, also where the store
-// has it anew in another epoch.
+// handleOrder processes an order in the store. A known one continues, also if the store has it at a
+// new revision in a later epoch.
 func (ro *rolloutController) handleOrder(ctx context.Context, or canary.Order) {
 	nd := ro.nd
 	cur := nd.Board.Rollouts.Get().Of(or.Service)
@@ -191,8 +192,8 @@
 	nd.mergeRollout(nil, next)
 }
 
-// loadState takes what the store has of a rollout that no daemon knows: all may have been
-// killed since it began.
+// loadState loads the stored state of a rollout that no daemon knows: all may have been killed
+// since it began.
 func (ro *rolloutController) loadState(ctx context.Context, next *canary.Rollout) (known bool, err error) {
 	nd, or := ro.nd, &next.Order
 	src := &nd.cf.Source.Rollouts
@@ -203,7 +204,7 @@
 	target, st, err := src.Decode(ent.Value)
 	older := ent.Revision.Epoch == or.Revision.Epoch && ent.Revision.Number < or.Revision.Number
 	if err != nil || target != or.Target || older {
-		// It is of another order.
+		// The state belongs to another order.
 		return false, err
 	}
 	next.State, next.Stored = st, true
@@ -217,7 +218,7 @@
 	ms, err := strconv.ParseInt(string(ent.Value), 10, 64)
 	age := time.Since(time.UnixMilli(ms))
 	if err != nil || age < 0 || age > or.Duration {
-		// How long it lasts cannot be told any more.
+		// The remaining duration is unknown.
 		next.State, next.Stored = canary.RolledBack, false
 		return true, nil
 	}
@@ -225,8 +226,8 @@
 	return true, nil
 }
 
-// baseline returns the versions that serve beside the target of an order: those of before
-// where another order was not complete.
+// baseline returns the versions that run besides the target of an order. If the previous order did
+// not complete, these are the versions of its baseline.
 func (nd *Node) baseline(or canary.Order, cur *canary.Rollout) []string {
 	switch {
 	case cur != nil && cur.State == canary.Complete && cur.Order.Target != or.Target:
@@ -244,7 +245,8 @@
 	return list
 }
 
-// decideAll decides on all rollouts in progress, and has their states written.
+// decideAll decides on all rollouts in progress, and starts writing the states that are not stored
+// yet.
 func (ro *rolloutController) decideAll(ctx context.Context) {
 	vw := ro.nd.Board.Rollouts.Get()
 	for _, cur := range vw.All() {
@@ -268,7 +270,7 @@
 	}
 }
 
-// decide takes the next decision on a rollout in progress.
+// decide makes the next decision on a rollout in progress.
 func (ro *rolloutController) decide(ev *evaluation, cur *canary.Rollout) *canary.Rollout {
 	nd, now := ro.nd, time.Now()
 	elapsed := now.Sub(cur.Began)
@@ -289,7 +291,8 @@
 	}
 	next.Share, next.Servers, next.Until = de.Share, de.Servers, now.Add(canary.TTL)
 	if de.State == canary.Complete {
-		// Operators stop the baseline once the store says so; until then it may serve again.
+		// Operators stop the baseline servers once the store shows this state; until then they may
+		// still receive requests.
 		ev.passed = true
 		final := next
 		final.State, final.Stored = canary.Complete, false
@@ -300,8 +303,8 @@
 	return &next
 }
 
-// announce sends a decision to the others: at once where the share changes, else now and
-// then.
+// announce sends a decision to the other daemons: immediately if the share or the number of servers
+// changes, otherwise at most every third of canary.TTL.
 func (ro *rolloutController) announce(ev *evaluation, cur, next *canary.Rollout, now time.Time) {
 	if next.Share == cur.Share && next.Servers == cur.Servers && now.Sub(ev.lastAnnounced) < canary.TTL/3 {
 		return
@@ -313,8 +316,8 @@
 	ro.nd.mergeRollout(nil, next)
 }
 
-// saveState writes the state of a rollout, unless the store has an end of it already, which
-// holds then.
+// saveState writes the state of a rollout, unless the store already has a final state, which is
+// adopted.
 func (ro *rolloutController) saveState(ctx context.Context, ev *evaluation, cur *canary.Rollout) {
 	nd := ro.nd
 	next := *cur
@@ -332,8 +335,8 @@
 	ev.writing.Store(false)
 }
 
-// storeState makes the store have a state. Where it has an end of the same order, that one is
-// taken.
+// storeState writes a state to the store. If the store already has a final state of the same order,
+// next takes that one.
 func (ro *rolloutController) storeState(ctx context.Context, next *canary.Rollout) error {
 	kv, src, or := ro.nd.cf.Store, &ro.nd.cf.Source.Rollouts, &next.Order
 	if next.State == canary.InProgress {
@@ -366,7 +369,7 @@
 	return err
 }
 
-// put writes a value whatever the key had.
+// put writes a value, whatever the key contained.
 func put(ctx context.Context, kv store.Store, key string, value []byte) error {
 	ch := store.Change{Key: key, Value: value}
 	ok, cur, err := kv.Swap(ctx, ch)
@@ -377,8 +380,8 @@
 	return err
 }
 
-// mergeRollout takes a statement on a rollout, of a peer or this daemon's own, and passes it
-// on if it is news.
+// mergeRollout merges the state of a rollout, from a peer or this daemon, and forwards it if it is
+// new.
 func (nd *Node) mergeRollout(from *link.Peer, ro *canary.Rollout) {
 	changed := false
 	nd.Board.Rollouts.Update(func(vw *canary.View) *canary.View {
--- a/internal/mesh/ctrl/serve.go
+++ b/internal/mesh/ctrl/serve.go
@@ -19,19 +19,19 @@
 	"github.com/flamingomast/flamingomast/internal/plat/stall"
 )
 
-// maxMessage bounds a message in bytes, well above a whole content.
+// maxMessage bounds the size of a message in bytes, well above that of a full content.
 const maxMessage = 4 << 20
 
-// dialTimeout bounds the opening of a connection to another daemon.
+// dialTimeout bounds the time to connect to another daemon.
 const dialTimeout = time.Second
 
 type controllerKey struct{}
 
-// Handler serves the other daemons. It needs HTTP/2, see Protocols.
+// Handler returns the handler for requests of other daemons. It requires HTTP/2, see Protocols.
 func (nd *Node) Handler() http.Handler {
-	// Messages are compressed where it pays, by the one coder of the process. The
-	// library's compression keeps a coder for each stream, most of the heap of a relay,
-	// and compresses each beat.
+	// Message bodies are compressed where it pays off, with one encoder per process. The
+	// compression of the connect library keeps an encoder for each stream, which took up most of
+	// the heap of a relay, and compresses every keep-alive packet.
 	path, h := wirepb.NewControlHandler(&server{nd: nd}, connect.WithReadMaxBytes(maxMessage), connect.WithCompression("gzip", nil, nil))
 	mux := http.NewServeMux()
 	mux.Handle(path, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -46,15 +46,15 @@
 	return mux
 }
 
-// Protocols returns what the control part speaks: HTTP/2 without TLS.
+// Protocols returns the protocols of the control plane: HTTP/2 without TLS.
 func Protocols() *http.Protocols {
 	var ps http.Protocols
 	ps.SetUnencryptedHTTP2(true)
 	return &ps
 }
 
-// http2Config bounds what a connection holds in memory and ends connections
-// whose other side no longer answers.
+// http2Config limits the memory of a connection and closes connections whose peer no longer
+// answers.
 func http2Config() *http.HTTP2Config {
 	return &http.HTTP2Config{
 		MaxReadFrameSize:              16 << 10,
@@ -65,7 +65,7 @@
 	}
 }
 
-// NewServer returns a server for the control part's listener.
+// NewServer returns an HTTP server for the control plane's listener.
 func (nd *Node) NewServer() *http.Server {
 	return &http.Server{
 		Handler:           nd.Handler(),
@@ -88,7 +88,7 @@
 	return tt.next.RoundTrip(r)
 }
 
-// CloseIdleConnections passes the call on.
+// CloseIdleConnections closes the idle connections of the underlying transport.
 func (tt *tokenTransport) CloseIdleConnections() {
 	tt.next.(*http.Transport).CloseIdleConnections()
 }
@@ -108,19 +108,19 @@
 			defer cancel()
 			return dial(ctx, addr)
 		},
-		// A daemon that has moved on to its relay leaves an idle connection with
-		// whoever it asked first; a herd that starts leaves hundreds with a seed.
+		// A daemon that has moved on to its relay leaves an idle connection at the daemon that it
+		// contacted first. When many daemons start together, a seed would keep hundreds of them.
 		IdleConnTimeout: 5 * time.Second,
 	}
 	return &http.Client{Transport: &tokenTransport{token: cf.Token, next: tr}}
 }
 
-// Client returns a client of the daemon at addr.
+// Client returns a client for the daemon at addr.
 func (nd *Node) Client(addr string) wirepb.ControlClient {
 	return nd.client(nd.http, addr)
 }
 
-// fetchClient returns a client of a peer for content of any size.
+// fetchClient returns a client for fetching content of any size from a peer.
 func (nd *Node) fetchClient(pr *link.Peer) wirepb.ControlClient {
 	return nd.client(&stall.Client{HTTP: nd.http.Do, Timeout: fetchTimeout, Received: pr.Alive}, nd.addressOf(pr))
 }
@@ -133,7 +133,7 @@
 	nd *Node
 }
 
-// Link serves a link that another daemon has opened.
+// Link serves a link opened by another daemon.
 func (sr *server) Link(ctx context.Context, bs *connect.BidiStream[wirepb.Packet, wirepb.Packet]) error {
 	ab := &aborter{}
 	ab.rc, _ = ctx.Value(controllerKey{}).(*http.ResponseController)
@@ -145,10 +145,9 @@
 	return nil
 }
 
-// aborter ends a stream from the serving side. A deadline in the past ends a
-// Send that waits for a peer which has stopped reading; ending the context
-// alone does not. After the handler has returned the controller is no longer
-// valid and must not be touched.
+// aborter ends a stream on the server side. A deadline in the past ends a Send that waits for a
+// peer which has stopped reading; cancelling the context does not. Once the handler has returned,
+// the controller is invalid and must not be used.
 type aborter struct {
 	mu sync.Mutex
 	rc *http.ResponseController
@@ -170,9 +169,9 @@
 	ab.rc = nil
 }
 
-// Fetch returns the newest configuration. Deltas cost little and are always
-// served; whole contents are bounded in rate and number, so that a herd of
-// daemons that starts at once is served in turn and told when to come back.
+// Fetch returns the newest configuration. Deltas are cheap and always served. Full contents are
+// limited in rate and number, so that many daemons starting together are served in turn and told
+// when to retry.
 func (sr *server) Fetch(_ context.Context, req *connect.Request[wirepb.FetchRequest]) (*connect.Response[wirepb.FetchResponse], error) {
 	nd := sr.nd
 	cfg := nd.Board.Latest.Get()
@@ -206,25 +205,26 @@
 	return connect.NewResponse(res), nil
 }
 
-// retryDelayMs draws the time after which a refused fetch should come back, in
-// milliseconds, spread over a second so that those refused do not come at once.
+// retryDelayMs returns the delay in milliseconds after which a rejected fetch should be retried. It
+// is random within a second, so that rejected daemons do not all retry at once.
 func retryDelayMs() uint32 { return 50 + rand.Uint32N(1000) }
 
-// Drain takes the order to drain, if it is meant for this VM.
+// Drain starts draining the backend server, if the request is meant for this VM.
 func (sr *server) Drain(_ context.Context, req *connect.Request[wirepb.DrainRequest]) (*connect.Response[wirepb.DrainResponse], error) {
 	if req.Msg.Vm != sr.nd.cf.VM {
-		return nil, connect.NewError(connect.CodeFailedPrecondition, errors.New("this is the VM "+sr.nd.cf.VM))
+		return nil, connect.NewError(connect.CodeFailedPrecondition, errors.New("drain request is for another VM; this daemon serves "+sr.nd.cf.VM))
 	}
 	return connect.NewResponse(&wirepb.DrainResponse{Running: uint32(sr.nd.cf.Drain())}), nil
 }
 
-// Status returns what this daemon knows of the fleet, and asks its relay when
-// it is none itself.
+// Status returns what this daemon knows of the mesh, or what its relay knows if it is no relay
+// itself.
 func (sr *server) Status(ctx context.Context, req *connect.Request[wirepb.StatusRequest]) (*connect.Response[wirepb.StatusResponse], error) {
 	return connect.NewResponse(sr.nd.Status(ctx, req.Msg.Forwarded)), nil
 }
 
-// Status returns what is known of the fleet.
+// Status returns the state of the mesh. A daemon that is no relay asks one, unless forwarded is
+// set.
 func (nd *Node) Status(ctx context.Context, forwarded bool) *wirepb.StatusResponse {
 	if !nd.isRelay() && !forwarded {
 		for _, addr := range nd.outgoing() {
@@ -261,7 +261,7 @@
 	return res
 }
 
-// outgoing returns the addresses of the links that this daemon has opened.
+// outgoing returns the addresses of the links opened by this daemon.
 func (nd *Node) outgoing() []string {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
--- a/internal/mesh/ctrl/tallies.go
+++ b/internal/mesh/ctrl/tallies.go
@@ -12,23 +12,23 @@
 const (
 	// tallyInterval is how often counts are sent while a rollout is in progress.
 	tallyInterval = 300 * time.Millisecond
-	// tallyTTL is how long the counts of a VM or failure domain hold.
+	// tallyTTL is how long the counts of a VM or failure domain remain valid.
 	tallyTTL = 3 * time.Second
-	// serversPerTick is how many servers' counts a relay sends to those of other failure
-	// domains in tallyInterval; it sends those of more servers less often, but at least
-	// once in maxSumTicks intervals.
+	// serversPerTick is the number of servers whose counts a relay sends to other failure domains
+	// in each tallyInterval. With more servers it sends less often, but at least once in
+	// maxSumTicks intervals.
 	serversPerTick = 16
 	maxSumTicks    = 4
 )
 
-// Counts is what the VM's own backend server did.
+// Counts has the request counts of the VM's backend server.
 type Counts struct {
 	Service, Software string
 	tally.Cohort
 }
 
-// tallies has the counts of the VMs of the own failure domain and the sums of the others.
-// The node's mu guards it.
+// tallies has the counts of the VMs of the local failure domain and the sums of the other ones. It
+// is guarded by the node's mu.
 type tallies struct {
 	vms     map[string]heardTally
 	domains map[string]heardTally
@@ -36,14 +36,14 @@
 	sent map[string]time.Time
 }
 
-// heardTally is a message with when it came.
+// heardTally is a received message with its time of arrival.
 type heardTally struct {
 	*wirepb.Tally
 	at time.Time
 }
 
-// replacedBy reports whether counts take the place of those that are kept: later ones of the same
-// relay, or those of another relay once the former has sent none for a while.
+// replacedBy reports whether new counts replace these: later ones of the same relay, or those of
+// another relay once the previous one has been silent for a while.
 func (ht heardTally) replacedBy(ta *wirepb.Tally, now time.Time) bool {
 	if ht.Process == ta.Process {
 		return ta.Stamp > ht.Stamp
@@ -51,11 +51,11 @@
 	return now.Sub(ht.at) > sumInterval(len(ht.Cohorts))+2*tallyInterval
 }
 
-// nextStamp returns a number that rises with each message of this process.
+// nextStamp returns a number that increases with each message of this process.
 func (nd *Node) nextStamp() uint64 { return nd.stamps.Add(1) }
 
-// runTallies sends counts while the rollout of any service is in progress: those of the own
-// backend server to the relays of the failure domain, and their sum to all other relays.
+// runTallies sends counts while any rollout is in progress: those of the VM's backend server to the
+// relays of the failure domain, and their sum to the relays of the others.
 func (nd *Node) runTallies(ctx context.Context) {
 	tick := time.NewTicker(tallyInterval)
 	defer tick.Stop()
@@ -93,7 +93,8 @@
 	}
 }
 
-// sumInterval returns how often the counts of some servers are sent to other failure domains.
+// sumInterval returns how often the counts of the given number of servers are sent to other failure
+// domains.
 func sumInterval(servers int) time.Duration {
 	return tallyInterval * time.Duration(min(maxSumTicks, max(1, (servers+serversPerTick-1)/serversPerTick)))
 }
@@ -106,8 +107,8 @@
 	}
 }
 
-// sendSum sends the counts of the own failure domain to the relays of the others, unless it
-// has done so lately.
+// sendSum sends the counts of the local failure domain to the relays of the others, unless it did
+// so within sumInterval.
 func (nd *Node) sendSum(service string, now time.Time) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
@@ -129,7 +130,7 @@
 	}
 }
 
-// domainSum gathers the counts of the own failure domain; nd.mu is held.
+// domainSum adds up the counts of the local failure domain; nd.mu is held.
 func (nd *Node) domainSum(service string, now time.Time) tally.Sum {
 	sum := tally.Sum{}
 	for vm, ht := range nd.tallies.vms {
@@ -148,7 +149,7 @@
 	return sum
 }
 
-// tallySums returns the counts of all failure domains that are heard.
+// tallySums returns the valid counts of all failure domains.
 func (nd *Node) tallySums(service string, now time.Time) map[string]tally.Sum {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
@@ -164,7 +165,8 @@
 	return sums
 }
 
-// handleTally takes counts of a VM or failure domain and passes them on within the own one.
+// handleTally records the counts of a VM or failure domain and forwards them within the local
+// failure domain.
 func (nd *Node) handleTally(from *link.Peer, ta *wirepb.Tally, now time.Time) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
--- a/internal/mesh/ctrl/traffic.go
+++ b/internal/mesh/ctrl/traffic.go
@@ -9,8 +9,8 @@
 	"github.com/flamingomast/flamingomast/internal/mesh/wirepb"
 )
 
-// countSent counts the bytes of a packet by what they say and by whether they leave the
-// failure domain. Fields of one packet share its framing, which is not counted.
+// countSent counts the bytes of a sent packet by kind and by whether they leave the failure domain.
+// The framing shared by the fields of a packet is not counted.
 func (nd *Node) countSent(pr *link.Peer, pk *wirepb.Packet) {
 	scope := "within/"
 	nd.mu.Lock()
@@ -38,7 +38,7 @@
 	nd.Traffic.Add(scope+"packets", 1)
 }
 
-// fieldOverhead is what the key and the length of a short field take on the wire.
+// fieldOverhead is the size of the key and length of a short field on the wire.
 const fieldOverhead = 2
 
 func sizeOf[M proto.Message](ms M) int { return proto.Size(ms) }
@@ -50,5 +50,5 @@
 	return n
 }
 
-// newTraffic returns an empty count of bytes.
+// newTraffic returns an empty map of byte counts.
 func newTraffic() *expvar.Map { return new(expvar.Map).Init() }
--- a/internal/mesh/ctrl/watcher.go
+++ b/internal/mesh/ctrl/watcher.go
@@ -14,24 +14,23 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// The times of the watcher.
+// Timing of the watcher.
 const (
-	// minRetry and maxRetry bound the wait after failed calls, which doubles
-	// from the one to the other. The first is short since a watch that was cut
-	// off costs a read at once; the most keeps a daemon that the platform turns
-	// away at two calls a second, and maxStandbyRetry one that only stands in for
-	// others.
+	// minRetry and maxRetry bound the wait after failed calls, which doubles between them. The
+	// first wait is short, since a watch that is interrupted needs a new read at once. The upper
+	// bound limits a daemon whose calls the platform rejects to two calls a second; maxStandbyRetry
+	// is the bound for one that only follows in place of others.
 	minRetry        = 50 * time.Millisecond
 	maxRetry        = 500 * time.Millisecond
 	maxStandbyRetry = 2 * time.Second
-	// turnPollFast is how often a daemon that does not follow the platform looks whether it is
-	// its turn, while that may change from one moment to the next, and turnPollSlow how often
-	// otherwise; news of those who follow comes in between.
+	// turnPollFast is how often a daemon that does not follow the store checks whether it should
+	// while that can change at any moment, and turnPollSlow how often otherwise. Messages about the
+	// current followers trigger the check in between.
 	turnPollFast = 50 * time.Millisecond
 	turnPollSlow = 500 * time.Millisecond
-	// relaySilence is how long a daemon may hear no relay before it follows the platform
-	// itself: a beat and a half, so that a version accepted while all its relays
-	// are frozen is still in force within two seconds.
+	// relaySilence is how long a daemon may hear no relay before it follows the store itself: one
+	// and a half times link.Beat, so that a version accepted while all its relays are frozen is
+	// still in force within two seconds.
 	relaySilence = link.Beat + link.Beat/2
 )
 
@@ -40,22 +39,21 @@
 	nd       *Node
 	turn     follow.Turn
 	failures int
-	// lastAnnounced is when the others were told last that it follows.
+	// lastAnnounced is when the other relays were last told that this daemon follows the store.
 	lastAnnounced time.Time
-	// order is that of the relays among the members orderView.
+	// order is the order of the relays among the members of orderView.
 	order     []string
 	orderView *member.View
 }
 
-// orders is what the store showed last, and the version of it, 0 for none.
+// storeObservation is the last revision that the store showed, and the version in it, 0 for none.
 type storeObservation struct {
 	revision store.Revision
 	version  uint64
 }
 
-// runWatcher follows the platform while it is this daemon's turn. Two relays of the mesh
-// do, so the platform's load depends neither on the number of VMs nor on that of failure
-// domains.
+// runWatcher follows the store while it is this daemon's turn. Only two relays of the mesh do so,
+// and hence the platform's load does not depend on the number of VMs or failure domains.
 func (nd *Node) runWatcher(ctx context.Context) {
 	wt := &watcher{nd: nd}
 	for ctx.Err() == nil {
@@ -99,7 +97,7 @@
 	})
 }
 
-// turnPollInterval returns after which time it may be this daemon's turn.
+// turnPollInterval returns the time after which to check again whether it is this daemon's turn.
 func (wt *watcher) turnPollInterval(isRelay bool) time.Duration {
 	nd := wt.nd
 	switch {
@@ -111,8 +109,8 @@
 	return max(turnPollFast, relaySilence-time.Since(nd.relayLastHeard()))
 }
 
-// maxRetry returns how long the wait after failed calls may get. Those who follow the
-// store as a rule find it back soon, and tell the others.
+// maxRetry returns the upper bound of the wait after failed calls. The regular followers use the
+// shorter one, so that they soon notice when the store answers again, and tell the others.
 func (wt *watcher) maxRetry(isRelay bool) time.Duration {
 	if isRelay && follow.Position(wt.nd.cf.VM, wt.relayOrder()) >= follow.Enough {
 		return maxStandbyRetry
@@ -120,10 +118,10 @@
 	return maxRetry
 }
 
-// hearsRelay reports whether a relay sent something lately.
+// hearsRelay reports whether a relay has sent anything within relaySilence.
 func (nd *Node) hearsRelay() bool { return time.Since(nd.relayLastHeard()) < relaySilence }
 
-// relayLastHeard returns when a relay sent something last, the zero time for none.
+// relayLastHeard returns when a relay last sent anything, the zero time if none has.
 func (nd *Node) relayLastHeard() (last time.Time) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
@@ -135,7 +133,7 @@
 	return last
 }
 
-// watchOnce waits for another value of the source's key and takes its version.
+// watchOnce waits for the source's key to change and adopts its version.
 func (wt *watcher) watchOnce(ctx context.Context) error {
 	nd := wt.nd
 	src := &nd.cf.Source
@@ -154,7 +152,7 @@
 	case errors.As(err, &se):
 		return err
 	case err != nil:
-		// Reading it again would show the same; the version held stays.
+		// Reading the value again would give the same error; the held version stays in force.
 		nd.log.Error("version-unreadable", slog.Uint64("version", version), slog.Any("error", err))
 		nd.Board.Refused.Set(&board.Refusal{Version: version, Reason: err.Error()})
 		nd.setObserved(ent.Revision, 0)
@@ -168,7 +166,7 @@
 	return nd.handleRead(ctx, began, version)
 }
 
-// handleRead takes that a read of the store which began at a moment showed a version.
+// handleRead processes that a read of the store which began at the given time returned a version.
 func (nd *Node) handleRead(ctx context.Context, began time.Time, version uint64) error {
 	if err := nd.checkEpoch(ctx, version); err != nil {
 		return err
@@ -197,9 +195,9 @@
 	})
 }
 
-// recordPlatformVersion compares the platform's version with the newest known. A
-// platform that was restored from a backup shows an older one; no daemon
-// follows it, and the operators are told.
+// recordPlatformVersion compares the platform's version with the newest known one. A platform that
+// was restored from a backup shows an older version; daemons do not adopt it, and the operators are
+// notified.
 func (nd *Node) recordPlatformVersion(version uint64) {
 	latest := nd.Board.LatestVersion()
 	behind := version < latest
@@ -211,7 +209,7 @@
 	})
 }
 
-// runCompiler puts the newest version in force here once it compiles.
+// runCompiler installs the newest version once it compiles.
 func (nd *Node) runCompiler(ctx context.Context) {
 	var tried uint64
 	for {
@@ -238,14 +236,13 @@
 	}
 }
 
-// compilerCacheTTL is how long what speeds up the next version is kept: versions come in
-// quick succession, and what is kept grows with the routes.
+// compilerCacheTTL is how long the compiler keeps data that speeds up the next version. Versions
+// tend to come in quick succession, and the data grows with the number of routes.
 const compilerCacheTTL = 10 * time.Second
 
-// compile builds the whole snapshot before it swaps one pointer, so that no
-// request sees a version in part. A version that this release cannot compile
-// is refused whole, and the one held stays; it is passed on to others all the
-// same, since another release may know it.
+// compile builds the complete snapshot before it swaps a single pointer, so that no request sees
+// part of a version. A version that this release cannot compile is refused as a whole, and the held
+// one stays in force. The refused version is still forwarded, since another release may support it.
 func (nd *Node) compile(cfg *board.Config) {
 	start := time.Now()
 	sn, err := nd.cf.Compile(cfg.Version, cfg.Content, nd.cf.Domain)
@@ -269,9 +266,9 @@
 	nd.wakeLinker()
 }
 
-// pruneMembers drops the records of VMs that have gone and are no longer
-// declared, so that what is kept is bounded by the inventory. Where no inventory
-// lists the VMs, the number of the dead is bounded by that of the living.
+// pruneMembers drops the records of VMs that have gone and are no longer declared, so that the
+// inventory bounds the number of records. If no inventory lists the VMs, the number of live members
+// bounds that of dead ones.
 func (nd *Node) pruneMembers(vw *member.View) *member.View {
 	sn := nd.Board.Held.Get()
 	if len(sn.VMs) == 0 {
@@ -283,6 +280,6 @@
 	})
 }
 
-// maxDeadRecords is how many records of VMs that have gone are kept beyond as many as
-// there are live ones: a day's replacements at the size of the target.
+// maxDeadRecords is how many records of dead VMs are kept in addition to the number of live ones:
+// about a day's replacements in the largest planned mesh.
 const maxDeadRecords = 256
