--- /dev/null
+++ b/internal/mesh/ctrl/crashes.go
@@ -0,0 +1,92 @@
+package ctrl
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"github.com/flamingomast/flamingomast/internal/mesh/link"
+	"github.com/flamingomast/flamingomast/internal/mesh/poison"
+	"github.com/flamingomast/flamingomast/internal/path/ident"
+	"github.com/flamingomast/flamingomast/internal/stat/logs"
+)
+
+// maxInitialReports is the number of requests whose crash reports a new peer is sent, the worst
+// first.
+const maxInitialReports = 128
+
+// singleCrashRate and singleCrashBurst bound how many reports of requests that only one server
+// crashed under a daemon forwards per second. When all servers crash repeatedly, as with a faulty
+// version, each crash involves requests not seen before, and their reports would fill the links of
+// the relays. A request that more than one server crashed under is always reported.
+const (
+	singleCrashRate  = 10
+	singleCrashBurst = 200
+)
+
+// ReportEnds informs all daemons of requests that were running when a backend server crashed, or
+// that have been answered since.
+func (nd *Node) ReportEnds(list []poison.Report) { nd.handleCrashReports(nil, list) }
+
+// handleCrashReports merges reports of a peer, or this daemon's own, and forwards the new ones.
+// Like records, reports reach all daemons through the relays.
+func (nd *Node) handleCrashReports(from *link.Peer, list []poison.Report) {
+	var added []poison.Report
+	var before, after *poison.View
+	nd.Board.Poison.Update(func(vw *poison.View) *poison.View {
+		before = vw
+		after, added = vw.Merge(list, time.Now())
+		return after
+	})
+	if len(added) == 0 {
+		return
+	}
+	forward := nd.reportsToForward(added, before, after)
+	nd.eachPeer(func(pr *link.Peer) {
+		if pr != from {
+			pr.SendEnds(forward)
+		}
+	})
+	keys := map[ident.Key]bool{}
+	for _, re := range added {
+		keys[re.Key] = true
+	}
+	for key := range keys {
+		nd.handlePoisonChange(key, before.Ends(key), after.Ends(key))
+	}
+}
+
+// reportsToForward selects the reports to forward from those added between two views. Of a request
+// that more than one server crashed under it returns all known reports, since the first one may not
+// have been forwarded; reports of a single crash are subject to singleCrashLimiter.
+func (nd *Node) reportsToForward(added []poison.Report, before, after *poison.View) (forward []poison.Report) {
+	dropped := 0
+	for _, re := range added {
+		switch {
+		case after.Ends(re.Key) > 1:
+			forward = append(forward, after.Of(re.Key)...)
+		case before.Ends(re.Key) > 1, nd.singleCrashLimiter.Allow():
+			forward = append(forward, re)
+		default:
+			dropped++
+		}
+	}
+	if dropped > 0 {
+		nd.log.Warn("ends-not-told", slog.Int("requests", dropped))
+	}
+	return forward
+}
+
+// handlePoisonChange logs that a request is now refused as poison, or is accepted again, and
+// schedules an update of the platform's store.
+func (nd *Node) handlePoisonChange(key ident.Key, before, after int) {
+	event, level := logs.PoisonFound, slog.LevelWarn
+	switch {
+	case (before < poison.Most) == (after < poison.Most):
+		return
+	case after < poison.Most:
+		event, level = logs.PoisonCleared, slog.LevelInfo
+	}
+	nd.log.LogAttrs(context.Background(), level, event, slog.String(logs.Key, key.String()), slog.Int(logs.Ends, after))
+	nd.poison.due.Store(true)
+}
--- a/internal/mesh/ctrl/follow.go
+++ b/internal/mesh/ctrl/follow.go
@@ -13,49 +13,50 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// The times of a process that starts.
+// How long a process that starts leaves it to other daemons to read the store.
 const (
-	// lookTime is how long it waits for its first look at the directory. While the
-	// store does not answer there is nothing to follow either.
-	lookTime = time.Second
-	// bootPatience is how long it waits for a link to others that may bring the
-	// configuration, and bootLonger for the configuration once it has one: the first
-	// ones of a failure domain have read it by then. When each daemon of a herd
-	// reads it by itself, the store is busy for seconds. One that has read it leaves the
-	// store to the relays for as long.
-	bootPatience = 1200 * time.Millisecond
-	bootLonger   = 2 * time.Second
-	// bootRelay is how long one that holds a configuration waits for its failure
-	// domain to have relays.
-	bootRelay = 4 * time.Second
+	// startDirectoryWait is how long it waits for its first directory look-up. While the store does
+	// not answer, there is nothing to follow either.
+	startDirectoryWait = time.Second
+	// startLinkWait is how long it waits for a link to a daemon that may supply the configuration,
+	// and startConfigWait how long it then waits for the configuration: the first daemons of a
+	// failure domain have read it by then. If every one of many daemons starting together read it
+	// from the store, the store would be busy for seconds. A daemon that has read the configuration
+	// itself leaves the store to the relays for startConfigWait as well.
+	startLinkWait   = 1200 * time.Millisecond
+	startConfigWait = 2 * time.Second
+	// startRelayWait is how long a daemon that holds a configuration waits for its failure domain
+	// to have relays.
+	startRelayWait = 4 * time.Second
 )
 
-// stance is what a process that starts has seen in the directory.
-type stance int
+// startRole says whether a process that starts reads the store itself, according to its first
+// directory look-up.
+type startRole int
 
-// The stances of a process that starts.
+// The start roles.
 const (
-	// looking: it has not seen the directory yet.
-	looking stance = iota
-	// leading: its failure domain has nobody else there, or its VM was there before the
-	// process was replaced. It reads the store for the others.
-	leading
-	// waiting: others are there, who may bring the configuration.
-	waiting
+	// startUndecided means that the directory has not been read yet.
+	startUndecided startRole = iota
+	// startReader means that no other daemon of the failure domain is registered, or that the VM
+	// itself was, before its process was replaced. The process reads the store for the others.
+	startReader
+	// startWaiter means that others are registered, which may supply the configuration.
+	startWaiter
 )
 
-// stanceOf returns the stance of a daemon that found the others of its failure domain,
-// and maybe its own VM, in the directory.
-func stanceOf(others []string, own bool) stance {
+// startRoleFor returns the start role of a daemon that found the given other daemons of its failure
+// domain in the directory; own says whether it also found its own VM.
+func startRoleFor(others []string, own bool) startRole {
 	if own || len(others) == 0 {
-		return leading
+		return startReader
 	}
-	return waiting
+	return startWaiter
 }
 
-// mayFollow reports whether this daemon follows the store now: a relay when it is its
-// turn, another one while it hears no relay.
-func (wt *watcher) mayFollow(isRelay bool) bool {
+// shouldFollow reports whether this daemon should follow the store now: a relay when it is its
+// turn, any other daemon while it hears no relay.
+func (wt *watcher) shouldFollow(isRelay bool) bool {
 	nd, now := wt.nd, time.Now()
 	if isRelay {
 		order := wt.relayOrder()
@@ -64,34 +65,34 @@
 		return wt.turn.Due(nd.cf.VM, order, &nd.followers, now)
 	}
 	wt.turn = follow.Turn{}
-	return !nd.hearsRelay() && !nd.waitsForOthers(now.Sub(nd.started))
+	return !nd.hearsRelay() && !nd.defersToOthers(now.Sub(nd.started))
 }
 
-// waitsForOthers reports whether a process of an age leaves it to others of its failure
+// defersToOthers reports whether a process of the given age leaves it to others of its failure
 // domain to read the store.
-func (nd *Node) waitsForOthers(age time.Duration) bool {
+func (nd *Node) defersToOthers(age time.Duration) bool {
 	nd.mu.Lock()
-	st, linked := nd.starting, len(nd.peers) > 0
+	st, linked := nd.startRole, len(nd.peers) > 0
 	nd.mu.Unlock()
 	switch {
-	case st == leading:
-		// It has read the store for the others. Who follows it for good is soon known.
-		return linked && nd.Board.Held.Get() != nil && age < bootLonger
-	case st == looking && !linked:
-		return age < lookTime
+	case st == startReader:
+		// It has read the store for the others. Which daemons follow it from now on is soon known.
+		return linked && nd.Board.Held.Get() != nil && age < startConfigWait
+	case st == startUndecided && !linked:
+		return age < startDirectoryWait
 	case !linked:
-		return age < bootPatience
+		return age < startLinkWait
 	case nd.Board.Held.Get() == nil:
-		return age < bootLonger
+		return age < startConfigWait
 	}
-	return age < bootRelay
+	return age < startRelayWait
 }
 
-// relayOrder returns the relays of all failure domains in the order in which they
-// follow the store.
+// relayOrder returns the relays of all failure domains in the order in which they take turns
+// following the store.
 func (wt *watcher) relayOrder() []string {
 	vw := wt.nd.Board.Members.Get()
-	if wt.orderOf == vw {
+	if wt.orderView == vw {
 		return wt.order
 	}
 	var domains []string
@@ -107,21 +108,21 @@
 		}
 		relays = append(relays, own)
 	}
-	wt.order, wt.orderOf = follow.Order(relays), vw
+	wt.order, wt.orderView = follow.Order(relays), vw
 	return wt.order
 }
 
-// announceFollow tells the other relays that the store answered this daemon, now and then
-// while it does, or that it no longer does.
+// announceFollow tells the other relays that the store answers this daemon, about every
+// follow.TellEvery, or at once that it no longer does.
 func (wt *watcher) announceFollow(err error) {
 	nd, now := wt.nd, time.Now()
 	fo := link.Follow{VM: nd.cf.VM, At: now, Lost: err != nil}
-	if !fo.Lost && now.Sub(wt.told) < follow.TellEvery-follow.Wait/2 {
+	if !fo.Lost && now.Sub(wt.lastAnnounced) < follow.TellEvery-follow.Wait/2 {
 		return
 	}
-	wt.told = now
+	wt.lastAnnounced = now
 	if fo.Lost {
-		wt.told = time.Time{}
+		wt.lastAnnounced = time.Time{}
 	}
 	if pl := nd.Board.Platform.Get(); pl != nil {
 		fo.Version, fo.Behind = pl.Version, pl.Behind
@@ -129,14 +130,14 @@
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	if nd.recordFollow(fo) {
-		nd.passFollow(fo, nil)
+		nd.forwardFollow(fo, nil)
 	}
 }
 
-// passFollow sends news of a daemon that follows to the other relays. What came from
-// another failure domain is passed on within the own one, and no further: each relay has
-// a link to the others of its own, and one to each other failure domain. nd.mu is held.
-func (nd *Node) passFollow(fo link.Follow, from *link.Peer) {
+// forwardFollow sends the state of a daemon that follows the store to the other relays. State from
+// another failure domain is forwarded only within the local one: each relay has links to the other
+// relays of its own failure domain and one to each other failure domain. nd.mu is held.
+func (nd *Node) forwardFollow(fo link.Follow, from *link.Peer) {
 	for pr := range nd.peers {
 		if !pr.Relay || pr == from {
 			continue
@@ -147,34 +148,35 @@
 	}
 }
 
-// recordFollow keeps news of a daemon that follows, and reports whether it is any; nd.mu is
-// held.
+// recordFollow records the state of a daemon that follows the store, and reports whether it is new;
+// nd.mu is held.
 func (nd *Node) recordFollow(fo link.Follow) bool {
 	if fo.Lost {
-		nd.lookSoon()
+		nd.wakeWatcher()
 		return nd.followers.Lost(fo.VM, fo.At)
 	}
 	return nd.followers.Answered(fo.VM, fo.At)
 }
 
-// handleFollow notes that a daemon follows the store, or no longer does.
+// handleFollow handles a message that a daemon follows the store, or no longer does.
 func (nd *Node) handleFollow(from *link.Peer, fo link.Follow) {
 	if !nd.isRelay() || fo.VM == nd.cf.VM {
 		return
 	}
 	nd.mu.Lock()
-	news := nd.recordFollow(fo)
-	if news {
-		nd.passFollow(fo, from)
+	changed := nd.recordFollow(fo)
+	if changed {
+		nd.forwardFollow(fo, from)
 	}
 	nd.mu.Unlock()
-	if news && !fo.Lost && fo.Version > 0 {
-		nd.recordStore(fo)
+	if changed && !fo.Lost && fo.Version > 0 {
+		nd.recordRemotePlatform(fo)
 	}
 }
 
-// recordStore keeps what another daemon saw in the store, where this one does not look.
-func (nd *Node) recordStore(fo link.Follow) {
+// recordRemotePlatform records what another daemon saw in the store, on a daemon that does not read
+// it itself.
+func (nd *Node) recordRemotePlatform(fo link.Follow) {
 	nd.Board.Platform.Update(func(cur *board.Platform) *board.Platform {
 		if cur != nil && cur.Err == nil && cur.Version == fo.Version && cur.Behind == fo.Behind {
 			return cur
@@ -183,19 +185,19 @@
 	})
 }
 
-// loseFollower notes that the last link to a relay broke: if it followed the store, it
-// may be gone, and those who stand in must not wait until its word is too old. The first
-// ones to stand in have links to those who follow, so nobody else is told.
-func (nd *Node) loseFollower(pr *link.Peer) {
+// handleRelayLoss handles the loss of the last link to a relay. If the relay followed the store it
+// may be gone, and its replacements must not wait until its last message has expired. The first
+// replacements in order have links to the followers themselves, so nobody else is told.
+func (nd *Node) handleRelayLoss(pr *link.Peer) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	if pr.Relay && !nd.linkedToVM(pr.Record.VM) {
 		nd.followers.Lost(pr.Record.VM, time.Now())
-		nd.lookSoon()
+		nd.wakeWatcher()
 	}
 }
 
-// linkedToVM reports whether a link leads to a VM; nd.mu is held.
+// linkedToVM reports whether there is a link to a VM; nd.mu is held.
 func (nd *Node) linkedToVM(vm string) bool {
 	for pr := range nd.peers {
 		if pr.Record.VM == vm {
@@ -205,106 +207,106 @@
 	return false
 }
 
-// proof is when the store was asked last for the operators' newest version and gave
-// it, for a platform whose store is never set back.
-type proof struct {
+// freshRead is the last read of the store that confirmed the operators' newest version, for sources
+// whose reads are linearizable.
+type freshRead struct {
 	at      time.Time
 	version uint64
 }
 
-// recordProof keeps that a read of the store which began at a moment showed the newest
-// version, and tells the peers whose processes ran by then: they may hold that version,
-// since none that a former process of their VM held can be newer.
-func (nd *Node) recordProof(began time.Time, version uint64) {
-	if !nd.cf.Source.Newest || version == 0 || version < nd.Board.LatestVersion() || !nd.complete() {
+// recordFreshRead records that a read of the store which began at the given time returned the
+// newest version, and tells the peers whose processes were running by then. They may install that
+// version, since no previous process of their VM can have held a newer one.
+func (nd *Node) recordFreshRead(began time.Time, version uint64) {
+	if !nd.cf.Source.Newest || version == 0 || version < nd.Board.LatestVersion() || !nd.storeComplete() {
 		return
 	}
 	nd.Board.RaiseFloor(version, true)
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
-	nd.proof = proof{at: began, version: version}
+	nd.freshRead = freshRead{at: began, version: version}
 	for pr := range nd.peers {
-		nd.proveTo(pr)
+		nd.sendNewest(pr)
 	}
 }
 
-// proveTo tells a peer the newest version, once on each link, if it was read after the
-// peer's process started; nd.mu is held.
-func (nd *Node) proveTo(pr *link.Peer) {
-	if pr.Proven || nd.proof.version == 0 || pr.Born.IsZero() || earlier(nd.proof.at, pr.Born) {
+// sendNewest tells a peer the newest version, once per link, if it was read after the peer's
+// process started; nd.mu is held.
+func (nd *Node) sendNewest(pr *link.Peer) {
+	if pr.Proven || nd.freshRead.version == 0 || pr.Born.IsZero() || mayPrecede(nd.freshRead.at, pr.Born) {
 		return
 	}
 	pr.Proven = true
-	version := nd.proof.version
+	version := nd.freshRead.version
 	pr.Next(func(pk *wirepb.Packet) { pk.Newest = version })
 }
 
-// earlier reports whether a time may be before another one. A process that was suspended
-// between the two takes them for closer than they are by its steady clock, which the
-// clock of the wall shows.
-func earlier(a, b time.Time) bool { return a.Before(b) || a.Round(0).Before(b.Round(0)) }
+// mayPrecede reports whether time a may be before time b. If the process was suspended between
+// them, the monotonic clock shows a smaller difference than the wall clock, so both are compared.
+func mayPrecede(a, b time.Time) bool { return a.Before(b) || a.Round(0).Before(b.Round(0)) }
 
-// runProofs reads the store for peers that start while there is no relay to tell them
-// what they may hold. A read that finds nothing new carries no value.
-func (nd *Node) runProofs(ctx context.Context) {
+// runFreshReads reads the store on behalf of peers that start while there is no relay to tell them
+// which version they may install. A read that finds no change transfers no value.
+func (nd *Node) runFreshReads(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-nd.unproven:
+		case <-nd.freshReadWanted:
 		}
-		if pause(ctx, proofGather) != nil {
+		if pause(ctx, freshReadBatchTime) != nil {
 			return
 		}
-		seen, version := nd.seenVersion()
+		rev, version := nd.lastObserved()
 		if version == 0 {
-			// The first read is under way, and will be told to them.
+			// The first read is in progress, and its result will be sent to them.
 			continue
 		}
 		began := time.Now()
-		ent, err := nd.cf.Store.Watch(ctx, nd.cf.Source.Key, seen, 0)
-		if err == nil && ent.Revision == seen {
-			nd.recordProof(began, version)
+		ent, err := nd.cf.Store.Watch(ctx, nd.cf.Source.Key, rev, 0)
+		if err == nil && ent.Revision == rev {
+			nd.recordFreshRead(began, version)
 		}
 	}
 }
 
-// proofGather is how long a read for peers that start waits for more of them.
-const proofGather = 50 * time.Millisecond
+// freshReadBatchTime is how long a read on behalf of starting peers is delayed so that it serves
+// more of them.
+const freshReadBatchTime = 50 * time.Millisecond
 
-// wantProof asks for a read for a peer that starts.
-func (nd *Node) wantProof() {
+// requestFreshRead requests a read of the store on behalf of a peer that starts.
+func (nd *Node) requestFreshRead() {
 	select {
-	case nd.unproven <- struct{}{}:
+	case nd.freshReadWanted <- struct{}{}:
 	default:
 	}
 }
 
-// seenVersion returns the revision that the store showed last, and its version.
-func (nd *Node) seenVersion() (store.Revision, uint64) {
+// lastObserved returns the revision that the store showed last, and the version in it.
+func (nd *Node) lastObserved() (store.Revision, uint64) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
-	return nd.seen.revision, nd.seen.version
+	return nd.observed.revision, nd.observed.version
 }
 
-// setStance notes what the first look at the directory showed.
-func (nd *Node) setStance(st stance) {
+// setStartRole records the result of the first directory look-up.
+func (nd *Node) setStartRole(st startRole) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
-	if nd.starting == looking {
-		nd.starting = st
+	if nd.startRole == startUndecided {
+		nd.startRole = st
 	}
 }
 
-// lookSoon lets the watcher look whether it is this daemon's turn.
-func (nd *Node) lookSoon() {
+// wakeWatcher makes the watcher check whether it should follow the store.
+func (nd *Node) wakeWatcher() {
 	select {
-	case nd.lookAgain <- struct{}{}:
+	case nd.watcherWake <- struct{}{}:
 	default:
 	}
 }
 
-// fromWireFollow reads when the store answered a daemon.
+// fromWireFollow decodes the state of a daemon that follows the store.
 func fromWireFollow(pb *wirepb.Follow, now time.Time) link.Follow {
 	age := time.Duration(min(pb.GetAgeMs(), uint64(time.Hour.Milliseconds()))) * time.Millisecond
 	return link.Follow{VM: pb.GetVm(), At: now.Add(-age), Lost: pb.GetLost(), Version: pb.GetVersion(), Behind: pb.GetBehind()}
--- a/internal/mesh/ctrl/linker.go
+++ b/internal/mesh/ctrl/linker.go
@@ -15,55 +15,53 @@
 	"github.com/flamingomast/flamingomast/internal/mesh/wirepb"
 )
 
-// The times of the linker.
+// Timing of the linker.
 const (
-	// linkTick is how often links are looked at while any is not as it should
-	// be, idleTick how often otherwise; news of members comes in between.
+	// linkTick is how often links are reconciled while any of them needs a change, and idleTick how
+	// often otherwise. Changes of members trigger it in between.
 	linkTick = 250 * time.Millisecond
 	idleTick = 5 * time.Second
-	// firstBackoff and mostBackoff bound the wait before an address is tried
-	// again; the wait is drawn from the whole range below the bound, so that
-	// daemons which lost one relay together do not come back together.
-	firstBackoff = 200 * time.Millisecond
-	mostBackoff  = 5 * time.Second
-	// failingFor is how long failed attempts count against an address.
-	failingFor = 10 * time.Second
-	// stable is how long a link must last for its backoff to start anew.
-	stable = 5 * time.Second
-	// grace is how long a choice must have changed before a working link or
-	// the role of a relay is given up.
-	grace = 3 * time.Second
-	// promoteAfter is how long a daemon must have been chosen before it becomes
-	// a relay. One that has just started knows few members and is nearly always
-	// among the first three of them.
+	// minBackoff and maxBackoff bound the wait before an address is tried again. The wait is drawn
+	// from the whole range below the bound, so that daemons that lost the same relay do not all
+	// reconnect at once.
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 5 * time.Second
+	// failureTTL is how long failed attempts count against an address.
+	failureTTL = 10 * time.Second
+	// stableAfter is how long a link must last for its backoff to be reset.
+	stableAfter = 5 * time.Second
+	// gracePeriod is how long a choice must stay changed before a working link or the role of relay
+	// is given up.
+	gracePeriod = 3 * time.Second
+	// promoteAfter is how long a daemon must have been chosen before it becomes a relay. A daemon
+	// that has just started knows few members and is nearly always among the first three of them.
 	promoteAfter = time.Second
-	// bootTime is how long a daemon without links looks for others before it
-	// takes itself for the first of its failure domain.
-	bootTime = 1500 * time.Millisecond
+	// discoveryTime is how long a daemon without links searches for others before it assumes that
+	// it is the first one of its failure domain.
+	discoveryTime = 1500 * time.Millisecond
 )
 
-// linker keeps the links that this daemon opens.
+// linker maintains the links that this daemon opens.
 type linker struct {
 	nd      *Node
 	open    map[string]*outLink
 	backoff map[string]*backoff
-	// chosenNow is whether this daemon is among the relays by its own choice,
-	// chosenAt since when.
-	chosenNow bool
-	chosenAt  time.Time
-	ended     chan *outLink
-	dirs      directory
-	// chosen is the choice of relays among the members chosenOf.
-	chosen   []*member.Record
-	chosenOf *member.View
+	// isChosen says whether this daemon counts itself among the relays, chosenSince since when.
+	isChosen    bool
+	chosenSince time.Time
+	ended       chan *outLink
+	directory   directory
+	// ownRelayCache has the relays chosen among the members of ownRelayView.
+	ownRelayCache []*member.Record
+	ownRelayView  *member.View
 }
 
 type outLink struct {
-	addr     string
-	cancel   context.CancelFunc
-	since    time.Time
-	unwanted time.Time
-	// failed is set at the end of a link that never came up or fell silent.
+	addr          string
+	cancel        context.CancelFunc
+	since         time.Time
+	unwantedSince time.Time
+	// failed is set when a link ends that never came up or whose peer fell silent.
 	failed bool
 }
 
@@ -83,50 +81,50 @@
 func (lk *linker) run(ctx context.Context) {
 	for {
 		wait := idleTick
-		if lk.look(ctx) {
+		if lk.reconcile(ctx) {
 			wait = linkTick
 		}
 		select {
 		case <-ctx.Done():
-			lk.drain()
+			lk.waitClosed()
 			return
 		case ol := <-lk.ended:
-			lk.closed(ol)
+			lk.handleClosed(ol)
 		case <-time.After(wait):
-		case <-lk.nd.kick:
+		case <-lk.nd.linkerWake:
 		}
 	}
 }
 
-// drain waits for the links to end after their context has.
-func (lk *linker) drain() {
+// waitClosed waits for the links to end after their context was cancelled.
+func (lk *linker) waitClosed() {
 	for len(lk.open) > 0 {
 		ol := <-lk.ended
 		delete(lk.open, ol.addr)
 	}
 }
 
-func (lk *linker) closed(ol *outLink) {
+func (lk *linker) handleClosed(ol *outLink) {
 	delete(lk.open, ol.addr)
 	bo := lk.backoff[ol.addr]
-	if bo == nil || time.Since(ol.since) > stable {
-		bo = &backoff{bound: firstBackoff}
+	if bo == nil || time.Since(ol.since) > stableAfter {
+		bo = &backoff{bound: minBackoff}
 	} else {
-		bo = &backoff{bound: min(2*bo.bound, mostBackoff)}
+		bo = &backoff{bound: min(2*bo.bound, maxBackoff)}
 	}
 	bo.failed = ol.failed
 	bo.until = time.Now().Add(rand.N(bo.bound))
 	lk.backoff[ol.addr] = bo
 }
 
-// look compares the links that should be open with those that are, and tells
-// whether anything is waiting for its time.
-func (lk *linker) look(ctx context.Context) (waiting bool) {
+// reconcile opens the links that are missing and closes those no longer wanted. It reports whether
+// any change is pending.
+func (lk *linker) reconcile(ctx context.Context) (waiting bool) {
 	if ctx.Err() != nil {
 		return false
 	}
 	now := time.Now()
-	lk.forget(now)
+	lk.pruneBackoff(now)
 	lk.setRole()
 	want := lk.wanted()
 	for _, addr := range want {
@@ -134,50 +132,50 @@
 			continue
 		}
 		waiting = true
-		if lk.ready(addr) {
+		if lk.mayDial(addr) {
 			lk.dial(ctx, addr)
 		}
 	}
 	for _, ol := range lk.open {
 		switch {
 		case slices.Contains(want, ol.addr):
-			ol.unwanted = time.Time{}
-		case ol.unwanted.IsZero():
-			ol.unwanted = now
+			ol.unwantedSince = time.Time{}
+		case ol.unwantedSince.IsZero():
+			ol.unwantedSince = now
 			waiting = true
-		case now.Sub(ol.unwanted) > grace:
+		case now.Sub(ol.unwantedSince) > gracePeriod:
 			ol.cancel()
 		default:
 			waiting = true
 		}
 	}
-	return waiting || !lk.settled() || lk.chosenNow != lk.nd.isRelay()
+	return waiting || !lk.membersKnown() || lk.isChosen != lk.nd.isRelay()
 }
 
-// forget drops the failures that no longer count.
-func (lk *linker) forget(now time.Time) {
+// pruneBackoff deletes failures older than failureTTL.
+func (lk *linker) pruneBackoff(now time.Time) {
 	for addr, bo := range lk.backoff {
-		if now.Sub(bo.until) > failingFor {
+		if now.Sub(bo.until) > failureTTL {
 			delete(lk.backoff, addr)
 		}
 	}
 }
 
-func (lk *linker) ready(addr string) bool {
+func (lk *linker) mayDial(addr string) bool {
 	bo := lk.backoff[addr]
 	return bo == nil || time.Now().After(bo.until)
 }
 
-// failing reports whether the last link to an address failed.
+// failing reports whether the last link to an address failed recently.
 func (lk *linker) failing(addr string) bool {
 	bo := lk.backoff[addr]
-	return bo != nil && bo.failed && time.Since(bo.until) < failingFor
+	return bo != nil && bo.failed && time.Since(bo.until) < failureTTL
 }
 
-// relaysOf returns the relays of a failure domain as far as this daemon can
-// reach them. Only relays mark members as gone: when all relays of a failure
-// domain die together nobody does, and the others would wait for them for ever.
-// So each daemon leaves out those that it cannot reach itself.
+// relaysOf returns the relays of a failure domain among the members that this daemon can reach.
+// Only relays mark members as gone: if all relays of a failure domain die together, nobody marks
+// them, and other daemons would try to reach them for ever. So each daemon leaves out those that it
+// fails to reach.
 func (lk *linker) relaysOf(domain string) []*member.Record {
 	live := lk.nd.Board.Members.Get().Live(domain)
 	failing := func(rc *member.Record) bool { return lk.failing(rc.Control) }
@@ -187,46 +185,46 @@
 	return relay.Choose(live)
 }
 
-// ownRelays returns the relays of the own failure domain. While no link fails
-// the choice depends on the members alone, and is kept. One that leaves out an address
-// which failed is not: a daemon that started before its relays kept to a plain member
-// for good, heard no relay, and followed the store by itself.
+// ownRelays returns the relays of the local failure domain. While no address has failed the choice
+// depends on the members alone, and is cached. A choice that leaves out a failed address must not
+// be cached: with it, a daemon that started before its relays stayed linked to a member that was no
+// relay, heard no relay, and followed the store by itself for good.
 func (lk *linker) ownRelays() []*member.Record {
 	vw := lk.nd.Board.Members.Get()
 	if len(lk.backoff) > 0 {
-		lk.chosenOf = nil
+		lk.ownRelayView = nil
 		return lk.relaysOf(lk.nd.cf.Domain)
 	}
-	if lk.chosenOf != vw || vw == nil {
-		lk.chosenOf, lk.chosen = vw, lk.relaysOf(lk.nd.cf.Domain)
+	if lk.ownRelayView != vw || vw == nil {
+		lk.ownRelayView, lk.ownRelayCache = vw, lk.relaysOf(lk.nd.cf.Domain)
 	}
-	return lk.chosen
+	return lk.ownRelayCache
 }
 
-// setRole makes the daemon a relay once it is chosen, and takes the role away
-// when it has not been chosen for some time.
+// setRole makes the daemon a relay once it has been chosen for promoteAfter, and removes the role
+// once it has not been chosen for gracePeriod.
 func (lk *linker) setRole() {
 	nd := lk.nd
 	chosen := slices.ContainsFunc(lk.ownRelays(), func(rc *member.Record) bool { return rc.VM == nd.cf.VM })
-	if chosen && !lk.settled() {
+	if chosen && !lk.membersKnown() {
 		chosen = false
 	}
 	now := time.Now()
-	if chosen != lk.chosenNow || lk.chosenAt.IsZero() {
-		lk.chosenNow, lk.chosenAt = chosen, now
+	if chosen != lk.isChosen || lk.chosenSince.IsZero() {
+		lk.isChosen, lk.chosenSince = chosen, now
 	}
-	after := grace
+	after := gracePeriod
 	if chosen {
 		after = promoteAfter
 	}
-	if chosen == nd.isRelay() || now.Sub(lk.chosenAt) < after {
+	if chosen == nd.isRelay() || now.Sub(lk.chosenSince) < after {
 		return
 	}
 	nd.Board.Links.Update(func(cur *board.Links) *board.Links {
 		return &board.Links{Relay: chosen, Peers: cur.Peers}
 	})
 	nd.mu.Lock()
-	nd.sumDirty = true
+	nd.summaryDirty = true
 	nd.mu.Unlock()
 	nd.eachPeer(func(pr *link.Peer) {
 		nd.sendHello(pr)
@@ -237,16 +235,16 @@
 	})
 }
 
-// settled reports whether the daemon knows its failure domain well enough to
-// choose: it has a link, or has looked for one long enough.
-func (lk *linker) settled() bool {
+// membersKnown reports whether the daemon knows enough of its failure domain's members to choose
+// relays: it has a link, or has searched for one for discoveryTime.
+func (lk *linker) membersKnown() bool {
 	lk.nd.mu.Lock()
 	linked := len(lk.nd.peers) > 0
 	lk.nd.mu.Unlock()
-	return linked || time.Since(lk.nd.started) > bootTime
+	return linked || time.Since(lk.nd.started) > discoveryTime
 }
 
-// wanted returns the addresses that links should be open to.
+// wanted returns the addresses to which links should be open.
 func (lk *linker) wanted() []string {
 	nd := lk.nd
 	set := map[string]bool{}
@@ -262,11 +260,11 @@
 				add(rc.Control)
 			}
 		}
-		lk.acrossDomains(own, add)
+		lk.addRemoteRelays(own, add)
 	} else {
-		lk.upward(own, add)
+		lk.addUpstream(own, add)
 	}
-	lk.strangers(add)
+	lk.addUndiscovered(add)
 	if len(set) == 0 && lk.alone() {
 		for _, addr := range nd.cf.Seeds {
 			add(addr)
@@ -286,9 +284,9 @@
 	return len(lk.nd.peers) == 0
 }
 
-// upward adds the relay that a plain member is linked to, the first of its own
-// order.
-func (lk *linker) upward(own []*member.Record, add func(string)) {
+// addUpstream adds the relay that a daemon which is no relay links to, the first in an order
+// specific to its VM.
+func (lk *linker) addUpstream(own []*member.Record, add func(string)) {
 	for _, rc := range relay.Order(own, lk.nd.cf.VM) {
 		if rc.VM != lk.nd.cf.VM {
 			add(rc.Control)
@@ -297,10 +295,10 @@
 	}
 }
 
-// acrossDomains adds relays of other failure domains. Of two failure domains
-// the relays of the one first by name open the links, each to those whose rank
-// goes with its own, so that every relay has one.
-func (lk *linker) acrossDomains(own []*member.Record, add func(string)) {
+// addRemoteRelays adds relays of other failure domains. For each pair of failure domains, the
+// relays of the one whose name sorts first open the links, each to the relays whose rank matches
+// its own, so that every relay has one.
+func (lk *linker) addRemoteRelays(own []*member.Record, add func(string)) {
 	nd := lk.nd
 	rank := slices.IndexFunc(own, func(rc *member.Record) bool { return rc.VM == nd.cf.VM })
 	if rank < 0 {
@@ -309,8 +307,8 @@
 	for _, dm := range nd.otherDomains() {
 		theirs := lk.relaysOf(dm)
 		if dm < nd.cf.Domain {
-			// They open the link; after a cut that may take them a while, and
-			// a relay without any goes ahead.
+			// The other side opens the link. After a partition that may take a while, so a relay
+			// without a link opens one itself.
 			if lk.linkedTo(dm) || len(theirs) == 0 {
 				continue
 			}
@@ -334,38 +332,38 @@
 	return false
 }
 
-// The links to addresses that the directory gave and whose daemons are not known yet.
+// Limits on links to addresses from the directory whose daemons are not known as members yet.
 const (
-	// ownStrangers is how many a daemon opens at a time in its own failure domain.
-	// Whom they lead to makes the others known, so that no more are needed: links of
-	// a herd to every address would each carry every record. Two, so that one may be
-	// to an address where nobody answers.
-	ownStrangers = 2
-	// farStrangers is how many a daemon opens to another failure domain, if it stands
-	// for its own: as a relay, or among the first ones.
-	farStrangers = 1
+	// maxUndiscoveredLocal bounds such links within the local failure domain. The first daemon
+	// reached makes the others known, so more are not needed: if many daemons starting together
+	// linked to every address, each link would carry every record. Two allow for one address at
+	// which nobody answers.
+	maxUndiscoveredLocal = 2
+	// maxUndiscoveredRemote bounds such links to each other failure domain. Only a relay or a
+	// registered daemon opens them.
+	maxUndiscoveredRemote = 1
 )
 
-// strangers adds addresses that the directory gave and whose daemons are not known as
-// members yet, a few at a time and in an order of this daemon's own.
-func (lk *linker) strangers(add func(string)) {
+// addUndiscovered adds directory addresses whose daemons are not known as members yet, a few at a
+// time and in an order specific to this VM.
+func (lk *linker) addUndiscovered(add func(string)) {
 	known := lk.nd.Board.Members.Get()
-	stands := lk.nd.isRelay() || lk.nd.registered.Load()
-	for domain, addrs := range lk.dirs.addresses {
-		most := ownStrangers
+	represents := lk.nd.isRelay() || lk.nd.registered.Load()
+	for domain, addrs := range lk.directory.addresses {
+		limit := maxUndiscoveredLocal
 		if domain != lk.nd.cf.Domain {
-			if !stands {
+			if !represents {
 				continue
 			}
-			most = farStrangers
+			limit = maxUndiscoveredRemote
 		}
 		for _, addr := range relay.OrderAddresses(addrs, lk.nd.cf.VM) {
-			if most == 0 {
+			if limit == 0 {
 				break
 			}
 			if !known.Controls[addr] && !lk.failing(addr) {
 				add(addr)
-				most--
+				limit--
 			}
 		}
 	}
@@ -386,8 +384,8 @@
 	lk.open[addr] = ol
 }
 
-// runLink opens a link and keeps it until it ends. It reports whether the peer
-// failed: the link never came up, or fell silent.
+// runLink opens a link and keeps it until it ends. It reports whether the peer failed: the link
+// never came up, or the peer fell silent.
 func (nd *Node) runLink(ctx context.Context, addr string) (failed bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -397,7 +395,7 @@
 		Receive: bs.Receive,
 		Abort: func() {
 			cancel()
-			// Closing waits for the peer's answer; the context ends that.
+			// Closing waits for the peer's answer, and cancelling the context ends that wait.
 			if err := errors.Join(bs.CloseRequest(), bs.CloseResponse()); err != nil {
 				nd.log.Debug("link-closed", slog.String("address", addr), slog.Any("error", err))
 			}
@@ -405,7 +403,7 @@
 	}, nd.offer)
 	pr.Outgoing, pr.Addr, pr.Sent = true, addr, nd.countSent
 	nd.sendHello(pr)
-	err := pr.Run(ctx, nd.handle)
-	nd.drop(pr, err)
+	err := pr.Run(ctx, nd.handlePacket)
+	nd.removePeer(pr, err)
 	return !pr.Ready || errors.Is(err, link.ErrSilent)
 }
--- a/internal/mesh/ctrl/rollout.go
+++ b/internal/mesh/ctrl/rollout.go
@@ -17,67 +17,67 @@
 )
 
 const (
-	// orderWait is how long a watch of the orders waits.
-	orderWait = 10 * time.Second
+	// orderWatchTimeout is the longest duration of one watch call on the orders.
+	orderWatchTimeout = 10 * time.Second
 	// decideInterval is how often the daemons that follow the store decide on a rollout.
 	decideInterval = 250 * time.Millisecond
-	// settleRelay and settlePlain are how long a daemon follows the store before it watches
-	// the orders, as a relay and as one that hears no relay yet.
-	settleRelay = time.Second
-	settlePlain = 2500 * time.Millisecond
-	// statusRetry is the pause before the state of a rollout is written again.
+	// settleRelay and settleMember are how long a daemon must have followed the store before it
+	// watches the orders, as a relay and as one that hears no relay yet.
+	settleRelay  = time.Second
+	settleMember = 2500 * time.Millisecond
+	// statusRetry is the delay before the state of a rollout is written again after a failure.
 	statusRetry = 300 * time.Millisecond
-	// beganPrefix begins the keys that have when a rollout began, for daemons that start
-	// after all were killed.
+	// beganPrefix is the prefix of the keys with the start times of rollouts, for daemons that
+	// start after all were killed.
 	beganPrefix = "rollout-began/"
 )
 
-// Rollouts says where an operator's orders of rollouts are in the store, and how their state
-// is written there.
+// Rollouts describes where the store has the operators' rollout orders, and how the state of a
+// rollout is stored.
 type Rollouts struct {
-	// Prefix begins the keys of the orders.
+	// Prefix is the prefix of the keys of the orders.
 	Prefix string
 	Read   func(key string, value []byte) (canary.Order, error)
-	// StatusKey is the key of the state of a service's rollout, Encode its value and Decode
-	// reads that.
+	// StatusKey returns the key of the state of a service's rollout; Encode and Decode convert its
+	// value.
 	StatusKey func(service string) string
 	Encode    func(target string, st canary.State) ([]byte, error)
 	Decode    func(value []byte) (target string, st canary.State, err error)
 }
 
-// roller decides on rollouts while this daemon follows the store.
-type roller struct {
+// rolloutController decides on rollouts while this daemon follows the store.
+type rolloutController struct {
 	nd *Node
-	// seen are the orders in the store, at the write given.
-	seen   map[string]canary.Order
-	at     store.Revision
-	trials map[string]*trial
+	// orders are the orders in the store as of ordersRevision.
+	orders         map[string]canary.Order
+	ordersRevision store.Revision
+	evaluations    map[string]*evaluation
 }
 
-// trial is the judgement of one order.
-type trial struct {
+// evaluation is the judgement of one order.
+type evaluation struct {
 	order canary.Order
 	judge *judge.Judge
 	ramp  judge.Ramp
-	// complete is set once the version was found good: that holds though its state is not
-	// written yet.
-	complete bool
-	// writing is set while the state is written.
+	// passed is set once the target version was judged good. It stays set even if the final state
+	// has not been written yet.
+	passed bool
+	// writing is set while the state is being written.
 	writing atomic.Bool
-	// announced is when a decision was sent to the others last.
-	announced time.Time
+	// lastAnnounced is when a decision was last sent to the other daemons.
+	lastAnnounced time.Time
 }
 
-// runRollouts watches the orders and decides, while this daemon follows the store.
+// runRollouts watches the orders and decides on rollouts while this daemon follows the store.
 func (nd *Node) runRollouts(ctx context.Context) {
 	if nd.cf.Source.Rollouts.Prefix == "" {
 		return
 	}
-	ro := &roller{nd: nd, trials: map[string]*trial{}}
+	ro := &rolloutController{nd: nd, evaluations: map[string]*evaluation{}}
 	for ctx.Err() == nil {
 		following, changed := nd.following.Watch()
 		if following == nil || !*following {
-			ro.at = store.Revision{}
+			ro.ordersRevision = store.Revision{}
 			select {
 			case <-changed:
 			case <-ctx.Done():
@@ -86,7 +86,7 @@
 		}
 		select {
 		case <-changed:
-			// One of many that start together and follow the store for a moment.
+			// Many daemons that start together follow the store only for a moment.
 			continue
 		case <-ctx.Done():
 			return
@@ -96,19 +96,20 @@
 	}
 }
 
-// settleTime returns how long this daemon follows the store before it watches the orders.
+// settleTime returns how long this daemon must have followed the store before it watches the
+// orders.
 func (nd *Node) settleTime() time.Duration {
 	if nd.isRelay() {
 		return settleRelay
 	}
-	return settlePlain
+	return settleMember
 }
 
-// follow watches and decides until this daemon no longer follows the store.
-func (ro *roller) follow(ctx context.Context, over <-chan struct{}) {
+// follow watches the orders and decides on rollouts until this daemon no longer follows the store.
+func (ro *rolloutController) follow(ctx context.Context, stopped <-chan struct{}) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	listings, at := make(chan store.Listing), ro.at
+	listings, at := make(chan store.Listing), ro.ordersRevision
 	ro.nd.background(func() { ro.nd.watchOrders(ctx, at, listings) })
 	tick := time.NewTicker(decideInterval)
 	defer tick.Stop()
@@ -116,23 +117,23 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-over:
+		case <-stopped:
 			return
 		case li := <-listings:
-			ro.at = li.At
+			ro.ordersRevision = li.At
 			ro.handleOrders(ctx, li.Items)
 		case <-tick.C:
 		}
-		ro.round(ctx)
+		ro.decideAll(ctx)
 	}
 }
 
-// watchOrders sends each change of the orders until ctx ends.
+// watchOrders sends each change of the orders to listings until ctx ends.
 func (nd *Node) watchOrders(ctx context.Context, at store.Revision, listings chan<- store.Listing) {
 	for ctx.Err() == nil {
-		li, err := nd.cf.Store.WatchAll(ctx, nd.cf.Source.Rollouts.Prefix, at, orderWait)
+		li, err := nd.cf.Store.WatchAll(ctx, nd.cf.Source.Rollouts.Prefix, at, orderWatchTimeout)
 		if err != nil {
-			if pause(ctx, mostRetry) != nil {
+			if pause(ctx, maxRetry) != nil {
 				return
 			}
 			continue
@@ -148,10 +149,10 @@
 	}
 }
 
-// handleOrders takes the orders that the store has.
-func (ro *roller) handleOrders(ctx context.Context, items []store.Item) {
+// handleOrders processes the orders in the store.
+func (ro *rolloutController) handleOrders(ctx context.Context, items []store.Item) {
 	src := &ro.nd.cf.Source.Rollouts
-	ro.seen = map[string]canary.Order{}
+	ro.orders = map[string]canary.Order{}
 	for _, it := range items {
 		or, err := src.Read(it.Key, it.Value)
 		if err != nil {
@@ -159,16 +160,16 @@
 			continue
 		}
 		or.Revision = it.Revision
-		ro.seen[or.Service] = or
+		ro.orders[or.Service] = or
 	}
-	for _, service := range slices.Sorted(maps.Keys(ro.seen)) {
-		ro.handleOrder(ctx, ro.seen[service])
+	for _, service := range slices.Sorted(maps.Keys(ro.orders)) {
+		ro.handleOrder(ctx, ro.orders[service])
 	}
 }
 
-// handleOrder takes an order that the store has. One that is known goes on, also where the store
-// has it anew in another epoch.
-func (ro *roller) handleOrder(ctx context.Context, or canary.Order) {
+// handleOrder processes an order in the store. A known one continues, also if the store has it at a
+// new revision in a later epoch.
+func (ro *rolloutController) handleOrder(ctx context.Context, or canary.Order) {
 	nd := ro.nd
 	cur := nd.Board.Rollouts.Get().Of(or.Service)
 	switch {
@@ -184,16 +185,16 @@
 	if or.Abort {
 		next.State = canary.RolledBack
 	}
-	if known, err := ro.recall(ctx, next); err != nil || !known {
+	if known, err := ro.loadState(ctx, next); err != nil || !known {
 		nd.log.Warn("rollout-began", slog.String(logs.Service, or.Service), slog.String("target", or.Target),
 			slog.Any("baseline", next.Baseline), slog.Duration("duration", or.Duration), slog.Any("error", err))
 	}
 	nd.mergeRollout(nil, next)
 }
 
-// recall takes what the store has of a rollout that no daemon knows: all may have been
-// killed since it began.
-func (ro *roller) recall(ctx context.Context, next *canary.Rollout) (known bool, err error) {
+// loadState loads the stored state of a rollout that no daemon knows: all may have been killed
+// since it began.
+func (ro *rolloutController) loadState(ctx context.Context, next *canary.Rollout) (known bool, err error) {
 	nd, or := ro.nd, &next.Order
 	src := &nd.cf.Source.Rollouts
 	ent, err := nd.cf.Store.Get(ctx, src.StatusKey(or.Service))
@@ -203,7 +204,7 @@
 	target, st, err := src.Decode(ent.Value)
 	older := ent.Revision.Epoch == or.Revision.Epoch && ent.Revision.Number < or.Revision.Number
 	if err != nil || target != or.Target || older {
-		// It is of another order.
+		// The state belongs to another order.
 		return false, err
 	}
 	next.State, next.Stored = st, true
@@ -217,7 +218,7 @@
 	ms, err := strconv.ParseInt(string(ent.Value), 10, 64)
 	age := time.Since(time.UnixMilli(ms))
 	if err != nil || age < 0 || age > or.Duration {
-		// How long it lasts cannot be told any more.
+		// The remaining duration is unknown.
 		next.State, next.Stored = canary.RolledBack, false
 		return true, nil
 	}
@@ -225,8 +226,8 @@
 	return true, nil
 }
 
-// baseline returns the versions that serve beside the target of an order: those of before
-// where another order was not complete.
+// baseline returns the versions that run besides the target of an order. If the previous order did
+// not complete, these are the versions of its baseline.
 func (nd *Node) baseline(or canary.Order, cur *canary.Rollout) []string {
 	switch {
 	case cur != nil && cur.State == canary.Complete && cur.Order.Target != or.Target:
@@ -244,37 +245,38 @@
 	return list
 }
 
-// round decides on all rollouts in progress, and has their states written.
-func (ro *roller) round(ctx context.Context) {
+// decideAll decides on all rollouts in progress, and starts writing the states that are not stored
+// yet.
+func (ro *rolloutController) decideAll(ctx context.Context) {
 	vw := ro.nd.Board.Rollouts.Get()
 	for _, cur := range vw.All() {
-		tr := ro.trials[cur.Order.Service]
-		if tr == nil || tr.order.Revision != cur.Order.Revision {
-			tr = &trial{
+		ev := ro.evaluations[cur.Order.Service]
+		if ev == nil || ev.order.Revision != cur.Order.Revision {
+			ev = &evaluation{
 				order: cur.Order, judge: judge.New(cur.Order.Target, cur.Order.Duration),
 				ramp: judge.Resume(cur.Share),
 			}
-			ro.trials[cur.Order.Service] = tr
+			ro.evaluations[cur.Order.Service] = ev
 		}
 		if cur.State == canary.InProgress {
-			cur = ro.decide(tr, cur)
+			cur = ro.decide(ev, cur)
 		}
-		if cur.Stored || !tr.writing.CompareAndSwap(false, true) {
+		if cur.Stored || !ev.writing.CompareAndSwap(false, true) {
 			continue
 		}
-		if !ro.nd.background(func() { ro.write(ctx, tr, cur) }) {
+		if !ro.nd.background(func() { ro.saveState(ctx, ev, cur) }) {
 			return
 		}
 	}
 }
 
-// decide takes the next decision on a rollout in progress.
-func (ro *roller) decide(tr *trial, cur *canary.Rollout) *canary.Rollout {
+// decide makes the next decision on a rollout in progress.
+func (ro *rolloutController) decide(ev *evaluation, cur *canary.Rollout) *canary.Rollout {
 	nd, now := ro.nd, time.Now()
 	elapsed := now.Sub(cur.Began)
-	tr.judge.Look(elapsed, nd.tallySums(cur.Order.Service, now))
-	de := tr.ramp.Step(elapsed, tr.judge)
-	if tr.complete {
+	ev.judge.Look(elapsed, nd.tallySums(cur.Order.Service, now))
+	de := ev.ramp.Step(elapsed, ev.judge)
+	if ev.passed {
 		de.State, de.Share = canary.Complete, 1
 	}
 	next := *cur
@@ -289,36 +291,37 @@
 	}
 	next.Share, next.Servers, next.Until = de.Share, de.Servers, now.Add(canary.TTL)
 	if de.State == canary.Complete {
-		// Operators stop the baseline once the store says so; until then it may serve again.
-		tr.complete = true
+		// Operators stop the baseline servers once the store shows this state; until then they may
+		// still receive requests.
+		ev.passed = true
 		final := next
 		final.State, final.Stored = canary.Complete, false
-		ro.announce(tr, cur, &next, now)
+		ro.announce(ev, cur, &next, now)
 		return &final
 	}
-	ro.announce(tr, cur, &next, now)
+	ro.announce(ev, cur, &next, now)
 	return &next
 }
 
-// announce sends a decision to the others: at once where the share changes, else now and
-// then.
-func (ro *roller) announce(tr *trial, cur, next *canary.Rollout, now time.Time) {
-	if next.Share == cur.Share && next.Servers == cur.Servers && now.Sub(tr.announced) < canary.TTL/3 {
+// announce sends a decision to the other daemons: immediately if the share or the number of servers
+// changes, otherwise at most every third of canary.TTL.
+func (ro *rolloutController) announce(ev *evaluation, cur, next *canary.Rollout, now time.Time) {
+	if next.Share == cur.Share && next.Servers == cur.Servers && now.Sub(ev.lastAnnounced) < canary.TTL/3 {
 		return
 	}
 	if next.Share != cur.Share {
 		ro.nd.log.Info("rollout-share", slog.String(logs.Service, next.Order.Service), slog.Float64("share", next.Share), slog.Int("servers", next.Servers))
 	}
-	tr.announced = now
+	ev.lastAnnounced = now
 	ro.nd.mergeRollout(nil, next)
 }
 
-// write writes the state of a rollout, unless the store has an end of it already, which
-// holds then.
-func (ro *roller) write(ctx context.Context, tr *trial, cur *canary.Rollout) {
+// saveState writes the state of a rollout, unless the store already has a final state, which is
+// adopted.
+func (ro *rolloutController) saveState(ctx context.Context, ev *evaluation, cur *canary.Rollout) {
 	nd := ro.nd
 	next := *cur
-	err := ro.swap(ctx, &next)
+	err := ro.storeState(ctx, &next)
 	if err != nil {
 		nd.log.Warn("rollout-not-stored", slog.String(logs.Service, cur.Order.Service), slog.String("state", cur.State.String()), slog.Any("error", err))
 		_ = pause(ctx, statusRetry)
@@ -329,12 +332,12 @@
 		}
 		nd.mergeRollout(nil, &next)
 	}
-	tr.writing.Store(false)
+	ev.writing.Store(false)
 }
 
-// swap makes the store have a state. Where it has an end of the same order, that one is
-// taken.
-func (ro *roller) swap(ctx context.Context, next *canary.Rollout) error {
+// storeState writes a state to the store. If the store already has a final state of the same order,
+// next takes that one.
+func (ro *rolloutController) storeState(ctx context.Context, next *canary.Rollout) error {
 	kv, src, or := ro.nd.cf.Store, &ro.nd.cf.Source.Rollouts, &next.Order
 	if next.State == canary.InProgress {
 		value := strconv.AppendInt(nil, next.Began.UnixMilli(), 10)
@@ -366,7 +369,7 @@
 	return err
 }
 
-// put writes a value whatever the key had.
+// put writes a value, whatever the key contained.
 func put(ctx context.Context, kv store.Store, key string, value []byte) error {
 	ch := store.Change{Key: key, Value: value}
 	ok, cur, err := kv.Swap(ctx, ch)
@@ -377,16 +380,16 @@
 	return err
 }
 
-// mergeRollout takes a statement on a rollout, of a peer or this daemon's own, and passes it
-// on if it is news.
+// mergeRollout merges the state of a rollout, from a peer or this daemon, and forwards it if it is
+// new.
 func (nd *Node) mergeRollout(from *link.Peer, ro *canary.Rollout) {
-	news := false
+	changed := false
 	nd.Board.Rollouts.Update(func(vw *canary.View) *canary.View {
 		var next *canary.View
-		next, news = vw.Merge(ro)
+		next, changed = vw.Merge(ro)
 		return next
 	})
-	if !news {
+	if !changed {
 		return
 	}
 	nd.eachPeer(func(pr *link.Peer) {
