--- a/internal/path/outlet/answer_test.go
+++ b/internal/path/outlet/answer_test.go
@@ -33,7 +33,7 @@
 		}
 	}))
 	rg := newRig(t, addr)
-	var open []net.Conn
+	var conns []net.Conn
 	for range 2 {
 		cn, err := net.Dial("tcp", rg.front.Listener.Addr().String())
 		if err != nil {
@@ -46,7 +46,7 @@
 		if err := rg.request("GET", "/document", "").Write(cn); err != nil {
 			t.Fatal(err)
 		}
-		open = append(open, cn)
+		conns = append(conns, cn)
 	}
 	gate := rg.vms[0].in.Gate
 	eventually(t, func() bool {
@@ -55,7 +55,7 @@
 	if an := rg.do(rg.request("GET", "/lookup", "")); an.status != http.StatusOK {
 		t.Errorf("a lookup beside the downloads got %+v", an)
 	}
-	for _, cn := range open {
+	for _, cn := range conns {
 		head := make([]byte, 12)
 		if _, err := io.ReadFull(cn, head); err != nil || !bytes.Equal(head, []byte("HTTP/1.1 200")) {
 			t.Errorf("a slow caller got %q, %v", head, err)
@@ -67,7 +67,7 @@
 // The caller of a request that may be repeated got a connection that broke off,
 // though nothing had to be passed on by then: another server has the document.
 func TestBrokenDocument(t *testing.T) {
-	broken := newRaw(t, func(cn net.Conn, _ int, _ *http.Request) bool {
+	broken := newFaultyServer(t, func(cn net.Conn, _ int, _ *http.Request) bool {
 		_, _ = io.WriteString(cn, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"+string(make([]byte, 50000)))
 		return false
 	})
@@ -100,20 +100,20 @@
 // TestShedReturn: all servers of a service turn away half of what they get, though their
 // slots are free. A caller that is told to come back in a second is late by then; told
 // to come back at once, it has as good a chance as later, whatever the server says.
-func TestShedReturn(t *testing.T) {
-	for _, said := range []string{"", "Retry-After: 3\r\n"} {
-		be := newRaw(t, func(cn net.Conn, _ int, req *http.Request) bool {
-			_, err := fmt.Fprintf(cn, "HTTP/1.1 503 Busy\r\nFlamingomast-Not-Run: 1\r\n%sContent-Length: 0\r\n\r\n", said)
+func TestShedRetryAfter(t *testing.T) {
+	for _, retryAfter := range []string{"", "Retry-After: 3\r\n"} {
+		be := newFaultyServer(t, func(cn net.Conn, _ int, req *http.Request) bool {
+			_, err := fmt.Fprintf(cn, "HTTP/1.1 503 Busy\r\nFlamingomast-Not-Run: 1\r\n%sContent-Length: 0\r\n\r\n", retryAfter)
 			return err == nil
 		})
 		rg := newRig(t, be.Addr)
-		rg.outlet = outlet.New(outlet.Options{Forwarder: proxy.New(proxy.Options{Dial: patientDial}), Names: result.Names{Fractions: true}})
+		rg.outlet = outlet.New(outlet.Options{Forwarder: proxy.New(proxy.Options{Dial: dialWithoutTimeout}), Names: result.Names{Fractions: true}})
 		rg.update()
 		rg.front.Config.Handler = rg.outlet
 		an := rg.do(rg.request("GET", "/always", ""))
-		after, err := strconv.ParseFloat(an.retry, 64)
+		after, err := strconv.ParseFloat(an.retryAfter, 64)
 		if err != nil || an.reason != string(result.ReasonShed) || after > 0.02 {
-			t.Errorf("said %q: %d %s, come back in %s s, want at most 0.02", said, an.status, an.reason, an.retry)
+			t.Errorf("said %q: %d %s, come back in %s s, want at most 0.02", retryAfter, an.status, an.reason, an.retryAfter)
 		}
 	}
 }
--- a/internal/path/outlet/attempt.go
+++ b/internal/path/outlet/attempt.go
@@ -17,18 +17,18 @@
 // attempt sends the request to one server. It returns nil once an answer was
 // passed on whole; an answer that breaks off ends the caller's connection.
 func (rq *request) attempt(ep *pick.Endpoint) *result.Refusal {
-	rq.tries++
+	rq.attempts++
 	rq.vm = ep.VM
 	ep.Begin(time.Now())
-	if pick.Large(rq.kn.expected()) {
-		rq.ou.large.Add(1)
-		defer rq.ou.large.Add(-1)
+	if pick.Large(rq.rs.expectedSize()) {
+		rq.ou.largeAnswers.Add(1)
+		defer rq.ou.largeAnswers.Add(-1)
 	}
 	at := rq.ou.fw.Do(rq.outgoing(ep))
 	if at.Response == nil {
 		oc, re := at.Outcome()
 		rf := rq.failure(at, oc, re)
-		rq.ended(ep, verdictOf(rf))
+		rq.endAttempt(ep, verdictOf(rf))
 		return rf
 	}
 	defer at.Response.Body.Close()
@@ -44,17 +44,17 @@
 	vd := pick.Good
 	if at.Response.StatusCode >= http.StatusInternalServerError {
 		vd = pick.Bad
-		rq.ou.memory.Failed(rq.try, time.Now(), false, &rq.kn.back)
+		rq.ou.callerTries.Failed(rq.callerTry, time.Now(), false, &rq.rs.callerRetries)
 	}
 	rq.spent = result.ParseSpent(at.Response.Header.Get(result.SpentHeader))
 	if vd == pick.Good {
-		ep.Measured(rq.spent.Held, rq.kn.ran(rq.spent.Held))
+		ep.Measured(rq.spent.Held, rq.rs.recordHeld(rq.spent.Held))
 	}
-	if rf := rq.readSmall(at); rf != nil {
+	if rf := rq.bufferAnswer(at); rf != nil {
 		ep.End(time.Now(), verdictOf(rf), rq.gp)
 		return rf
 	}
-	rq.kn.answered(headBytes + bodyBytes(rq.r) + max(0, at.Response.ContentLength))
+	rq.rs.recordSize(headBytes + knownBodySize(rq.r) + max(0, at.Response.ContentLength))
 	proxy.CopyHead(rq.w, at.Response, nil)
 	err := proxy.Copy(rq.w, at, proxy.Pace{})
 	var ce *proxy.CopyError
@@ -63,45 +63,45 @@
 	}
 	ep.End(time.Now(), vd, rq.gp)
 	if err != nil {
-		rq.count(result.Ended, result.ReasonBroken)
+		rq.record(result.Ended, result.ReasonBroken)
 		panic(http.ErrAbortHandler)
 	}
 	return nil
 }
 
-// ended counts a failed attempt at a server. One that could not be reached is
+// endAttempt counts a failed attempt at a server. One that could not be reached is
 // left out until a connection can be made, so that no request has to find out.
-func (rq *request) ended(ep *pick.Endpoint, vd pick.Verdict) {
+func (rq *request) endAttempt(ep *pick.Endpoint, vd pick.Verdict) {
 	now := time.Now()
-	wasOut := ep.Out(now)
+	wasEjected := ep.Out(now)
 	ep.End(now, vd, rq.gp)
-	if vd == pick.Unreachable && !wasOut {
-		go rq.ou.awaitReturn(ep)
+	if vd == pick.Unreachable && !wasEjected {
+		go rq.ou.probeUntilReachable(ep)
 	}
 }
 
 // The probing of a server that could not be reached.
 const (
-	// probeEvery is the wait between two connections.
-	probeEvery = 500 * time.Millisecond
-	// probes is how often they are tried, in all as long as a server is left out
+	// probeInterval is the wait between two connections.
+	probeInterval = 500 * time.Millisecond
+	// maxProbes is how often they are tried, in all as long as a server is left out
 	// at most.
-	probes = 60
+	maxProbes = 60
 )
 
-// awaitReturn tries to connect to a server that could not be reached and lets
+// probeUntilReachable tries to connect to a server that could not be reached and lets
 // requests go to it again once that succeeds.
-func (ou *Outlet) awaitReturn(ep *pick.Endpoint) {
-	for range probes {
+func (ou *Outlet) probeUntilReachable(ep *pick.Endpoint) {
+	for range maxProbes {
 		select {
-		case <-time.After(probeEvery):
-		case <-ou.life.Done():
+		case <-time.After(probeInterval):
+		case <-ou.ctx.Done():
 			return
 		}
 		if !ep.Out(time.Now()) {
 			return
 		}
-		if ou.fw.Reach(ou.life, ep.Inlet) {
+		if ou.fw.Reach(ou.ctx, ep.Inlet) {
 			ep.Return()
 			return
 		}
@@ -109,15 +109,15 @@
 	}
 }
 
-// maxHeldAnswer is the size up to which an answer is read whole before its head
+// maxBufferedAnswer is the size up to which an answer is read whole before its head
 // is sent on, in bytes: most answers are a few kilobytes.
-const maxHeldAnswer = 32 << 10
+const maxBufferedAnswer = 32 << 10
 
-// readSmall reads a small answer whole. A backend server that breaks off in the
+// bufferAnswer reads a small answer whole. A backend server that breaks off in the
 // middle would otherwise have cost the caller its connection, where a request
 // that may be repeated can be sent again as long as nothing was passed on.
-func (rq *request) readSmall(at *proxy.Attempt) *result.Refusal {
-	if err := at.Hold(maxHeldAnswer); err != nil {
+func (rq *request) bufferAnswer(at *proxy.Attempt) *result.Refusal {
+	if err := at.Hold(maxBufferedAnswer); err != nil {
 		rf := rq.failure(at, result.MayHaveRun, result.ReasonBroken)
 		rf.Cause = err
 		return rf
@@ -158,7 +158,7 @@
 		rf.Reason = result.ReasonCallerGone
 	case rq.ctx.Err() != nil:
 		rf.Reason = result.ReasonDeadline
-	case rq.src.tooLarge():
+	case rq.body.tooLarge():
 		rf.Reason, rf.RetryAfter = result.ReasonTooLarge, 0
 	case at.Err != nil:
 		rf.Detail = "the connection to the backend server failed"
@@ -186,23 +186,23 @@
 	out.Header[result.ClassHeader] = []string{rq.route.Class.Name}
 	out.Header[result.UrgencyHeader] = []string{urgency(rq.route, rq.priority, rq.elapsed, time.Since(rq.start), rq.final)}
 	out.Header[result.RouteHeader] = []string{rq.route.Name}
-	if rq.ends > 0 {
-		out.Header[result.EndsHeader] = []string{strconv.Itoa(rq.ends)}
+	if rq.serverExits > 0 {
+		out.Header[result.EndsHeader] = []string{strconv.Itoa(rq.serverExits)}
 	}
-	if share := rq.repeated(); share > 0 {
+	if share := rq.retryProbability(); share > 0 {
 		out.Header[result.RepeatHeader] = []string{result.Share(share)}
 	}
-	if size := rq.kn.expected(); pick.Large(size) {
+	if size := rq.rs.expectedSize(); pick.Large(size) {
 		out.Header[result.SizeHeader] = []string{strconv.FormatInt(size, 10)}
 		// This one is counted among them.
-		others := int(rq.ou.large.Load()) - 1
-		if rate := pacer.Share(rq.ou.link, others); rate > 0 {
+		others := int(rq.ou.largeAnswers.Load()) - 1
+		if rate := pacer.Share(rq.ou.linkRate, others); rate > 0 {
 			out.Header[result.RateHeader] = []string{strconv.Itoa(rate)}
 		}
 	}
 	if rq.ou.token != "" {
 		out.Header[result.TokenHeader] = []string{rq.ou.token}
 	}
-	rq.src.attach(out, rq.r)
+	rq.body.attach(out, rq.r)
 	return out
 }
--- a/internal/path/outlet/baseline_test.go
+++ b/internal/path/outlet/baseline_test.go
@@ -52,18 +52,18 @@
 // TestBaselines puts the outlet beside random picks and round robin, both with
 // retries of everything, on the same faults.
 func TestBaselines(t *testing.T) {
-	var turn atomic.Int64
+	var next atomic.Int64
 	picks := map[string]func() int{
 		"random":      func() int { return rand.IntN(6) },
-		"round robin": func() int { return int(turn.Add(1)) % 6 },
+		"round robin": func() int { return int(next.Add(1)) % 6 },
 		"outlet":      nil,
 	}
 	for _, fault := range []struct {
-		name  string
-		spoil func(lr *loadRig)
+		name        string
+		injectFault func(lr *loadRig)
 	}{
-		{"one of six crawls", func(lr *loadRig) { lr.back[0].work = uniform(20 * work) }},
-		{"a third breaks", func(lr *loadRig) { lr.back[0].fail, lr.back[1].fail = abort, abort }},
+		{"one of six crawls", func(lr *loadRig) { lr.backends[0].work = uniform(20 * workTime) }},
+		{"a third breaks", func(lr *loadRig) { lr.backends[0].fail, lr.backends[1].fail = abort, abort }},
 	} {
 		type figure struct {
 			p99      time.Duration
@@ -74,11 +74,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				lr := newLoadRig(t, 6, anyDomain)
 				defer lr.close()
-				fault.spoil(lr)
+				fault.injectFault(lr)
 				if fn != nil {
 					lr.front = &baseline{lr: lr, fw: lr.forwarder(), pick: fn}
 				}
-				ta := lr.load(400, 5*time.Second, always("/lookup"))
+				ta := lr.load(400, 5*time.Second, constantPath("/lookup"))
 				got[name] = figure{p99: quantile(ta.latency, 0.99), attempts: float64(lr.attempts()) / float64(ta.total())}
 				t.Logf("%s, %s: %d of %d answered, 99th %s, attempts per request %.3f", fault.name, name, ta.good, ta.total(), got[name].p99, got[name].attempts)
 			})
--- a/internal/path/outlet/prof_test.go
+++ b/internal/path/outlet/bench_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func BenchmarkWhole(b *testing.B) {
+func BenchmarkRequest(b *testing.B) {
 	be := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "1500")
 		w.Write(make([]byte, 1500))
--- a/internal/path/outlet/faults_test.go
+++ b/internal/path/outlet/faults_test.go
@@ -23,7 +23,7 @@
 )
 
 // kinds are the requests that each fault meets.
-var kinds = []struct {
+var requestKinds = []struct {
 	name, method, path, body string
 	hdr                      []string
 	// repeatable says that the rules let it be sent again when it may have run.
@@ -47,10 +47,10 @@
 func TestServerFails(t *testing.T) {
 	for _, fa := range faulty.Faults {
 		t.Run(fa.Name, func(t *testing.T) {
-			for _, kd := range kinds {
+			for _, kd := range requestKinds {
 				t.Run(kd.name, func(t *testing.T) {
 					t.Parallel()
-					rs := newRaw(t, fa.Behave)
+					rs := newFaultyServer(t, fa.Behave)
 					rg := newRig(t, rs.Addr)
 					an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
 					if n := rs.Seen(); n != 1 {
@@ -79,9 +79,9 @@
 		faulty.ReadBody(req)
 		return false
 	}
-	for _, kd := range kinds {
+	for _, kd := range requestKinds {
 		t.Run(kd.name, func(t *testing.T) {
-			rs := newRaw(t, fn)
+			rs := newFaultyServer(t, fn)
 			rg := newRig(t, rs.Addr)
 			if an := rg.do(rg.request("GET", "/first", "")); an.status != http.StatusOK {
 				t.Fatalf("the first request: %+v", an)
@@ -104,7 +104,7 @@
 		method, key string
 		want        int
 	}{{"GET", "", 3}, {"DELETE", "k", 3}, {"POST", "k", 3}, {"POST", "", 2}} {
-		rs := newRaw(t, func(cn net.Conn, n int, req *http.Request) bool { return n == 1 && faulty.Well(cn, n, req) })
+		rs := newFaultyServer(t, func(cn net.Conn, n int, req *http.Request) bool { return n == 1 && faulty.Well(cn, n, req) })
 		tr := &http.Transport{}
 		cl := &http.Client{Transport: tr}
 		for range 2 {
@@ -127,15 +127,15 @@
 // TestOtherServerHelps: one of two servers fails in each way. What may be
 // repeated is answered by the other; what may not has run once in all, and the
 // caller is told that it may have run.
-func TestOtherServerHelps(t *testing.T) {
+func TestRetryOnOtherServer(t *testing.T) {
 	for _, fa := range faulty.Faults {
 		if fa.Broken {
 			continue
 		}
-		for _, kd := range kinds {
+		for _, kd := range requestKinds {
 			t.Run(fa.Name+"/"+kd.name, func(t *testing.T) {
 				t.Parallel()
-				bad, good := newRaw(t, fa.Behave), newRaw(t, faulty.Well)
+				bad, good := newFaultyServer(t, fa.Behave), newFaultyServer(t, faulty.Well)
 				// The failing server is in the own failure domain: tried first.
 				rg := newRig(t, bad.Addr, good.Addr)
 				an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
@@ -155,20 +155,20 @@
 // the server says so in the agreed way, its slots are full, it drains, its
 // inlet is another VM's, or its VM is gone. Every kind of request is then
 // answered by the other server and runs once.
-func TestNotRunGoesElsewhere(t *testing.T) {
+func TestNotRunSentElsewhere(t *testing.T) {
 	// Port 1 of loopback: nobody listens, and no other test gets it.
-	const dead = "127.0.0.1:1"
+	const unusedAddr = "127.0.0.1:1"
 	for _, tc := range []struct {
-		name  string
-		fn    faulty.Behave
-		spoil func(rg *rig)
+		name        string
+		fn          faulty.Behave
+		injectFault func(rg *rig)
 		// reason is given when there is no other server, and runs is how many
 		// heads the refusing server sees.
 		reason string
 		runs   int
 	}{
 		{"nobody listens", nil, func(rg *rig) {
-			rg.vms[0].in.SetTarget(inlet.Target{VM: "vm-0", Process: pick.Process(rg.vms[0].rec), Service: "booking", Addr: dead})
+			rg.vms[0].in.SetTarget(inlet.Target{VM: "vm-0", Process: pick.Process(rg.vms[0].rec), Service: "booking", Addr: unusedAddr})
 		}, "no-connection", 0},
 		{"the server sheds", func(cn net.Conn, _ int, req *http.Request) bool {
 			faulty.ReadBody(req)
@@ -189,21 +189,21 @@
 		{"the outlet shows no token", nil, func(rg *rig) { rg.vms[0].in.Token = "hush" }, "token-missing-or-wrong", 0},
 		{"the VM is gone", nil, func(rg *rig) { rg.vms[0].http.Close() }, "no-connection", 0},
 	} {
-		for _, kd := range kinds {
+		for _, kd := range requestKinds {
 			t.Run(tc.name+"/"+kd.name, func(t *testing.T) {
 				fn := tc.fn
 				if fn == nil {
 					fn = faulty.Well
 				}
-				bad, good := newRaw(t, fn), newRaw(t, faulty.Well)
+				bad, good := newFaultyServer(t, fn), newFaultyServer(t, faulty.Well)
 				rg := newRig(t, bad.Addr, good.Addr)
-				tc.spoil(rg)
+				tc.injectFault(rg)
 				an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
 				if an.status != http.StatusOK || bad.Seen() != tc.runs || good.Seen() != 1 {
 					t.Errorf("got %+v, runs %d and %d", an, bad.Seen(), good.Seen())
 				}
 				alone := newRig(t, bad.Addr)
-				tc.spoil(alone)
+				tc.injectFault(alone)
 				an = alone.do(alone.request(kd.method, kd.path, kd.body, kd.hdr...))
 				if an.outcome != "not-run" || an.reason != tc.reason {
 					t.Errorf("without another server got %+v, want not-run for %s", an, tc.reason)
@@ -217,10 +217,10 @@
 // is told at its deadline, not later, that it may have run, and the slot is
 // free again.
 func TestFrozenServer(t *testing.T) {
-	done, given := make(chan struct{}), make(chan string, 1)
-	rs := newRaw(t, func(_ net.Conn, _ int, req *http.Request) bool {
+	done, timeouts := make(chan struct{}), make(chan string, 1)
+	rs := newFaultyServer(t, func(_ net.Conn, _ int, req *http.Request) bool {
 		faulty.ReadBody(req)
-		given <- req.Header.Get("Flamingomast-Timeout-Ms")
+		timeouts <- req.Header.Get("Flamingomast-Timeout-Ms")
 		<-done
 		return false
 	})
@@ -230,7 +230,7 @@
 	if an.status != http.StatusGatewayTimeout || an.outcome != "may-have-run" || an.reason != "deadline-passed" {
 		t.Errorf("got %+v", an)
 	}
-	if ms, err := strconv.Atoi(<-given); rs.Seen() != 1 || err != nil || ms > 200 {
+	if ms, err := strconv.Atoi(<-timeouts); rs.Seen() != 1 || err != nil || ms > 200 {
 		t.Errorf("the server saw it %d times, with %d ms left of 200", rs.Seen(), ms)
 	}
 	eventually(t, func() bool { return rg.vms[0].in.Gate.Load().Running == 0 })
@@ -255,7 +255,7 @@
 // each form of body. The surplus is a whole answer by itself and would be
 // taken for the answer to the next caller's request on that connection.
 func TestSurplusBytes(t *testing.T) {
-	const stolen = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen"
+	const injected = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen"
 	for _, tc := range []struct{ name, answer string }{
 		{"with a length", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"},
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n0\r\n\r\n"},
@@ -265,12 +265,12 @@
 		{"of length 0", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			rs := newRaw(t, func(cn net.Conn, n int, req *http.Request) bool {
+			rs := newFaultyServer(t, func(cn net.Conn, n int, req *http.Request) bool {
 				if strings.HasPrefix(req.URL.Path, "/good") {
 					return faulty.Well(cn, n, req)
 				}
 				faulty.ReadBody(req)
-				_, err := fmt.Fprint(cn, tc.answer, stolen)
+				_, err := fmt.Fprint(cn, tc.answer, injected)
 				return err == nil
 			})
 			rg := newRig(t, rs.Addr)
@@ -290,7 +290,7 @@
 // TestOwnAnswers: hundreds of callers at once, each with an answer of its own,
 // some of which give up, some read slowly, and some answers break off. Each
 // caller gets its own answer whole or an error.
-func TestOwnAnswers(t *testing.T) {
+func TestAnswersNotMixed(t *testing.T) {
 	size := func(id int) int { return (id * 7919) % 70_000 }
 	text := func(id int) string { return strings.Repeat(fmt.Sprintf("%08d", id), size(id)/8+1) }
 	back := func(w http.ResponseWriter, r *http.Request) {
--- a/internal/path/outlet/gone_test.go
+++ b/internal/path/outlet/gone_test.go
@@ -39,7 +39,7 @@
 		cancel = stop
 		rec := httptest.NewRecorder()
 		wrote := false
-		rg.outlet.ServeHTTP(&noting{ResponseRecorder: rec, wrote: &wrote}, req.WithContext(ctx))
+		rg.outlet.ServeHTTP(&statusRecorder{ResponseRecorder: rec, wrote: &wrote}, req.WithContext(ctx))
 		if !wrote || rec.Code < http.StatusBadRequest {
 			t.Errorf("%s: written %t, status %d; want an error", path, wrote, rec.Code)
 		}
@@ -47,14 +47,14 @@
 }
 
 // noting notes whether a handler wrote a status of its own.
-type noting struct {
+type statusRecorder struct {
 	*httptest.ResponseRecorder
 	wrote *bool
 }
 
-func (no *noting) WriteHeader(code int) {
-	*no.wrote = true
-	no.ResponseRecorder.WriteHeader(code)
+func (sr *statusRecorder) WriteHeader(code int) {
+	*sr.wrote = true
+	sr.ResponseRecorder.WriteHeader(code)
 }
 
 // TestSlowBody: a caller sends half of its body and no more. It is told 408 once
@@ -63,7 +63,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		lr := newLoadRig(t, 1, anyDomain)
 		defer lr.close()
-		lr.serve("front:1", lr.out)
+		lr.serve("front:1", lr.outlet)
 		nc, err := lr.dial(t.Context(), "front:1")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/path/outlet/bound.go
+++ b/internal/path/outlet/limits.go
@@ -7,7 +7,7 @@
 	// VM's callers need: 45,000 calls a second over 790 daemons, each taking
 	// 0.1 s, are 6 at each.
 	maxRequests = 512
-	// maxBodies is how many bytes of bodies are kept for another attempt, in
+	// maxBufferedBytes is how many bytes of bodies are kept for another attempt, in
 	// all. Beyond it bodies are streamed, and then sent only once.
-	maxBodies = 4 << 20
+	maxBufferedBytes = 4 << 20
 )
--- a/internal/path/outlet/link_test.go
+++ b/internal/path/outlet/link_test.go
@@ -32,11 +32,11 @@
 		in.SetTarget(inlet.Target{VM: "vm-0", Process: pick.Process(lr.recs[0]), Service: "booking", Addr: "vm-0:1"})
 		in.Gate.Configure(slots, []limit.Class{{Name: "default", Share: 25, Queue: 4}})
 		lr.inlets[0].Handler = in
-		lr.back[0].fail = func(w http.ResponseWriter, r *http.Request) bool {
+		lr.backends[0].fail = func(w http.ResponseWriter, r *http.Request) bool {
 			if !strings.HasPrefix(r.URL.Path, "/document") {
 				return false
 			}
-			time.Sleep(work)
+			time.Sleep(workTime)
 			w.Header().Set("Content-Length", "90000")
 			_, _ = w.Write(make([]byte, 90_000))
 			return true
@@ -45,8 +45,8 @@
 		lr.send("/document", nil)
 		var documents, lookups *tally
 		var wg sync.WaitGroup
-		wg.Go(func() { documents = lr.load(10, 20*time.Second, always("/document")) })
-		wg.Go(func() { lookups = lr.load(40, 20*time.Second, always("/lookup")) })
+		wg.Go(func() { documents = lr.load(10, 20*time.Second, constantPath("/document")) })
+		wg.Go(func() { lookups = lr.load(40, 20*time.Second, constantPath("/lookup")) })
 		wg.Wait()
 		late := 0
 		for _, d := range documents.latency {
@@ -55,14 +55,14 @@
 			}
 		}
 		t.Logf("documents: %d in time, %d late, %d refused after %v at most; lookups: %d answered, %d not, 99th %v", documents.good-late, late,
-			documents.notRun, quantile(documents.refusal, 1), lookups.good, lookups.total()-lookups.good, quantile(lookups.latency, 0.99))
+			documents.notRun, quantile(documents.refusalLatency, 1), lookups.good, lookups.total()-lookups.good, quantile(lookups.latency, 0.99))
 		if documents.good-late < 100 || late > documents.good/20 {
 			t.Errorf("%d documents were in time and %d late; the link carries 6.3 a second", documents.good-late, late)
 		}
-		if got := quantile(documents.refusal, 1); got > 20*time.Millisecond {
+		if got := quantile(documents.refusalLatency, 1); got > 20*time.Millisecond {
 			t.Errorf("a refusal took %v", got)
 		}
-		if bad := lookups.total() - lookups.good; bad > lookups.total()/50 || quantile(lookups.latency, 0.99) > 3*work {
+		if bad := lookups.total() - lookups.good; bad > lookups.total()/50 || quantile(lookups.latency, 0.99) > 3*workTime {
 			t.Errorf("%d of %d lookups failed, 99th %v", bad, lookups.total(), quantile(lookups.latency, 0.99))
 		}
 	})
--- a/internal/path/outlet/load_test.go
+++ b/internal/path/outlet/load_test.go
@@ -41,18 +41,18 @@
 }
 
 // counting counts the requests that reach a handler.
-type counting struct {
+type countingHandler struct {
 	http.Handler
 	requests atomic.Int64
 }
 
 // ServeHTTP counts a request.
-func (co *counting) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	co.requests.Add(1)
-	co.Handler.ServeHTTP(w, r)
+func (ch *countingHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	ch.requests.Add(1)
+	ch.Handler.ServeHTTP(w, r)
 }
 
-func (co *counting) n() int { return int(co.requests.Load()) }
+func (ch *countingHandler) n() int { return int(ch.requests.Load()) }
 
 // backend is a backend server with as many workers as slots, which takes the
 // requests in their order and does not see that a caller has given up.
@@ -94,8 +94,8 @@
 }
 
 const (
-	slots = 4
-	work  = 20 * time.Millisecond
+	slots    = 4
+	workTime = 20 * time.Millisecond
 )
 
 func uniform(mean time.Duration) func() time.Duration {
@@ -107,16 +107,16 @@
 	t      *testing.T
 	nw     *memnet.Network
 	caller *memnet.Host
-	out    *outlet.Outlet
+	outlet *outlet.Outlet
 	// front is where requests go: out, or a baseline.
-	front  http.Handler
-	rules  string
-	recs   []*member.Record
-	gates  []*limit.Gate
-	inlets []*counting
-	back   []*backend
-	stops  []func()
-	closes []func()
+	front    http.Handler
+	rules    string
+	recs     []*member.Record
+	gates    []*limit.Gate
+	inlets   []*countingHandler
+	backends []*backend
+	stops    []func()
+	closes   []func()
 }
 
 // loadRules declares vms VMs of the service booking, in turn in the failure
@@ -140,8 +140,8 @@
 	lr := &loadRig{t: t, nw: memnet.New(), rules: loadRules(vms, more)}
 	lr.nw.Latency = func(*memnet.Host, *memnet.Host) time.Duration { return 0 }
 	lr.caller, _ = lr.nw.Listen("caller:1", "")
-	lr.out = outlet.New(outlet.Options{Forwarder: lr.forwarder()})
-	lr.front = lr.out
+	lr.outlet = outlet.New(outlet.Options{Forwarder: lr.forwarder()})
+	lr.front = lr.outlet
 	for i := range vms {
 		lr.addVM(i)
 	}
@@ -157,7 +157,7 @@
 
 func (lr *loadRig) addVM(i int) {
 	name := fmt.Sprint("vm-", i)
-	be := &backend{work: uniform(work), workers: make(chan struct{}, slots)}
+	be := &backend{work: uniform(workTime), workers: make(chan struct{}, slots)}
 	lr.serve(name+":1", be)
 	in := inlet.New(proxy.Options{Dial: lr.dial}, nil)
 	lr.closes = append(lr.closes, in.Close)
@@ -167,10 +167,10 @@
 	}
 	in.SetTarget(inlet.Target{VM: name, Process: pick.Process(rec), Service: "booking", Addr: name + ":1"})
 	in.Gate.Configure(slots, []limit.Class{{Name: "confirm", Share: 50, Queue: 8}, {Name: "default", Share: 25, Queue: 4}})
-	co := &counting{Handler: in}
-	lr.serve(rec.Inlet, co)
-	lr.inlets = append(lr.inlets, co)
-	lr.recs, lr.gates, lr.back = append(lr.recs, rec), append(lr.gates, in.Gate), append(lr.back, be)
+	ch := &countingHandler{Handler: in}
+	lr.serve(rec.Inlet, ch)
+	lr.inlets = append(lr.inlets, ch)
+	lr.recs, lr.gates, lr.backends = append(lr.recs, rec), append(lr.gates, in.Gate), append(lr.backends, be)
 }
 
 // view returns what outlets go by.
@@ -181,11 +181,11 @@
 
 func (lr *loadRig) update() {
 	vw, sn := lr.view()
-	lr.out.SetTable(pick.Build(sn, pick.Fleet{Members: vw, Self: "outlet"}, lr.out.Table()))
+	lr.outlet.SetTable(pick.Build(sn, pick.Fleet{Members: vw, Self: "outlet"}, lr.outlet.Table()))
 }
 
 // messages returns how many requests have reached an inlet.
-func (lr *loadRig) messages() int {
+func (lr *loadRig) inletRequests() int {
 	n := 0
 	for _, in := range lr.inlets {
 		n += in.n()
@@ -208,7 +208,7 @@
 type tally struct {
 	mu                            sync.Mutex
 	good, notRun, mayHaveRun, bad int
-	latency, refusal              []time.Duration
+	latency, refusalLatency       []time.Duration
 }
 
 func (ta *tally) add(rec *httptest.ResponseRecorder, took time.Duration) {
@@ -217,7 +217,7 @@
 	switch oc := rec.Header().Get("Flamingomast-Outcome"); {
 	case oc == "not-run":
 		ta.notRun++
-		ta.refusal = append(ta.refusal, took)
+		ta.refusalLatency = append(ta.refusalLatency, took)
 	case oc != "":
 		ta.mayHaveRun++
 	case rec.Code != http.StatusOK:
@@ -279,7 +279,7 @@
 	return ta
 }
 
-func always(path string) func() string { return func() string { return path } }
+func constantPath(path string) func() string { return func() string { return path } }
 
 // TestGoodput loads two servers with once, twice and five times what their
 // slots can serve. The protected class keeps to 0.3 of the capacity, below its
@@ -288,17 +288,17 @@
 // latency, and who is refused must learn it at once.
 func TestGoodput(t *testing.T) {
 	const vms = 2
-	capacity := float64(vms*slots) / work.Seconds()
+	capacity := float64(vms*slots) / workTime.Seconds()
 	const span = 5 * time.Second
 	const protected = 0.3
-	run := func(times float64, spoil func(*loadRig)) (lookup, confirm *tally) {
+	run := func(times float64, injectFault func(*loadRig)) (lookup, confirm *tally) {
 		synctest.Test(t, func(t *testing.T) {
 			lr := newLoadRig(t, vms, anyDomain)
 			defer lr.close()
-			spoil(lr)
+			injectFault(lr)
 			var wg conc.WaitGroup
-			wg.Go(func() { confirm = lr.load(min(times, 1)*protected*capacity, span, always("/confirm")) })
-			lookup = lr.load((times-min(times, 1)*protected)*capacity, span, always("/lookup"))
+			wg.Go(func() { confirm = lr.load(min(times, 1)*protected*capacity, span, constantPath("/confirm")) })
+			lookup = lr.load((times-min(times, 1)*protected)*capacity, span, constantPath("/lookup"))
 			wg.Wait()
 		})
 		return lookup, confirm
@@ -309,7 +309,7 @@
 	for _, times := range []float64{1, 2, 5} {
 		lookup, confirm := run(times, func(*loadRig) {})
 		good := float64(lookup.good+confirm.good) / span.Seconds()
-		refused := quantile(slices.Concat(lookup.refusal, confirm.refusal), 0.99)
+		refused := quantile(slices.Concat(lookup.refusalLatency, confirm.refusalLatency), 0.99)
 		t.Logf("%.0f x: goodput %.1f%% of capacity; protected: %d of %d answered, 99th %s; others: %d of %d; refused in %s (99th)",
 			times, 100*good/capacity, confirm.good, confirm.total(), quantile(confirm.latency, 0.99), lookup.good, lookup.total(), refused)
 		if times > 1 && good < 0.95*capacity {
@@ -335,7 +335,7 @@
 // attempts returns how many requests the servers have seen.
 func (lr *loadRig) attempts() int {
 	n := 0
-	for _, be := range lr.back {
+	for _, be := range lr.backends {
 		n += be.runs()
 	}
 	return n
@@ -351,22 +351,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		lr := newLoadRig(t, 6, anyDomain)
 		defer lr.close()
-		for _, be := range lr.back[:2] {
+		for _, be := range lr.backends[:2] {
 			be.fail = abort
 		}
-		ta := lr.load(200, 10*time.Second, always("/lookup"))
+		ta := lr.load(200, 10*time.Second, constantPath("/lookup"))
 		per := float64(lr.attempts()) / float64(ta.total())
 		t.Logf("attempts per request %.3f; %d of %d answered", per, ta.good, ta.total())
 		if per > 1.2 || ta.good < ta.total()*99/100 {
 			t.Errorf("attempts per request %.3f, answered %d of %d", per, ta.good, ta.total())
 		}
-		for _, be := range lr.back[:2] {
+		for _, be := range lr.backends[:2] {
 			be.fail = nil
 		}
 		before := lr.attempts()
-		ta = lr.load(200, 40*time.Second, always("/lookup"))
+		ta = lr.load(200, 40*time.Second, constantPath("/lookup"))
 		per = float64(lr.attempts()-before) / float64(ta.total())
-		share := float64(lr.back[0].runs()+lr.back[1].runs()) / float64(lr.attempts())
+		share := float64(lr.backends[0].runs()+lr.backends[1].runs()) / float64(lr.attempts())
 		t.Logf("recovered: attempts per request %.3f, share of the recovered third %.2f", per, share)
 		if per > 1.02 || ta.good < ta.total() {
 			t.Errorf("after recovery: attempts per request %.3f, answered %d of %d", per, ta.good, ta.total())
@@ -376,24 +376,24 @@
 
 // TestThirdFailsThreeDeep: the same where each request makes two more, one
 // below the other. A retry at each level must not multiply.
-func TestThirdFailsThreeDeep(t *testing.T) {
+func TestThirdFailsNestedCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lr := newLoadRig(t, 6, anyDomain)
 		defer lr.close()
-		for i, be := range lr.back {
+		for i, be := range lr.backends {
 			be.work = uniform(time.Millisecond)
 			be.call = func(r *http.Request) int {
 				if r.URL.Path == "/1/1" {
 					return http.StatusOK
 				}
 				hdr := http.Header{"Flamingomast-Timeout-Ms": r.Header["Flamingomast-Timeout-Ms"]}
-				return lr.sendTo(lr.out, "booking", r.URL.Path+"/1", hdr, nil)
+				return lr.sendTo(lr.outlet, "booking", r.URL.Path+"/1", hdr, nil)
 			}
 			if i < 2 {
 				be.fail = abort
 			}
 		}
-		ta := lr.load(60, 10*time.Second, always("/1"))
+		ta := lr.load(60, 10*time.Second, constantPath("/1"))
 		// A request without failures is seen twice: once at each level.
 		per := float64(lr.attempts()) / float64(2*ta.total())
 		t.Logf("attempts per call %.3f; %d of %d answered", per, ta.good, ta.total())
--- a/internal/path/outlet/truth_test.go
+++ b/internal/path/outlet/notrun_test.go
@@ -18,9 +18,9 @@
 // fleet under load one answer in thirty was 502 or 504 to such a request: it waited in
 // an inlet's queue until its deadline, at which its outlet gave up as well without
 // having heard whether it had run, so that a confirmation could not be sent again.
-func TestReachedNoServer(t *testing.T) {
-	stuck := func(lr *loadRig) {
-		for i, be := range lr.back {
+func TestUndeliveredIsNotRun(t *testing.T) {
+	blockServers := func(lr *loadRig) {
+		for i, be := range lr.backends {
 			be.work = func() time.Duration { return 30 * time.Second }
 			for range slots {
 				go lr.sendTo(lr.inlets[i], "booking", "/stuck", http.Header{
@@ -30,14 +30,14 @@
 		}
 	}
 	for _, tc := range []struct {
-		name  string
-		spoil func(*loadRig)
+		name        string
+		injectFault func(*loadRig)
 	}{
 		{"slots are held and the queue waits", func(lr *loadRig) {
-			for i := range lr.back {
+			for i := range lr.backends {
 				lr.gates[i].Configure(slots, []limit.Class{{Name: "default", Share: 25, Queue: 40}})
 			}
-			stuck(lr)
+			blockServers(lr)
 		}},
 		{"no slots", func(lr *loadRig) {
 			for _, ga := range lr.gates {
@@ -64,7 +64,7 @@
 			lr.update()
 		}},
 		{"requests wait while the servers drain", func(lr *loadRig) {
-			stuck(lr)
+			blockServers(lr)
 			time.AfterFunc(100*time.Millisecond, func() {
 				for _, ga := range lr.gates {
 					ga.Drain()
@@ -76,7 +76,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				lr := newLoadRig(t, 2, anyDomain)
 				defer lr.close()
-				tc.spoil(lr)
+				tc.injectFault(lr)
 				time.Sleep(10 * time.Millisecond)
 				before := lr.attempts()
 				const callers = 30
@@ -84,12 +84,12 @@
 				for i := range callers {
 					go func() {
 						time.Sleep(time.Duration(i) * 20 * time.Millisecond)
-						got <- lr.refusedTruly(600 * time.Millisecond)
+						got <- lr.checkRefusal(600 * time.Millisecond)
 					}()
 				}
 				for range callers {
-					if wrong := <-got; wrong != "" {
-						t.Error(wrong)
+					if problem := <-got; problem != "" {
+						t.Error(problem)
 					}
 				}
 				if n := lr.attempts() - before; n > 0 {
@@ -102,16 +102,16 @@
 
 // refusedTruly sends a confirmation whose caller waits for as long as patience, and
 // tells what is wrong with its refusal.
-func (lr *loadRig) refusedTruly(patience time.Duration) string {
+func (lr *loadRig) checkRefusal(timeout time.Duration) string {
 	req := httptest.NewRequest(http.MethodPost, "/visit", nil)
 	req.Host = "booking"
-	req.Header.Set("Flamingomast-Timeout-Ms", fmt.Sprint(patience.Milliseconds()))
+	req.Header.Set("Flamingomast-Timeout-Ms", fmt.Sprint(timeout.Milliseconds()))
 	rec := httptest.NewRecorder()
 	began := time.Now()
 	lr.front.ServeHTTP(rec, req)
 	took := time.Since(began)
 	hdr := rec.Header()
-	if rec.Code != http.StatusServiceUnavailable || hdr.Get("Flamingomast-Outcome") != "not-run" || hdr.Get("Retry-After") == "" || took >= patience {
+	if rec.Code != http.StatusServiceUnavailable || hdr.Get("Flamingomast-Outcome") != "not-run" || hdr.Get("Retry-After") == "" || took >= timeout {
 		return fmt.Sprintf("%d %s/%s after %s, come back in %q", rec.Code, hdr.Get("Flamingomast-Outcome"), hdr.Get("Flamingomast-Reason"), took, hdr.Get("Retry-After"))
 	}
 	return ""
--- a/internal/path/outlet/outlet.go
+++ b/internal/path/outlet/outlet.go
@@ -28,39 +28,39 @@
 // Outlet serves callers. Its table may be replaced at any time.
 type Outlet struct {
 	// Stats counts requests by service and class.
-	Stats   hist.Set
-	fw      *proxy.Forwarder
-	log     *slog.Logger
-	token   string
-	names   result.Names
-	service string
-	work    func() limit.Work
-	repeats retry.Bound
-	poison  func() *poison.View
-	// spread is how much later than others this outlet tries a poison request again.
-	spread  time.Duration
-	sample  atomic.Uint64 // bits of the share of requests that are logged
-	routing board.Cell[routing]
+	Stats      hist.Set
+	fw         *proxy.Forwarder
+	log        *slog.Logger
+	token      string
+	names      result.Names
+	service    string
+	work       func() limit.Work
+	retryBound retry.Bound
+	poison     func() *poison.View
+	// setRetryAfter is how much later than others this outlet tries a poison request again.
+	poisonJitter time.Duration
+	logSample    atomic.Uint64 // bits of the share of requests that are logged
+	routing      board.Cell[routing]
 	// started is when the outlet was made.
 	started time.Time
-	// life ends with Close.
-	life context.Context
-	end  context.CancelFunc
-	// link is the rate of the VM's link in bits a second, 0 where it is not known;
+	// ctx ends with Close.
+	ctx    context.Context
+	cancel context.CancelFunc
+	// linkRate is the rate of the VM's link in bits a second, 0 where it is not known;
 	// large is how many large answers come over it.
-	link  float64
-	large atomic.Int32
-	// requests and bodies bound what callers can make the outlet hold.
-	requests, bodies proxy.Bound
-	// memory knows the tries that failed.
-	memory again.Memory
+	linkRate     float64
+	largeAnswers atomic.Int32
+	// activeRequests and bodies bound what callers can make the outlet hold.
+	activeRequests, bufferedBytes proxy.Bound
+	// callerTries knows the tries that failed.
+	callerTries again.Memory
 }
 
 // routing is a table with the state that belongs to its services.
 type routing struct {
-	tb      *pick.Table
-	budgets []*retry.Budget // by the index of the service
-	known   []*known        // by the index of the route
+	tb         *pick.Table
+	budgets    []*retry.Budget // by the index of the service
+	routeStats []*routeStats   // by the index of the route
 	// throttles are by the index of the service, then by that of the class.
 	throttles [][]*shed.Throttle
 }
@@ -69,7 +69,7 @@
 type Options struct {
 	Forwarder *proxy.Forwarder
 	Log       *slog.Logger
-	// Sample is the share of requests, 0 to 1, that are logged.
+	// LogSample is the share of requests, 0 to 1, that are logged.
 	Sample float64
 	// Token is what inlets ask for; empty for none.
 	Token string
@@ -91,19 +91,19 @@
 
 // New returns an outlet without a table; it refuses requests until SetTable.
 func New(op Options) *Outlet {
-	ou := &Outlet{fw: op.Forwarder, log: op.Log, token: op.Token, names: op.Names.Or(), service: op.Service, link: op.Link, work: op.Work, repeats: retry.Default, poison: op.Poison, spread: rand.N(poison.RefuseSpread), started: time.Now()}
+	ou := &Outlet{fw: op.Forwarder, log: op.Log, token: op.Token, names: op.Names.Or(), service: op.Service, linkRate: op.Link, work: op.Work, retryBound: retry.Default, poison: op.Poison, poisonJitter: rand.N(poison.RefuseSpread), started: time.Now()}
 	if ou.poison == nil {
 		ou.poison = func() *poison.View { return nil }
 	}
 	if op.Repeats != nil {
-		ou.repeats = *op.Repeats
+		ou.retryBound = *op.Repeats
 	}
 	if ou.work == nil {
 		ou.work = func() limit.Work { return limit.Work{} }
 	}
-	ou.life, ou.end = context.WithCancel(context.Background())
+	ou.ctx, ou.cancel = context.WithCancel(context.Background())
 	ou.SetSample(op.Sample)
-	ou.requests.Most, ou.bodies.Most = maxRequests, maxBodies
+	ou.activeRequests.Most, ou.bufferedBytes.Most = maxRequests, maxBufferedBytes
 	if ou.fw == nil {
 		ou.fw = proxy.New(proxy.Options{})
 	}
@@ -114,24 +114,24 @@
 }
 
 // SetSample sets the share of requests, 0 to 1, that are logged.
-func (ou *Outlet) SetSample(share float64) { ou.sample.Store(math.Float64bits(share)) }
+func (ou *Outlet) SetSample(share float64) { ou.logSample.Store(math.Float64bits(share)) }
 
-// Sample returns the share of requests that are logged.
-func (ou *Outlet) Sample() float64 { return math.Float64frombits(ou.sample.Load()) }
+// LogSample returns the share of requests that are logged.
+func (ou *Outlet) LogSample() float64 { return math.Float64frombits(ou.logSample.Load()) }
 
 // SetTable replaces the table. Requests under way keep the one they have.
 func (ou *Outlet) SetTable(tb *pick.Table) {
 	old := ou.routing.Get()
 	if old != nil {
 		for _, bu := range old.budgets {
-			bu.Limit(ou.repeats, tb.Outlets)
+			bu.Limit(ou.retryBound, tb.Outlets)
 		}
 	}
 	if old != nil && old.tb.Snap == tb.Snap {
-		ou.routing.Set(&routing{tb: tb, budgets: old.budgets, known: old.known, throttles: old.throttles})
+		ou.routing.Set(&routing{tb: tb, budgets: old.budgets, routeStats: old.routeStats, throttles: old.throttles})
 		return
 	}
-	budgets, throttles, routes := map[string]*retry.Budget{}, map[[2]string]*shed.Throttle{}, map[string]*known{}
+	budgets, throttles, routes := map[string]*retry.Budget{}, map[[2]string]*shed.Throttle{}, map[string]*routeStats{}
 	if old != nil {
 		for i, sv := range old.tb.Snap.ServiceList {
 			budgets[sv.Name] = old.budgets[i]
@@ -140,14 +140,14 @@
 			}
 		}
 		for i, rt := range old.tb.Snap.RouteList {
-			routes[rt.Name] = old.known[i]
+			routes[rt.Name] = old.routeStats[i]
 		}
 	}
 	next := &routing{tb: tb}
 	for _, sv := range tb.Snap.ServiceList {
 		bu := budgets[sv.Name]
 		if bu == nil {
-			bu = retry.New(ou.repeats, tb.Outlets)
+			bu = retry.New(ou.retryBound, tb.Outlets)
 		}
 		next.budgets = append(next.budgets, bu)
 		ths := make([]*shed.Throttle, len(tb.Snap.Classes))
@@ -159,18 +159,18 @@
 		next.throttles = append(next.throttles, ths)
 	}
 	for _, rt := range tb.Snap.RouteList {
-		kn := routes[rt.Name]
-		if kn == nil {
-			kn = &known{}
+		rs := routes[rt.Name]
+		if rs == nil {
+			rs = &routeStats{}
 		}
-		next.known = append(next.known, kn)
+		next.routeStats = append(next.routeStats, rs)
 	}
 	ou.routing.Set(next)
 }
 
 // Close ends the kept connections and what the outlet does beside requests.
 func (ou *Outlet) Close() {
-	ou.end()
+	ou.cancel()
 	ou.fw.Close()
 }
 
@@ -184,21 +184,21 @@
 
 // ServeHTTP serves one request.
 func (ou *Outlet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	start := arrived(r)
-	if gone(r) {
+	start := arrivalTime(r)
+	if callerGone(r) {
 		ou.Stats.For("none", "none").Outcomes.Add(result.Ended.String()+"/"+string(result.ReasonCallerGone), 1)
 		panic(http.ErrAbortHandler)
 	}
-	if rf := ou.checkEdge(r); rf != nil {
+	if rf := ou.validate(r); rf != nil {
 		ou.refuse(w, r, rf)
 		return
 	}
-	if !ou.requests.Take(1) {
+	if !ou.activeRequests.Take(1) {
 		ou.refuse(w, r, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonOutletFull, RetryAfter: time.Second})
 		return
 	}
-	defer ou.requests.Give(1)
-	rt, route := ou.lookUp(r)
+	defer ou.activeRequests.Give(1)
+	rt, route := ou.findRoute(r)
 	if rt == nil {
 		ou.refuse(w, r, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonNoConfig, RetryAfter: time.Second})
 		return
@@ -208,39 +208,39 @@
 		return
 	}
 	limit := route.Deadline
-	kn := rt.known[route.Index]
-	given, ok := ou.timeout(r.Header)
-	short := ok && given <= limit
+	rs := rt.routeStats[route.Index]
+	timeout, ok := ou.callerTimeout(r.Header)
+	shorter := ok && timeout <= limit
 	if ok {
-		limit = min(limit, given)
+		limit = min(limit, timeout)
 	}
-	try, further := ou.memory.Came(r, start, given, &kn.back)
-	elapsed, final := start.Sub(try.First), false
-	priority, repeat := route.Priority, 0.0
-	if wk := ou.work(); kn.back.Came(start, short && !further, wk.Running > 0) {
-		final, priority, repeat = true, wk.Priority, wk.Repeats
+	callerTry, callerRetry := ou.callerTries.Came(r, start, timeout, &rs.callerRetries)
+	elapsed, final := start.Sub(callerTry.First), false
+	priority, parentRetry := route.Priority, 0.0
+	if wk := ou.work(); rs.callerRetries.Came(start, shorter && !callerRetry, wk.Running > 0) {
+		final, priority, parentRetry = true, wk.Priority, wk.Repeats
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), start.Add(limit))
 	defer cancel()
 	sv := route.Target(rand.IntN(route.Total()))
 	rq := &request{
 		ou: ou, route: route, sv: sv, base: rt.tb.Group(sv), gp: rt.tb.Group(sv).For(start, rand.Float64()), bu: rt.budgets[sv.Index],
-		version: rt.tb.Snap.Version, kn: kn, th: rt.throttles[sv.Index][route.Class.Index], w: w, r: r, ctx: ctx, start: start, queued: time.Since(start), limit: limit, elapsed: elapsed, final: final, priority: priority, repeat: repeat, further: further, try: try,
+		version: rt.tb.Snap.Version, rs: rs, th: rt.throttles[sv.Index][route.Class.Index], w: w, r: r, ctx: ctx, start: start, queued: time.Since(start), limit: limit, elapsed: elapsed, final: final, priority: priority, parentRetry: parentRetry, callerRetry: callerRetry, callerTry: callerTry,
 	}
-	undo := ou.guardTimes(w, start.Add(limit))
+	undo := ou.setDeadlines(w, start.Add(limit))
 	defer func() {
 		// Without its deadline the server would wait for the rest of a body that
 		// does not come before it sends the answer.
-		if !rq.src.broken {
+		if !rq.body.incomplete {
 			undo()
 		}
 	}()
 	rq.serve()
 }
 
-// arrived returns when a request had been read. One that was sent behind others and
+// arrivalTime returns when a request had been read. One that was sent behind others and
 // waited for its turn has used up as much of its time.
-func arrived(r *http.Request) time.Time {
+func arrivalTime(r *http.Request) time.Time {
 	if at := piping.Arrived(r); !at.IsZero() {
 		return at
 	}
@@ -254,19 +254,19 @@
 	return route != nil && retry.Allowed(result.MayHaveRun, route.Repeat, r.Method)
 }
 
-// gone reports whether the caller has closed its connection before the request was
+// callerGone reports whether the caller has closed its connection before the request was
 // read. The server notices that by a read beside the handler, which gets its turn
 // here: without it a request that waited in the queue of new connections until
 // its caller gave up would still be sent to a backend server.
-func gone(r *http.Request) bool {
+func callerGone(r *http.Request) bool {
 	runtime.Gosched()
 	return r.Context().Err() != nil
 }
 
-// guardTimes ends reads from and writes to a caller that takes longer than the
+// setDeadlines ends reads from and writes to a caller that takes longer than the
 // deadline: without it a caller that sends or reads slowly holds a slot of the
 // backend server for as long as it likes. It returns what undoes it.
-func (ou *Outlet) guardTimes(w http.ResponseWriter, at time.Time) func() {
+func (ou *Outlet) setDeadlines(w http.ResponseWriter, at time.Time) func() {
 	rc := http.NewResponseController(w)
 	set := func(read, write time.Time) {
 		if err := errors.Join(rc.SetReadDeadline(read), rc.SetWriteDeadline(write)); err != nil {
--- a/internal/path/outlet/many_test.go
+++ b/internal/path/outlet/outlets_test.go
@@ -13,11 +13,11 @@
 	"github.com/flamingomast/flamingomast/internal/path/pick"
 )
 
-// spread sends each request to one of many outlets.
-type spread []*outlet.Outlet
+// setRetryAfter sends each request to one of many outlets.
+type randomOutlets []*outlet.Outlet
 
-func (sp spread) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	sp[rand.IntN(len(sp))].ServeHTTP(w, r)
+func (ro randomOutlets) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	ro[rand.IntN(len(ro))].ServeHTTP(w, r)
 }
 
 // TestManyOutlets: 60 outlets share 24 servers of 4 slots that are used to two
@@ -31,7 +31,7 @@
 		rate float64
 		// refused is the most that may be refused, messages the most that one
 		// request may be sent on average.
-		refused, messages float64
+		refused, inletRequests float64
 	}{
 		{"two thirds", 3200, 0.01, 1.5},
 		{"nine tenths", 4320, 0.1, 2.4},
@@ -42,21 +42,21 @@
 			defer lr.close()
 			lr.rules = strings.Replace(lr.rules, "routes: [", "routes: [{name: q, match: {host: booking, path-prefix: /quick}, to: [{service: booking, weight: 1}], objective: 60ms, priority: 2}, ", 1)
 			vw, sn := lr.view()
-			var sp spread
+			var ro randomOutlets
 			for i := range 60 {
 				ou := outlet.New(outlet.Options{Forwarder: lr.forwarder()})
 				ou.SetTable(pick.Build(sn, pick.Fleet{Members: vw, Self: fmt.Sprint("outlet-", i)}, nil))
-				sp = append(sp, ou)
+				ro = append(ro, ou)
 			}
-			lr.front = sp
-			lr.load(tc.rate, time.Second, always("/quick"))
-			before := lr.messages()
-			ta := lr.load(tc.rate, 2*time.Second, always("/quick"))
+			lr.front = ro
+			lr.load(tc.rate, time.Second, constantPath("/quick"))
+			before := lr.inletRequests()
+			ta := lr.load(tc.rate, 2*time.Second, constantPath("/quick"))
 			refused := float64(ta.notRun) / float64(ta.total())
-			messages := float64(lr.messages()-before) / float64(ta.total())
-			t.Logf("%s: %.4f refused, %.2f messages a request, 99th of answers %v", tc.name, refused, messages, quantile(ta.latency, 0.99))
-			if refused > tc.refused || messages > tc.messages {
-				t.Errorf("%s: %.4f refused, bound %.4f; %.2f messages a request, bound %.2f", tc.name, refused, tc.refused, messages, tc.messages)
+			inletRequests := float64(lr.inletRequests()-before) / float64(ta.total())
+			t.Logf("%s: %.4f refused, %.2f messages a request, 99th of answers %v", tc.name, refused, inletRequests, quantile(ta.latency, 0.99))
+			if refused > tc.refused || inletRequests > tc.inletRequests {
+				t.Errorf("%s: %.4f refused, bound %.4f; %.2f messages a request, bound %.2f", tc.name, refused, tc.refused, inletRequests, tc.inletRequests)
 			}
 		})
 	}
--- a/internal/path/outlet/pick_test.go
+++ b/internal/path/outlet/pick_test.go
@@ -13,7 +13,7 @@
 )
 
 // sized is a compiled sample with a record for each of its VMs.
-func sized(tb testing.TB, vms, services int) (*snap.Snapshot, *member.View) {
+func compileSample(tb testing.TB, vms, services int) (*snap.Snapshot, *member.View) {
 	tb.Helper()
 	ms := sample.Mesh(vms, 5, services)
 	co, err := pack.Encode(ms)
@@ -36,7 +36,7 @@
 }
 
 func pickTable(tb testing.TB, vms, services int) (*pick.Table, *snap.Service) {
-	sn, vw := sized(tb, vms, services)
+	sn, vw := compileSample(tb, vms, services)
 	return pick.Build(sn, pick.Fleet{Members: vw, Self: "outlet"}, nil), sn.Services["service-1"]
 }
 
@@ -45,12 +45,12 @@
 	table, sv := pickTable(t, 790, 73)
 	now := time.Now()
 	var tried pick.Tried
-	if n := testing.AllocsPerRun(100, func() { table.Group(sv).Pick(now, pick.Want{Size: 1000}, &tried, fixed) }); n > 0 {
+	if n := testing.AllocsPerRun(100, func() { table.Group(sv).Pick(now, pick.Want{Size: 1000}, &tried, middle) }); n > 0 {
 		t.Errorf("%v allocations a pick", n)
 	}
 }
 
-func fixed(n int) int { return n / 2 }
+func middle(n int) int { return n / 2 }
 
 func BenchmarkPick(b *testing.B) {
 	for _, services := range []int{2, 73, 700} {
@@ -71,7 +71,7 @@
 }
 
 func BenchmarkBuild(b *testing.B) {
-	sn, vw := sized(b, 790, 73)
+	sn, vw := compileSample(b, 790, 73)
 	var tb *pick.Table
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/path/outlet/poison.go
+++ b/internal/path/outlet/poison.go
@@ -10,26 +10,26 @@
 	"github.com/flamingomast/flamingomast/internal/stat/logs"
 )
 
-// refusePoison refuses a request that ends the backend servers that run it. One such
+// checkPoison refuses a request that ends the backend servers that run it. One such
 // request took down a whole service, as each outlet repeated it and its caller came again
 // at others; what any daemon saw of it counts here.
-func (rq *request) refusePoison() *result.Refusal {
+func (rq *request) checkPoison() *result.Refusal {
 	vw := rq.ou.poison()
 	if !vw.Suspects(rq.r) {
 		return nil
 	}
-	lead, whole := rq.src.lead()
-	if !whole {
+	prefix, complete := rq.body.prefix()
+	if !complete {
 		// Its body broke off, which the attempt finds as well.
 		return nil
 	}
-	key := ident.Of(rq.r, lead)
-	rq.ends = vw.Ends(key)
-	if !vw.Refuses(key, time.Now(), rq.ou.spread) {
+	key := ident.Of(rq.r, prefix)
+	rq.serverExits = vw.Ends(key)
+	if !vw.Refuses(key, time.Now(), rq.ou.poisonJitter) {
 		return nil
 	}
 	rq.ou.log.LogAttrs(context.Background(), slog.LevelInfo, logs.PoisonRefused,
-		slog.String(logs.ID, rq.id()), slog.String(logs.Key, key.String()), slog.Int(logs.Ends, rq.ends))
+		slog.String(logs.ID, rq.id()), slog.String(logs.Key, key.String()), slog.Int(logs.Ends, rq.serverExits))
 	return &result.Refusal{
 		Outcome: result.NotRun, Reason: result.ReasonPoison,
 		Detail: "backend servers ended each time they ran this request; it is not run again for now",
--- a/internal/path/outlet/request.go
+++ b/internal/path/outlet/request.go
@@ -28,12 +28,12 @@
 	// rollout it may be the ones of the new version.
 	base, gp *pick.Group
 	bu       *retry.Budget
-	kn       *known
+	rs       *routeStats
 	th       *shed.Throttle
 	w        http.ResponseWriter
 	r        *http.Request
 	ctx      context.Context
-	src      source
+	body     requestBody
 	tried    pick.Tried
 	start    time.Time
 	// queued is how long after start the outlet began to handle it, limit how long after
@@ -45,11 +45,11 @@
 	final bool
 	// priority is the route's, or for a call that of the request it is made for.
 	priority int
-	// repeat is how likely a call is made for a request that was run before.
-	repeat float64
-	// try is this one of its caller, further says that there was one before it.
-	try     *again.Try
-	further bool
+	// parentRetry is how likely a call is made for a request that was run before.
+	parentRetry float64
+	// callerTry is this one of its caller, further says that there was one before it.
+	callerTry   *again.Try
+	callerRetry bool
 	// version is the one that the request was routed by, vm the last one that it
 	// was sent to.
 	version uint64
@@ -58,33 +58,33 @@
 	software string
 	// spent is what the answered attempt spent at the inlet.
 	spent result.Spent
-	// tries counts the attempts, busy those that found no room, sent those that
+	// attempts counts the attempts, busy those that found no room, sent those that
 	// may have reached a backend server.
-	tries, busy, sent int
-	// ends counts the attempts under which the backend server ended.
-	ends int
-	// failed is the last attempt that was not answered, nil for none.
-	failed *result.Refusal
+	attempts, rejections, delivered int
+	// serverExits counts the attempts under which the backend server ended.
+	serverExits int
+	// lastRefusal is the last attempt that was not answered, nil for none.
+	lastRefusal *result.Refusal
 }
 
 func (rq *request) serve() {
 	rq.bu.Request()
-	if rq.repeat > 0 {
-		rq.bu.Charge(rq.repeat)
+	if rq.parentRetry > 0 {
+		rq.bu.Charge(rq.parentRetry)
 	}
-	defer rq.src.release(&rq.ou.bodies)
-	if rf := rq.src.fill(rq.w, rq.r, &rq.ou.bodies); rf != nil {
-		rq.end(rf)
+	defer rq.body.release(&rq.ou.bufferedBytes)
+	if rf := rq.body.read(rq.w, rq.r, &rq.ou.bufferedBytes); rf != nil {
+		rq.refuse(rf)
 		return
 	}
-	if rf := rq.refusePoison(); rf != nil {
-		rq.end(rf)
+	if rf := rq.checkPoison(); rf != nil {
+		rq.refuse(rf)
 		return
 	}
 	// One that came back is offered in any case: held back, it would be turned away
 	// twice for nothing.
-	if !rq.final && !rq.further && !rq.th.Offer(rq.priority, rq.start, rand.Float64()) {
-		rq.end(&result.Refusal{Outcome: result.NotRun, Reason: result.ReasonFull})
+	if !rq.final && !rq.callerRetry && !rq.th.Offer(rq.priority, rq.start, rand.Float64()) {
+		rq.refuse(&result.Refusal{Outcome: result.NotRun, Reason: result.ReasonFull})
 		return
 	}
 	rq.th.Done(rq.priority, time.Now(), rq.send())
@@ -92,49 +92,49 @@
 
 // send sends the request until it is answered or given up on, and reports whether
 // an inlet took it.
-func (rq *request) send() (taken bool) {
+func (rq *request) send() (accepted bool) {
 	var last *result.Refusal
 	for {
-		ep := rq.gp.Pick(time.Now(), rq.want(), &rq.tried, rand.IntN)
+		ep := rq.gp.Pick(time.Now(), rq.criteria(), &rq.tried, rand.IntN)
 		if ep == nil {
 			if last == nil {
 				last = &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonNoServer, RetryAfter: time.Second}
 			}
-			rq.end(last)
+			rq.refuse(last)
 			return !last.Crowded()
 		}
 		rq.software = ep.Software
 		rf := rq.attempt(ep)
 		if rf == nil {
-			rq.failed = nil
-			rq.count(result.Answered, "")
+			rq.lastRefusal = nil
+			rq.record(result.Answered, "")
 			return true
 		}
-		rq.failed = rf
+		rq.lastRefusal = rf
 		rq.logAttempt(ep, rf)
 		if rf.Reason == result.ReasonServerEnded {
-			rq.ends = max(rq.ends+1, rf.Ends)
+			rq.serverExits = max(rq.serverExits+1, rf.Ends)
 		}
 		if !staleConn(rf) {
 			rq.tried.Add(ep)
 		}
-		last = worse(last, rf)
+		last = combineRefusals(last, rf)
 		// What a new version did not answer goes to the one before.
 		if rq.base.Len() > 0 {
 			rq.gp = rq.base
 		}
-		if !rq.again(rf) {
-			rq.end(last)
+		if !rq.shouldRetry(rf) {
+			rq.refuse(last)
 			return !last.Crowded()
 		}
 	}
 }
 
-// want returns what the request asks of a server.
-func (rq *request) want() pick.Want {
+// criteria returns what the request asks of a server.
+func (rq *request) criteria() pick.Want {
 	return pick.Want{
-		Size: rq.kn.expected(), Stay: pacer.Narrow(rq.ou.link),
-		Rank: result.Rank(rq.priority, rq.final), Held: time.Duration(rq.kn.held.Load()), Reached: rq.busy > 0,
+		Size: rq.rs.expectedSize(), Stay: pacer.Narrow(rq.ou.linkRate),
+		Rank: result.Rank(rq.priority, rq.final), Held: time.Duration(rq.rs.held.Load()), Reached: rq.rejections > 0,
 	}
 }
 
@@ -144,9 +144,9 @@
 	return rf.Outcome == result.NotRun && rf.Reason == result.ReasonBroken
 }
 
-// worse returns what must be said of two attempts together: a request of which
+// combineRefusals returns what must be said of two attempts together: a request of which
 // one attempt may have run may have run, whatever became of the others.
-func worse(last, rf *result.Refusal) *result.Refusal {
+func combineRefusals(last, rf *result.Refusal) *result.Refusal {
 	if last != nil && last.Outcome == result.MayHaveRun && rf.Outcome == result.NotRun {
 		return last
 	}
@@ -155,43 +155,43 @@
 
 // How many servers without room a request tries.
 const (
-	// leastBusy holds for few servers: more would only multiply the load when all are
+	// maxRejections holds for few servers: more would only multiply the load when all are
 	// full.
-	leastBusy = 2
+	maxRejections = 2
 	// manyServers is the number from which one more is tried: with as many, some have
 	// room for a moment. Each try takes the processors of two daemons.
 	manyServers = 15
 )
 
-// maxBusy returns how many servers without room the request tries.
-func (rq *request) maxBusy() int {
+// rejectionLimit returns how many servers without room the request tries.
+func (rq *request) rejectionLimit() int {
 	if rq.gp.Len() >= manyServers {
-		return leastBusy + 1
+		return maxRejections + 1
 	}
-	return leastBusy
+	return maxRejections
 }
 
-// again reports whether the request is sent again after the refusal rf.
-func (rq *request) again(rf *result.Refusal) bool {
-	if rq.ctx.Err() != nil || rq.tries >= retry.MaxAttempts || !rq.src.replayable() {
+// shouldRetry reports whether the request is sent again after the refusal rf.
+func (rq *request) shouldRetry(rf *result.Refusal) bool {
+	if rq.ctx.Err() != nil || rq.attempts >= retry.MaxAttempts || !rq.body.replayable() {
 		return false
 	}
-	if rq.ends >= poison.Most {
+	if rq.serverExits >= poison.Most {
 		return false
 	}
-	if reached(rf) {
-		rq.sent++
+	if mayHaveReached(rf) {
+		rq.delivered++
 	}
-	if rq.route.Attempts > 0 && rq.sent >= rq.route.Attempts {
+	if rq.route.Attempts > 0 && rq.delivered >= rq.route.Attempts {
 		return false
 	}
-	if at, ok := rq.ctx.Deadline(); ok && rf.Outcome == result.NotRun && time.Until(at) < time.Duration(rq.kn.held.Load()) {
+	if at, ok := rq.ctx.Deadline(); ok && rf.Outcome == result.NotRun && time.Until(at) < time.Duration(rq.rs.held.Load()) {
 		// It could not be answered in time by any server. Sent again, it would wait
 		// until its deadline and be lost without a word whether it had run.
 		return false
 	}
 	if rf.Reason.NoRoom() || rf.Reason == result.ReasonShed {
-		if rq.busy++; rq.busy >= rq.maxBusy() {
+		if rq.rejections++; rq.rejections >= rq.rejectionLimit() {
 			return false
 		}
 	}
@@ -199,35 +199,35 @@
 		return false
 	}
 	// What no backend server saw adds no load to any when it is sent again.
-	return !reached(rf) || rq.bu.Take()
+	return !mayHaveReached(rf) || rq.bu.Take()
 }
 
-// repeated returns how likely a backend server gets the request, or the one that it is
+// retryProbability returns how likely a backend server gets the request, or the one that it is
 // a call for, not for the first time.
-func (rq *request) repeated() float64 {
-	if rq.sent > 0 {
+func (rq *request) retryProbability() float64 {
+	if rq.delivered > 0 {
 		return 1
 	}
-	return rq.repeat
+	return rq.parentRetry
 }
 
-// reached reports whether a refused request may have reached a backend server,
+// mayHaveReached reports whether a refused request may have reached a backend server,
 // which then had the work of it.
-func reached(rf *result.Refusal) bool {
+func mayHaveReached(rf *result.Refusal) bool {
 	return rf.Outcome != result.NotRun || rf.Reason == result.ReasonShed
 }
 
-// end writes the final answer of a request that no server answered. It does so
+// refuse writes the final answer of a request that no server answered. It does so
 // at once; when to come back stands in it.
-func (rq *request) end(rf *result.Refusal) {
-	rq.count(rf.Outcome, rf.Reason)
-	rq.spread(rf)
-	told := rf.Outcome == result.NotRun && rf.Reason != result.ReasonPoison
-	rq.ou.memory.Failed(rq.try, time.Now(), told, &rq.kn.back)
+func (rq *request) refuse(rf *result.Refusal) {
+	rq.record(rf.Outcome, rf.Reason)
+	rq.setRetryAfter(rf)
+	retryAdvised := rf.Outcome == result.NotRun && rf.Reason != result.ReasonPoison
+	rq.ou.callerTries.Failed(rq.callerTry, time.Now(), retryAdvised, &rq.rs.callerRetries)
 	// Written also where the caller seems to have gone: the context of a request
 	// ends as well when a read from the caller fails, and a handler that returns
 	// without an answer is taken for a success without a body.
-	if rq.src.streamed() || rq.src.broken {
+	if rq.body.streamed() || rq.body.incomplete {
 		rq.w.Header().Set("Connection", "close")
 	}
 	rf.Write(rq.w, rq.ou.names.Fractions)
@@ -235,22 +235,22 @@
 
 // The return of refused callers.
 const (
-	// returnPart is the part of the objective after which a caller is told to
+	// objectiveDivisor is the part of the objective after which a caller is told to
 	// come back at least: soon enough for an answer in time, and late enough for
 	// slots to have become free.
-	returnPart = 4
-	// returnLeast stands for it where no objective is declared.
-	returnLeast = 100 * time.Millisecond
-	// returnSoon is for requests that a backend server shed though it had free slots:
+	objectiveDivisor = 4
+	// defaultRetryDelay stands for it where no objective is declared.
+	defaultRetryDelay = 100 * time.Millisecond
+	// shedRetryDelay is for requests that a backend server shed though it had free slots:
 	// the next try has the same chance, whenever it comes.
-	returnSoon = 10 * time.Millisecond
+	shedRetryDelay = 10 * time.Millisecond
 )
 
-// spread sets when the caller of a request that has not run should come back:
+// setRetryAfter sets when the caller of a request that has not run should come back:
 // when a slot is expected to be free, spread over as long again, so that those
 // who were refused together do not come back as one wave.
-func (rq *request) spread(rf *result.Refusal) {
-	if rf.Reason == result.ReasonPoison || rq.ends >= poison.Most {
+func (rq *request) setRetryAfter(rf *result.Refusal) {
+	if rf.Reason == result.ReasonPoison || rq.serverExits >= poison.Most {
 		// It would be refused as it is now.
 		rf.RetryAfter = 0
 		return
@@ -258,27 +258,27 @@
 	if rf.Outcome != result.NotRun {
 		return
 	}
-	after := rq.comeBack(rf)
-	if after < time.Second {
-		rf.RetryAfter = after + rand.N(after)
+	delay := rq.retryDelay(rf)
+	if delay < time.Second {
+		rf.RetryAfter = delay + rand.N(delay)
 		return
 	}
-	rf.RetryAfter = after/2 + rand.N(after/2)
+	rf.RetryAfter = delay/2 + rand.N(delay/2)
 }
 
-// comeBack returns when the caller of a refused request should come back at least.
-func (rq *request) comeBack(rf *result.Refusal) time.Duration {
+// retryDelay returns when the caller of a refused request should come back at least.
+func (rq *request) retryDelay(rf *result.Refusal) time.Duration {
 	if rf.Reason == result.ReasonShed {
-		return returnSoon
+		return shedRetryDelay
 	}
-	least := returnLeast
+	shortest := defaultRetryDelay
 	if rq.route.Objective > 0 {
-		least = rq.route.Objective / returnPart
+		shortest = rq.route.Objective / objectiveDivisor
 	}
-	return max(rf.RetryAfter, least)
+	return max(rf.RetryAfter, shortest)
 }
 
-func (rq *request) count(oc result.Outcome, re result.Reason) {
+func (rq *request) record(oc result.Outcome, re result.Reason) {
 	sr := rq.ou.Stats.For(rq.sv.Name, rq.route.Class.Name)
 	took := time.Since(rq.start)
 	sr.Latency.Record(took)
@@ -288,23 +288,23 @@
 		name += "/" + string(re)
 	}
 	sr.Outcomes.Add(name, 1)
-	sr.Attempts.Add(strconv.Itoa(rq.tries), 1)
-	rq.logEnd(oc, re, took)
+	sr.Attempts.Add(strconv.Itoa(rq.attempts), 1)
+	rq.logResult(oc, re, took)
 }
 
-// logEnd writes the line of a request: failures always, answers as sampled.
-func (rq *request) logEnd(oc result.Outcome, re result.Reason, took time.Duration) {
+// logResult writes the line of a request: failures always, answers as sampled.
+func (rq *request) logResult(oc result.Outcome, re result.Reason, took time.Duration) {
 	level := slog.LevelWarn
 	if oc == result.Answered {
 		level = slog.LevelInfo
-		if share := rq.ou.Sample(); share < 1 && rand.Float64() >= share {
+		if share := rq.ou.LogSample(); share < 1 && rand.Float64() >= share {
 			return
 		}
 	}
 	rq.ou.log.LogAttrs(context.Background(), level, logs.Request, slog.String(logs.ID, rq.id()),
 		slog.String("service", rq.sv.Name), slog.String("route", rq.route.Name), slog.Uint64(logs.Version, rq.version),
 		slog.String("method", rq.r.Method), slog.String(logs.Outcome, oc.String()), slog.String(logs.Reason, string(re)),
-		slog.Int("attempts", rq.tries), slog.String(logs.VM, rq.vm), rq.softwareAttr(), slog.Duration(logs.Elapsed, rq.elapsed),
+		slog.Int("attempts", rq.attempts), slog.String(logs.VM, rq.vm), rq.softwareAttr(), slog.Duration(logs.Elapsed, rq.elapsed),
 		slog.Duration(logs.Queued, rq.queued), slog.Duration(logs.Limit, rq.limit), rq.causeAttr(),
 		slog.Duration(logs.Objective, rq.route.Objective),
 		slog.Duration(logs.Wait, rq.spent.Wait), slog.Duration(logs.Held, rq.spent.Held), slog.Duration(logs.Took, took))
@@ -322,10 +322,10 @@
 // causeAttr returns what broke the last attempt for the log, nothing where the request was
 // answered.
 func (rq *request) causeAttr() slog.Attr {
-	if rq.failed == nil {
+	if rq.lastRefusal == nil {
 		return slog.Attr{}
 	}
-	return rq.failed.CauseAttr()
+	return rq.lastRefusal.CauseAttr()
 }
 
 // logAttempt writes the line of a try that did not end in an answer, with what
--- a/internal/path/outlet/rig_test.go
+++ b/internal/path/outlet/rig_test.go
@@ -75,14 +75,14 @@
 
 // patientDial opens a connection however long the machine takes: the bound of the
 // real one is wall time, which a busy machine exceeds on loopback.
-func patientDial(ctx context.Context, addr string) (net.Conn, error) {
+func dialWithoutTimeout(ctx context.Context, addr string) (net.Conn, error) {
 	return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 }
 
 // newRig starts an outlet in front of one VM for each backend server address.
 func newRig(t testing.TB, servers ...string) *rig {
 	t.Helper()
-	rg := &rig{t: t, sn: compile(t, rules), outlet: outlet.New(outlet.Options{Forwarder: proxy.New(proxy.Options{Dial: patientDial})})}
+	rg := &rig{t: t, sn: compile(t, rules), outlet: outlet.New(outlet.Options{Forwarder: proxy.New(proxy.Options{Dial: dialWithoutTimeout})})}
 	for i, addr := range servers {
 		rg.addVM(i, addr)
 	}
@@ -99,7 +99,7 @@
 }
 
 func (rg *rig) addVM(i int, addr string) {
-	vm := &rigVM{in: inlet.New(proxy.Options{Dial: patientDial}, nil), addr: addr}
+	vm := &rigVM{in: inlet.New(proxy.Options{Dial: dialWithoutTimeout}, nil), addr: addr}
 	vm.http = httptest.NewServer(vm.in)
 	rg.t.Cleanup(vm.http.Close)
 	vm.rec = &member.Record{
@@ -140,13 +140,13 @@
 
 // answer is what a caller got.
 type answer struct {
-	status  int
-	outcome string
-	reason  string
-	retry   string
-	body    string
-	err     error
-	took    time.Duration
+	status     int
+	outcome    string
+	reason     string
+	retryAfter string
+	body       string
+	err        error
+	took       time.Duration
 }
 
 // do sends a request on a connection of its own.
@@ -166,12 +166,12 @@
 	text, err := io.ReadAll(res.Body)
 	return answer{
 		status: res.StatusCode, outcome: res.Header.Get("Flamingomast-Outcome"), reason: res.Header.Get("Flamingomast-Reason"),
-		retry: res.Header.Get("Retry-After"), body: string(text), err: err,
+		retryAfter: res.Header.Get("Retry-After"), body: string(text), err: err,
 	}
 }
 
 // newRaw starts a faulty backend server for the test.
-func newRaw(t testing.TB, fn faulty.Behave) *faulty.Server {
+func newFaultyServer(t testing.TB, fn faulty.Behave) *faulty.Server {
 	t.Helper()
 	sr, err := faulty.New(fn)
 	if err != nil {
--- a/internal/path/outlet/known.go
+++ b/internal/path/outlet/routestats.go
@@ -11,50 +11,50 @@
 	"github.com/flamingomast/flamingomast/internal/path/result"
 )
 
-// known is what an outlet has learned of a route's requests; it outlives
+// routeStats is what an outlet has learned of a route's requests; it outlives
 // versions of the configuration.
-type known struct {
+type routeStats struct {
 	// size is the weighted mean of the bytes that an answer has, with its head.
 	size atomic.Int64
 	// held is the weighted mean time for which its requests hold a slot.
 	held atomic.Int64
-	// back learns whether callers come back after a refusal.
-	back again.Route
+	// callerRetries learns whether callers come back after a refusal.
+	callerRetries again.Route
 }
 
-// sizeWeight is the part of the mean that one answer makes.
-const sizeWeight = 16
+// sizeDivisor is the part of the mean that one answer makes.
+const sizeDivisor = 16
 
 // headBytes is what the head of an answer takes, and that of the request.
 const headBytes = 700
 
-// answered notes the bytes of a request and its answer.
-func (kn *known) answered(n int64) {
-	old := kn.size.Load()
+// recordSize notes the bytes of a request and its answer.
+func (rs *routeStats) recordSize(n int64) {
+	old := rs.size.Load()
 	if old == 0 {
-		kn.size.Store(n)
+		rs.size.Store(n)
 		return
 	}
-	kn.size.Store(old + (n-old)/sizeWeight)
+	rs.size.Store(old + (n-old)/sizeDivisor)
 }
 
-// heldWeight is how many answers make the mean time of a route.
-const heldWeight = 32
+// heldDivisor is how many answers make the mean time of a route.
+const heldDivisor = 32
 
-// ran notes for how long a request held a slot and returns what is typical.
-func (kn *known) ran(held time.Duration) time.Duration {
-	old := time.Duration(kn.held.Load())
+// recordHeld notes for how long a request held a slot and returns what is typical.
+func (rs *routeStats) recordHeld(held time.Duration) time.Duration {
+	old := time.Duration(rs.held.Load())
 	if old == 0 {
 		old = held
 	}
-	next := old + (held-old)/heldWeight
-	kn.held.Store(int64(next))
+	next := old + (held-old)/heldDivisor
+	rs.held.Store(int64(next))
 	return next
 }
 
-// expected returns the bytes that a request and its answer are expected to have.
-func (kn *known) expected() int64 {
-	if n := kn.size.Load(); n > 0 {
+// expectedSize returns the bytes that a request and its answer are expected to have.
+func (rs *routeStats) expectedSize() int64 {
+	if n := rs.size.Load(); n > 0 {
 		return n
 	}
 	return headBytes
@@ -74,5 +74,5 @@
 	return text
 }
 
-// bodyBytes returns the length of a request's body, as far as it is known.
-func bodyBytes(r *http.Request) int64 { return max(0, r.ContentLength) }
+// knownBodySize returns the length of a request's body, as far as it is known.
+func knownBodySize(r *http.Request) int64 { return max(0, r.ContentLength) }
--- a/internal/path/outlet/servers_test.go
+++ b/internal/path/outlet/servers_test.go
@@ -12,25 +12,25 @@
 
 // TestMisleadingServers: one of six servers fails at once while it looks idle,
 // crawls, is new, or sheds. Few requests may be hurt by it.
-func TestMisleadingServers(t *testing.T) {
+func TestOneFaultyServer(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		spoil func(lr *loadRig)
+		name        string
+		injectFault func(lr *loadRig)
 		// hurt is the most requests that may fail, and share the range of the
 		// odd server's part of the requests.
-		hurt     float64
-		low, top float64
+		maxFailed float64
+		low, top  float64
 	}{
 		{"fails at once with 500", func(lr *loadRig) {
-			lr.back[0].fail = func(w http.ResponseWriter, _ *http.Request) bool {
+			lr.backends[0].fail = func(w http.ResponseWriter, _ *http.Request) bool {
 				w.WriteHeader(http.StatusInternalServerError)
 				return true
 			}
 		}, 0.02, 0, 0.02},
-		{"crawls", func(lr *loadRig) { lr.back[0].work = uniform(20 * work) }, 0.01, 0, 0.06},
+		{"crawls", func(lr *loadRig) { lr.backends[0].work = uniform(20 * workTime) }, 0.01, 0, 0.06},
 		{"is well", func(*loadRig) {}, 0, 0.12, 0.22},
 		{"sheds", func(lr *loadRig) {
-			lr.back[0].fail = func(w http.ResponseWriter, _ *http.Request) bool {
+			lr.backends[0].fail = func(w http.ResponseWriter, _ *http.Request) bool {
 				w.Header().Set("Flamingomast-Not-Run", "1")
 				w.WriteHeader(http.StatusServiceUnavailable)
 				return true
@@ -40,13 +40,13 @@
 		synctest.Test(t, func(t *testing.T) {
 			lr := newLoadRig(t, 6, anyDomain)
 			defer lr.close()
-			tc.spoil(lr)
-			ta := lr.load(400, 10*time.Second, always("/lookup"))
-			hurt := float64(ta.total()-ta.good) / float64(ta.total())
-			share := float64(lr.back[0].runs()) / float64(lr.attempts())
-			t.Logf("%s: hurt %.4f of the requests, its share %.3f, attempts per request %.3f", tc.name, hurt, share, float64(lr.attempts())/float64(ta.total()))
-			if hurt > tc.hurt || share < tc.low || share > tc.top {
-				t.Errorf("%s: hurt %.4f, bound %.4f; share %.3f, from %.3f to %.3f", tc.name, hurt, tc.hurt, share, tc.low, tc.top)
+			tc.injectFault(lr)
+			ta := lr.load(400, 10*time.Second, constantPath("/lookup"))
+			failed := float64(ta.total()-ta.good) / float64(ta.total())
+			share := float64(lr.backends[0].runs()) / float64(lr.attempts())
+			t.Logf("%s: hurt %.4f of the requests, its share %.3f, attempts per request %.3f", tc.name, failed, share, float64(lr.attempts())/float64(ta.total()))
+			if failed > tc.maxFailed || share < tc.low || share > tc.top {
+				t.Errorf("%s: hurt %.4f, bound %.4f; share %.3f, from %.3f to %.3f", tc.name, failed, tc.maxFailed, share, tc.low, tc.top)
 			}
 		})
 	}
@@ -64,9 +64,9 @@
 		lr.update()
 		var shares []float64
 		for _, span := range []time.Duration{2, 2, 2, 2, 2, 20} {
-			own, all := lr.back[0].runs(), lr.attempts()
-			lr.load(200, span*time.Second, always("/lookup"))
-			shares = append(shares, float64(lr.back[0].runs()-own)/float64(lr.attempts()-all))
+			own, all := lr.backends[0].runs(), lr.attempts()
+			lr.load(200, span*time.Second, constantPath("/lookup"))
+			shares = append(shares, float64(lr.backends[0].runs()-own)/float64(lr.attempts()-all))
 		}
 		t.Logf("shares in five times 2 s and 20 s: %.3f", shares)
 		if shares[0] > 0.08 || shares[5] < 0.12 {
@@ -81,8 +81,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		lr := newLoadRig(t, 6, "")
 		defer lr.close()
-		ta := lr.load(100, 2*time.Second, always("/lookup"))
-		if own := lr.back[0].runs() + lr.back[3].runs(); own < ta.total()*95/100 {
+		ta := lr.load(100, 2*time.Second, constantPath("/lookup"))
+		if own := lr.backends[0].runs() + lr.backends[3].runs(); own < ta.total()*95/100 {
 			t.Errorf("%d of %d requests stayed in the own failure domain", own, ta.total())
 		}
 		inFlight := 0
@@ -93,7 +93,7 @@
 				lr.stops[2*i+1]()
 			}
 		}
-		ta = lr.load(100, 5*time.Second, always("/lookup"))
+		ta = lr.load(100, 5*time.Second, constantPath("/lookup"))
 		t.Logf("after the loss: %d of %d answered, %d refused; %d were in flight", ta.good, ta.total(), ta.notRun, inFlight)
 		if ta.good < ta.total() {
 			t.Errorf("%d of %d answered", ta.good, ta.total())
@@ -109,10 +109,10 @@
 		lr := newLoadRig(t, 6, anyDomain)
 		defer lr.close()
 		done := make(chan *tally)
-		go func() { done <- lr.load(300, 8*time.Second, always("/lookup")) }()
+		go func() { done <- lr.load(300, 8*time.Second, constantPath("/lookup")) }()
 		time.Sleep(3 * time.Second)
 		lr.gates[0].Drain()
-		ran := lr.back[0].runs()
+		ran := lr.backends[0].runs()
 		time.Sleep(2 * time.Second)
 		rec := *lr.recs[0]
 		rec.Sequence, rec.State = 2, member.StateDraining
@@ -122,7 +122,7 @@
 		if ta.good < ta.total() {
 			t.Errorf("%d of %d answered", ta.good, ta.total())
 		}
-		if after := lr.back[0].runs() - ran; after > slots {
+		if after := lr.backends[0].runs() - ran; after > slots {
 			t.Errorf("%d requests ran after the order; only those already admitted may", after)
 		}
 	})
@@ -140,7 +140,7 @@
 			}
 			ta := &tally{}
 			lr.send("/lookup", ta)
-			if got := lr.out.Stats.For("booking", "default").Attempts.String(); got != want || ta.notRun != 1 {
+			if got := lr.outlet.Stats.For("booking", "default").Attempts.String(); got != want || ta.notRun != 1 {
 				t.Errorf("%d servers: attempts %s, want %s; %d refused as not run", servers, got, want, ta.notRun)
 			}
 		})
--- a/internal/path/outlet/start.go
+++ b/internal/path/outlet/start.go
@@ -10,33 +10,33 @@
 
 // The first moments of an outlet.
 const (
-	// startTime is how long after its start an outlet waits for what it does not know
+	// startupPeriod is how long after its start an outlet waits for what it does not know
 	// yet: the configuration, then the servers.
-	startTime = time.Second
-	// startWait is how long a request waits for that at most.
-	startWait = 200 * time.Millisecond
+	startupPeriod = time.Second
+	// startupWait is how long a request waits for that at most.
+	startupWait = 200 * time.Millisecond
 )
 
-// lookUp returns the table and the route of a request, nil where there is none.
+// findRoute returns the table and the route of a request, nil where there is none.
 //
 // After a kill of all daemons their callers are there at once, while each daemon learns
 // of the others. Refused for want of a server, they come back when their objective has
 // passed, and none is in time; here they wait for the first servers instead.
-func (ou *Outlet) lookUp(r *http.Request) (*routing, *snap.Route) {
+func (ou *Outlet) findRoute(r *http.Request) (*routing, *snap.Route) {
 	rt, route := ou.match(r)
-	if rt.serves(route) || time.Since(ou.started) > startTime {
+	if rt.canServe(route) || time.Since(ou.started) > startupPeriod {
 		return rt, route
 	}
-	late := time.NewTimer(startWait)
-	defer late.Stop()
+	timer := time.NewTimer(startupWait)
+	defer timer.Stop()
 	for {
 		_, changed := ou.routing.Watch()
-		if rt, route = ou.match(r); rt.serves(route) {
+		if rt, route = ou.match(r); rt.canServe(route) {
 			return rt, route
 		}
 		select {
 		case <-changed:
-		case <-late.C:
+		case <-timer.C:
 			return rt, route
 		case <-r.Context().Done():
 			return rt, route
@@ -53,9 +53,9 @@
 	return rt, rt.tb.Snap.Match(r.Method, r.Host, r.URL.Path, r.Header)
 }
 
-// serves reports whether enough is known to handle a request: that it has no route, or a
+// canServe reports whether enough is known to handle a request: that it has no route, or a
 // server for it.
-func (rt *routing) serves(route *snap.Route) bool {
+func (rt *routing) canServe(route *snap.Route) bool {
 	if rt == nil || route == nil {
 		return rt != nil
 	}
--- a/internal/path/outlet/start_test.go
+++ b/internal/path/outlet/start_test.go
@@ -19,11 +19,11 @@
 		lr := newLoadRig(t, 2, anyDomain)
 		defer lr.close()
 		vw, sn := lr.view()
-		late := outlet.New(outlet.Options{Forwarder: lr.forwarder()})
-		lr.front = late
+		starting := outlet.New(outlet.Options{Forwarder: lr.forwarder()})
+		lr.front = starting
 		began := time.Now()
-		time.AfterFunc(50*time.Millisecond, func() { late.SetTable(pick.Build(sn, pick.Fleet{Members: &member.View{}, Self: "outlet"}, nil)) })
-		time.AfterFunc(100*time.Millisecond, func() { late.SetTable(pick.Build(sn, pick.Fleet{Members: vw, Self: "outlet"}, late.Table())) })
+		time.AfterFunc(50*time.Millisecond, func() { starting.SetTable(pick.Build(sn, pick.Fleet{Members: &member.View{}, Self: "outlet"}, nil)) })
+		time.AfterFunc(100*time.Millisecond, func() { starting.SetTable(pick.Build(sn, pick.Fleet{Members: vw, Self: "outlet"}, starting.Table())) })
 		ta := &tally{}
 		lr.send("/lookup", ta)
 		if took := time.Since(began); ta.good != 1 || took < 100*time.Millisecond || took > 200*time.Millisecond {
--- a/internal/path/outlet/edge_test.go
+++ b/internal/path/outlet/validate_test.go
@@ -65,7 +65,7 @@
 		{"unknown host", "GET / HTTP/1.1\r\nHost: nobody\r\nConnection: close\r\n\r\n", "404"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			rs := newRaw(t, faulty.Well)
+			rs := newFaultyServer(t, faulty.Well)
 			rg := newRig(t, rs.Addr)
 			first, all := rg.raw(tc.text)
 			if tc.want != "" && !strings.HasPrefix(first, "HTTP/1.1 "+tc.want) {
@@ -90,7 +90,7 @@
 func TestSmuggling(t *testing.T) {
 	var mu sync.Mutex
 	var seen []string
-	rs := newRaw(t, func(cn net.Conn, n int, req *http.Request) bool {
+	rs := newFaultyServer(t, func(cn net.Conn, n int, req *http.Request) bool {
 		body, _ := io.ReadAll(req.Body)
 		mu.Lock()
 		seen = append(seen, fmt.Sprintf("%s %s %q %d", req.Method, req.URL.Path, body, len(req.TransferEncoding)))
@@ -108,7 +108,7 @@
 }
 
 // TestPassedOn: what passes both hops and what does not.
-func TestPassedOn(t *testing.T) {
+func TestForwardedHeaders(t *testing.T) {
 	var got http.Header
 	var host, method, uri string
 	back := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -185,7 +185,7 @@
 // TestEndlessBody: a body without a length that goes beyond the limit ends with
 // an error, and memory stays bounded since it is never kept.
 func TestEndlessBody(t *testing.T) {
-	rs := newRaw(t, func(_ net.Conn, _ int, req *http.Request) bool { faulty.ReadBody(req); return false })
+	rs := newFaultyServer(t, func(_ net.Conn, _ int, req *http.Request) bool { faulty.ReadBody(req); return false })
 	rg := newRig(t, rs.Addr)
 	req := rg.request("POST", "/always/a", "")
 	req.Body = io.NopCloser(io.LimitReader(zeros{}, proxy.MaxBody+1<<20))
@@ -241,16 +241,16 @@
 // TestCallerGone: a caller gives up. The server learns it at once through both
 // hops, and its slot is free.
 func TestCallerGone(t *testing.T) {
-	began, ended := make(chan bool, 1), make(chan error, 1)
+	started, ended := make(chan bool, 1), make(chan error, 1)
 	back := startServer(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		began <- true
+		started <- true
 		<-r.Context().Done()
 		ended <- r.Context().Err()
 	}))
 	rg := newRig(t, back)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		<-began
+		<-started
 		cancel()
 	}()
 	rg.do(rg.request("GET", "/a", "").WithContext(ctx))
@@ -262,7 +262,7 @@
 
 // TestHTTP2Caller: over HTTP/2 a broken answer must break too.
 func TestHTTP2Caller(t *testing.T) {
-	rs := newRaw(t, func(cn net.Conn, n int, req *http.Request) bool {
+	rs := newFaultyServer(t, func(cn net.Conn, n int, req *http.Request) bool {
 		if req.URL.Path == "/whole" {
 			return faulty.Well(cn, n, req)
 		}
@@ -286,24 +286,24 @@
 // TestVersionAmidRequest: a new version comes, and with it the service and its
 // VMs go, while a request is running and another waits for its second attempt.
 // The request that runs ends whole by the version it began with.
-func TestVersionAmidRequest(t *testing.T) {
-	began, goOn := make(chan bool), make(chan bool)
-	rs := newRaw(t, func(cn net.Conn, n int, req *http.Request) bool {
-		began <- true
-		<-goOn
+func TestConfigurationChangeDuringRequest(t *testing.T) {
+	started, proceed := make(chan bool), make(chan bool)
+	rs := newFaultyServer(t, func(cn net.Conn, n int, req *http.Request) bool {
+		started <- true
+		<-proceed
 		return faulty.Well(cn, n, req)
 	})
 	rg := newRig(t, rs.Addr)
 	var wg conc.WaitGroup
 	var an answer
 	wg.Go(func() { an = rg.do(rg.request("POST", "/once/a", "visit")) })
-	<-began
+	<-started
 	rg.sn = compile(t, "regions: [{name: r}]\nfailure-domains: [{name: a, region: r}]\n")
 	rg.update()
 	if other := rg.do(rg.request("GET", "/b", "")); other.status != http.StatusNotFound || other.outcome != "not-run" {
 		t.Errorf("after the change: %+v", other)
 	}
-	close(goOn)
+	close(proceed)
 	wg.Wait()
 	if an.status != http.StatusOK || an.body != "ok /once/a" {
 		t.Errorf("the request that was running got %+v", an)
@@ -315,8 +315,8 @@
 // and serves again when the server has answered.
 func TestManyCallers(t *testing.T) {
 	const callers, most = 600, 512
-	goOn := make(chan bool)
-	rg := newRig(t, startServer(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-goOn })))
+	proceed := make(chan bool)
+	rg := newRig(t, startServer(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-proceed })))
 	rg.vms[0].in.Gate.Configure(callers, nil)
 	var refused, answered atomic.Int64
 	var wg conc.WaitGroup
@@ -325,7 +325,7 @@
 			switch an := rg.do(rg.request("GET", "/long", "")); {
 			case an.status == http.StatusOK:
 				answered.Add(1)
-			case an.outcome == "not-run" && an.reason == "outlet-full" && an.retry == "1":
+			case an.outcome == "not-run" && an.reason == "outlet-full" && an.retryAfter == "1":
 				refused.Add(1)
 			default:
 				t.Errorf("a caller got %+v", an)
@@ -333,7 +333,7 @@
 		})
 	}
 	eventually(t, func() bool { return refused.Load() == callers-most })
-	close(goOn)
+	close(proceed)
 	wg.Wait()
 	if answered.Load() != most {
 		t.Errorf("%d answered, want %d", answered.Load(), most)
@@ -347,7 +347,7 @@
 // bytes of bodies are kept; those of the others are streamed, and who gets a
 // slot is answered meanwhile.
 func TestManyBodies(t *testing.T) {
-	rg := newRig(t, newRaw(t, faulty.Well).Addr)
+	rg := newRig(t, newFaultyServer(t, faulty.Well).Addr)
 	addr := strings.TrimPrefix(rg.front.URL, "http://")
 	const kept = 4 << 20 / 60_000
 	var refused atomic.Int64
@@ -409,10 +409,10 @@
 }
 
 // TestNoConfiguration: an outlet that holds no version yet says so at once.
-func TestNoConfiguration(t *testing.T) {
+func TestNoBackendServer(t *testing.T) {
 	rg := newRig(t)
 	an := rg.do(rg.request("GET", "/a", ""))
-	if an.outcome != "not-run" || an.reason != "no-backend-server" || an.retry != "1" {
+	if an.outcome != "not-run" || an.reason != "no-backend-server" || an.retryAfter != "1" {
 		t.Errorf("without a backend server: %+v", an)
 	}
 }
@@ -422,7 +422,7 @@
 func FuzzEdge(f *testing.F) {
 	f.Add("GET / HTTP/1.1\r\nHost: booking\r\n\r\n")
 	f.Add("POST /a HTTP/1.1\r\nHost: booking\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
-	rs := newRaw(f, faulty.Well)
+	rs := newFaultyServer(f, faulty.Well)
 	rg := newRig(f, rs.Addr)
 	addr := strings.TrimPrefix(rg.front.URL, "http://")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/path/outlet/weight_test.go
+++ b/internal/path/outlet/weight_test.go
@@ -17,8 +17,8 @@
 // no room. Were its part sent to the other service, that would get more than the operators
 // have said and be the next without room. What does not fit is refused as not run, and
 // the other part stays as large as its weight.
-func TestPartFull(t *testing.T) {
-	const all = 800
+func TestWeightedTargetFull(t *testing.T) {
+	const requests = 800
 	for _, tc := range []struct {
 		name string
 		// slots are those of the part of a quarter.
@@ -37,33 +37,33 @@
 			addr := strings.TrimPrefix(be.URL, "http://")
 			rg := newRig(t, addr, addr, addr)
 			rg.sn = compile(t, rules+"- {name: split, match: {host: booking, path-prefix: /split}, to: [{service: booking, weight: 3}, {service: portal, weight: 1}], repeat: always, deadline: 2s}\n")
-			part := rg.vms[2]
-			part.rec.Service = "portal"
-			part.in.SetTarget(inlet.Target{VM: part.rec.VM, Process: pick.Process(part.rec), Service: "portal", Addr: addr})
-			part.in.Gate.Configure(tc.slots, []limit.Class{{Name: "default", Share: 10}})
+			portal := rg.vms[2]
+			portal.rec.Service = "portal"
+			portal.in.SetTarget(inlet.Target{VM: portal.rec.VM, Process: pick.Process(portal.rec), Service: "portal", Addr: addr})
+			portal.in.Gate.Configure(tc.slots, []limit.Class{{Name: "default", Share: 10}})
 			rg.update()
 			counts := map[string]int{}
 			cl := &http.Client{}
-			for range all {
+			for range requests {
 				an := send(cl, rg.request("GET", "/split", ""))
 				counts[fmt.Sprintf("%d %s", an.status, an.outcome)]++
 			}
-			toOther := ended(rg, "booking")["answered"]
+			toOther := outcomeCounts(rg, "booking")["answered"]
 			// Four standard deviations of a draw.
-			const slack = 0.062
-			if got := float64(toOther) / all; got < 0.75-slack || got > 0.75+slack {
+			const tolerance = 0.062
+			if got := float64(toOther) / requests; got < 0.75-tolerance || got > 0.75+tolerance {
 				t.Errorf("the other part got %.3f of the requests, its weight is 0.75: %v", got, counts)
 			}
-			refused := float64(counts["503 not-run"]) / all
-			if refused < tc.refused-slack || refused > tc.refused+slack {
+			refused := float64(counts["503 not-run"]) / requests
+			if refused < tc.refused-tolerance || refused > tc.refused+tolerance {
 				t.Errorf("%.3f were refused, want %.3f: %v", refused, tc.refused, counts)
 			}
 		})
 	}
 }
 
-// ended returns how the requests of a service ended at the outlet, by outcome.
-func ended(rg *rig, service string) map[string]int {
+// endAttempt returns how the requests of a service ended at the outlet, by outcome.
+func outcomeCounts(rg *rig, service string) map[string]int {
 	counts := map[string]int{}
 	for _, part := range strings.Split(strings.Trim(rg.outlet.Stats.For(service, "default").Outcomes.String(), "{}"), ", ") {
 		name, text, ok := strings.Cut(part, ": ")
