--- a/internal/path/outlet/answer_test.go
+++ b/internal/path/outlet/answer_test.go
@@ -15,14 +15,13 @@
 	"github.com/flamingomast/flamingomast/internal/path/result"
 )
 
-// documentSize is that of a large answer, beyond what all buffers on its way
-// take.
+// documentSize is the size of a large answer. It exceeds all the buffers between backend server and
+// caller.
 const documentSize = 1 << 20
 
-// TestSlowReaderHoldsNoSlot: callers download documents and read slowly, or over
-// a narrow link. The backend server is done with each at once, but its slot was
-// held until the last byte had been taken: lookups at the same server were refused
-// while it was idle.
+// TestSlowReaderHoldsNoSlot guards against a slot being held until a slow caller has read the last
+// byte of its answer. Callers download documents slowly or over a narrow link; the backend server
+// finished each document at once, but lookups at that server were refused while it was idle.
 func TestSlowReaderHoldsNoSlot(t *testing.T) {
 	var documents atomic.Int32
 	addr := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -53,7 +52,7 @@
 		return documents.Load() == 2 && gate.Load().Running == 0
 	})
 	if an := rg.do(rg.request("GET", "/lookup", "")); an.status != http.StatusOK {
-		t.Errorf("a lookup beside the downloads got %+v", an)
+		t.Errorf("a lookup during the downloads got %+v", an)
 	}
 	for _, cn := range conns {
 		head := make([]byte, 12)
@@ -63,9 +62,9 @@
 	}
 }
 
-// TestBrokenDocument: a backend server breaks off in the middle of a document.
-// The caller of a request that may be repeated got a connection that broke off,
-// though nothing had to be passed on by then: another server has the document.
+// TestBrokenDocument guards against an answer that is cut off at the backend server breaking the
+// caller's connection although the request may be retried. Nothing of the answer has to be
+// forwarded by then, and another server has the document.
 func TestBrokenDocument(t *testing.T) {
 	broken := newFaultyServer(t, func(cn net.Conn, _ int, _ *http.Request) bool {
 		_, _ = io.WriteString(cn, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"+string(make([]byte, 50000)))
@@ -81,12 +80,12 @@
 		}
 	}
 	if broken.Seen() == 0 {
-		t.Error("the broken server was never asked")
+		t.Error("no request was sent to the broken server")
 	}
 }
 
-// TestHead: the answer to HEAD names the length of a body that does not come;
-// waiting for it failed the request.
+// TestHead guards against waiting for a body after HEAD: the answer gives a length, but no body
+// follows, and the request failed.
 func TestHead(t *testing.T) {
 	addr := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "5000")
@@ -97,9 +96,9 @@
 	}
 }
 
-// TestShedReturn: all servers of a service turn away half of what they get, though their
-// slots are free. A caller that is told to come back in a second is late by then; told
-// to come back at once, it has as good a chance as later, whatever the server says.
+// TestShedRetryAfter: every server of a service sheds requests although its slots are free. A retry
+// has the same chance of success at any time, and a caller that is told to wait a second misses its
+// objective. The caller has to be told to retry at once, whatever Retry-After the server sends.
 func TestShedRetryAfter(t *testing.T) {
 	for _, retryAfter := range []string{"", "Retry-After: 3\r\n"} {
 		be := newFaultyServer(t, func(cn net.Conn, _ int, req *http.Request) bool {
@@ -113,7 +112,7 @@
 		an := rg.do(rg.request("GET", "/always", ""))
 		after, err := strconv.ParseFloat(an.retryAfter, 64)
 		if err != nil || an.reason != string(result.ReasonShed) || after > 0.02 {
-			t.Errorf("said %q: %d %s, come back in %s s, want at most 0.02", retryAfter, an.status, an.reason, an.retryAfter)
+			t.Errorf("server header %q: %d %s, Retry-After %s s, want at most 0.02", retryAfter, an.status, an.reason, an.retryAfter)
 		}
 	}
 }
--- a/internal/path/outlet/attempt.go
+++ b/internal/path/outlet/attempt.go
@@ -14,8 +14,8 @@
 	"github.com/flamingomast/flamingomast/internal/path/result"
 )
 
-// attempt sends the request to one server. It returns nil once an answer was
-// passed on whole; an answer that breaks off ends the caller's connection.
+// attempt sends the request to one server. It returns nil once an answer was forwarded completely;
+// an answer that is cut off while it is forwarded aborts the caller's connection.
 func (rq *request) attempt(ep *pick.Endpoint) *result.Refusal {
 	rq.attempts++
 	rq.vm = ep.VM
@@ -37,7 +37,7 @@
 	}
 	if rf := result.FromAnswer(at.Response); rf != nil {
 		ep.End(time.Now(), verdictOf(rf), rq.gp)
-		// A short body is read to its end, so that the connection is kept.
+		// Drain a short body so that the connection can be reused.
 		_, _ = io.Copy(io.Discard, io.LimitReader(at.Response.Body, 4<<10))
 		return rf
 	}
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// endAttempt counts a failed attempt at a server. One that could not be reached is
-// left out until a connection can be made, so that no request has to find out.
+// endAttempt records a failed attempt at a server. A server that could not be reached stays ejected
+// until a probe connects to it, so that no request is used to find out.
 func (rq *request) endAttempt(ep *pick.Endpoint, vd pick.Verdict) {
 	now := time.Now()
 	wasEjected := ep.Out(now)
@@ -80,17 +80,17 @@
 	}
 }
 
-// The probing of a server that could not be reached.
+// Probing of servers that could not be reached.
 const (
-	// probeInterval is the wait between two connections.
+	// probeInterval is the wait between two connection attempts.
 	probeInterval = 500 * time.Millisecond
-	// maxProbes is how often they are tried, in all as long as a server is left out
-	// at most.
+	// maxProbes bounds the connection attempts. Together they take as long as the longest ejection
+	// of a server.
 	maxProbes = 60
 )
 
-// probeUntilReachable tries to connect to a server that could not be reached and lets
-// requests go to it again once that succeeds.
+// probeUntilReachable tries to connect to a server that could not be reached and readmits it once
+// that succeeds.
 func (ou *Outlet) probeUntilReachable(ep *pick.Endpoint) {
 	for range maxProbes {
 		select {
@@ -109,13 +109,13 @@
 	}
 }
 
-// maxBufferedAnswer is the size up to which an answer is read whole before its head
-// is sent on, in bytes: most answers are a few kilobytes.
+// maxBufferedAnswer is the size in bytes up to which an answer is read completely before its head
+// is forwarded. Most answers are a few kilobytes.
 const maxBufferedAnswer = 32 << 10
 
-// bufferAnswer reads a small answer whole. A backend server that breaks off in the
-// middle would otherwise have cost the caller its connection, where a request
-// that may be repeated can be sent again as long as nothing was passed on.
+// bufferAnswer reads a small answer completely. If the backend server breaks the connection in the
+// middle of an answer, a request that may be retried can still be sent again, as long as nothing
+// was forwarded; otherwise the caller would lose its connection.
 func (rq *request) bufferAnswer(at *proxy.Attempt) *result.Refusal {
 	if err := at.Hold(maxBufferedAnswer); err != nil {
 		rf := rq.failure(at, result.MayHaveRun, result.ReasonBroken)
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// verdictOf tells what a refusal says of the server.
+// verdictOf returns what a refusal says about the server.
 func verdictOf(rf *result.Refusal) pick.Verdict {
 	if staleConn(rf) {
 		return pick.Busy
@@ -141,8 +141,8 @@
 	case result.ReasonShed:
 		return pick.Shed
 	case result.ReasonDeadline:
-		// Waiting for a slot until the deadline is no fault of the server;
-		// running until then may be.
+		// Waiting for a slot until the deadline is not the server's fault; running until then may
+		// be.
 		if rf.Outcome == result.NotRun {
 			return pick.Busy
 		}
@@ -150,7 +150,7 @@
 	return pick.Bad
 }
 
-// failure describes an attempt without an answer.
+// failure describes an attempt that got no answer.
 func (rq *request) failure(at *proxy.Attempt, oc result.Outcome, re result.Reason) *result.Refusal {
 	rf := &result.Refusal{Outcome: oc, Reason: re, RetryAfter: time.Second, Cause: at.Err}
 	switch {
@@ -166,7 +166,7 @@
 	return rf
 }
 
-// outgoing makes the request for a server's inlet.
+// outgoing builds the request to a server's inlet.
 func (rq *request) outgoing(ep *pick.Endpoint) *http.Request {
 	out := proxy.Outgoing(rq.ctx, rq.r, ep.Inlet, result.TimeoutMs)
 	nm := &rq.ou.names
@@ -194,7 +194,7 @@
 	}
 	if size := rq.rs.expectedSize(); pick.Large(size) {
 		out.Header[result.SizeHeader] = []string{strconv.FormatInt(size, 10)}
-		// This one is counted among them.
+		// largeAnswers includes this request.
 		others := int(rq.ou.largeAnswers.Load()) - 1
 		if rate := pacer.Share(rq.ou.linkRate, others); rate > 0 {
 			out.Header[result.RateHeader] = []string{strconv.Itoa(rate)}
--- a/internal/path/outlet/baseline_test.go
+++ b/internal/path/outlet/baseline_test.go
@@ -14,8 +14,7 @@
 	"github.com/flamingomast/flamingomast/internal/path/result"
 )
 
-// baseline is an outlet that picks in a simple way and sends again whatever
-// failed.
+// baseline is an outlet with a simple way of picking servers. It retries every failure.
 type baseline struct {
 	lr   *loadRig
 	fw   *proxy.Forwarder
@@ -49,8 +48,8 @@
 	w.WriteHeader(http.StatusBadGateway)
 }
 
-// TestBaselines puts the outlet beside random picks and round robin, both with
-// retries of everything, on the same faults.
+// TestBaselines compares the outlet with random picks and round robin, which both retry every
+// failure, under the same faults.
 func TestBaselines(t *testing.T) {
 	var next atomic.Int64
 	picks := map[string]func() int{
@@ -62,8 +61,8 @@
 		name        string
 		injectFault func(lr *loadRig)
 	}{
-		{"one of six crawls", func(lr *loadRig) { lr.backends[0].work = uniform(20 * workTime) }},
-		{"a third breaks", func(lr *loadRig) { lr.backends[0].fail, lr.backends[1].fail = abort, abort }},
+		{"one of six is slow", func(lr *loadRig) { lr.backends[0].work = uniform(20 * workTime) }},
+		{"a third break connections", func(lr *loadRig) { lr.backends[0].fail, lr.backends[1].fail = abort, abort }},
 	} {
 		type figure struct {
 			p99      time.Duration
--- a/internal/path/outlet/body.go
+++ b/internal/path/outlet/body.go
@@ -13,29 +13,28 @@
 	"github.com/flamingomast/flamingomast/internal/path/result"
 )
 
-// maxBufferedBody is the size up to which a body of known length is kept in
-// memory, so that a request which has not run can be sent elsewhere.
+// maxBufferedBody is the size in bytes up to which a body of known length is kept in memory, so
+// that a request that has not run can be sent to another server.
 const maxBufferedBody = 64 << 10
 
-// requestBody is the body of a caller's request. A small one is read whole before
-// the first attempt. A large one, or one without a length, is streamed: the
-// next hop is asked first whether it takes the request (Expect: 100-continue,
-// RFC 9110 section 10.1.1), so that a refusal comes before any of it is read.
+// requestBody is the body of a caller's request. A small one is read completely before the first
+// attempt. A large one, or one of unknown length, is streamed with Expect: 100-continue (RFC 9110
+// section 10.1.1): the next hop can refuse the request before any of the body is read.
 type requestBody struct {
 	buffered []byte
 	stream   *stream
-	// incomplete is set when the body did not come whole.
+	// incomplete is set when the body could not be read to its end.
 	incomplete bool
 }
 
-// stream is a body that can be read once.
+// stream is a body that can be read only once.
 type stream struct {
 	r        io.Reader
 	started  atomic.Bool
 	exceeded atomic.Bool
 }
 
-// Read notes that the body was begun.
+// Read reads from the body and records that reading has started.
 func (st *stream) Read(p []byte) (int, error) {
 	st.started.Store(true)
 	n, err := st.r.Read(p)
@@ -46,7 +45,7 @@
 	return n, err
 }
 
-// read reads a small body, as long as bodies has room for it.
+// read buffers a small body if bodies has enough left; any other body is streamed.
 func (rb *requestBody) read(w http.ResponseWriter, r *http.Request, bodies *proxy.Bound) *result.Refusal {
 	if r.ContentLength == 0 {
 		return nil
@@ -59,19 +58,19 @@
 	if _, err := io.ReadFull(r.Body, rb.buffered); err != nil {
 		rb.incomplete = true
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonSlowBody, Detail: "the body did not come in time"}
+			return &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonSlowBody, Detail: "the request body did not arrive before the deadline"}
 		}
 		return &result.Refusal{
-			Outcome: result.NotRun, Reason: result.ReasonBadRequest, Detail: "the body broke off before its declared length",
+			Outcome: result.NotRun, Reason: result.ReasonBadRequest, Detail: "the request body ended before its declared length",
 		}
 	}
 	return nil
 }
 
-// release gives back what the body took.
+// release returns the buffered bytes to bodies.
 func (rb *requestBody) release(bodies *proxy.Bound) { bodies.Give(int64(len(rb.buffered))) }
 
-// attach gives the body to an attempt.
+// attach sets the body of an attempt.
 func (rb *requestBody) attach(out, r *http.Request) {
 	switch {
 	case rb.stream != nil:
@@ -89,8 +88,9 @@
 	}
 }
 
-// prefix returns the beginning of the body as package ident takes it, and reads as much of
-// a stream for it; what was read is sent all the same. It reports whether it came whole.
+// prefix returns the beginning of the body, from which package ident derives the key of the
+// request. Of a stream it reads as many bytes as that takes, and they are still sent. It reports
+// whether they could be read without an error.
 func (rb *requestBody) prefix() (prefix []byte, complete bool) {
 	if rb.stream == nil {
 		return rb.buffered, true
@@ -100,11 +100,11 @@
 	return prefix, err == nil
 }
 
-// replayable reports whether the body can be sent from its beginning.
+// replayable reports whether the body can still be sent from its beginning.
 func (rb *requestBody) replayable() bool { return rb.stream == nil || !rb.stream.started.Load() }
 
-// streamed reports whether part of the body may not have been read.
+// streamed reports whether part of the body may be unread.
 func (rb *requestBody) streamed() bool { return rb.stream != nil }
 
-// exceeded reports whether the body went beyond proxy.MaxBody.
+// tooLarge reports whether a streamed body exceeded proxy.MaxBody.
 func (rb *requestBody) tooLarge() bool { return rb.stream != nil && rb.stream.exceeded.Load() }
--- a/internal/path/outlet/deadline_test.go
+++ b/internal/path/outlet/deadline_test.go
@@ -10,11 +10,11 @@
 	"github.com/flamingomast/flamingomast/internal/stat/logs"
 )
 
-// TestDeadlineUnset guards against callers without any deadline of which no line tells.
+// TestDeadlineUnset guards against connections whose deadlines cannot be set without a log line.
 func TestDeadlineUnset(t *testing.T) {
 	var out bytes.Buffer
 	ou := &Outlet{log: slog.New(slog.NewJSONHandler(&out, &slog.HandlerOptions{Level: slog.LevelDebug}))}
-	// A recorder knows no deadlines.
+	// httptest.ResponseRecorder does not support deadlines.
 	ou.setDeadlines(httptest.NewRecorder(), time.Now())()
 	if n := bytes.Count(out.Bytes(), []byte(logs.DeadlineUnset)); n != 2 {
 		t.Errorf("%d lines, want 2: %s", n, &out)
--- a/internal/path/outlet/doc.go
+++ b/internal/path/outlet/doc.go
@@ -1,3 +1,4 @@
-// Package outlet takes the requests of callers, picks backend servers for them
-// and sends them to those servers' inlets, again where outcome and rules allow.
+// Package outlet accepts the requests of callers, picks a backend server for each of them and sends
+// it to that server's inlet. It retries a request where the outcome and the rules of its route
+// allow that.
 package outlet
--- a/internal/path/outlet/faults_test.go
+++ b/internal/path/outlet/faults_test.go
@@ -22,11 +22,11 @@
 	"github.com/flamingomast/flamingomast/internal/plat/faulty"
 )
 
-// kinds are the requests that each fault meets.
+// requestKinds are the kinds of requests that each fault is tested with.
 var requestKinds = []struct {
 	name, method, path, body string
 	hdr                      []string
-	// repeatable says that the rules let it be sent again when it may have run.
+	// repeatable says that the rules allow a retry when the request may have run.
 	repeatable bool
 }{
 	{"GET", "GET", "/a", "", nil, true},
@@ -40,10 +40,10 @@
 	{"PUT always", "PUT", "/always/a", "count", nil, true},
 }
 
-// TestServerFails: the only backend server fails in each way, for each kind of
-// request. It must see the request exactly once, whatever the transport or we
-// might like to repeat, and the caller must be told that it may have run, or
-// see the answer break; never a short answer that looks whole.
+// TestServerFails: the only backend server fails in each way, for each kind of request. It must
+// receive the request exactly once, without a retry by the transport or the outlet. The caller must
+// be told that the request may have run, or must see its connection break; a truncated answer must
+// never look complete.
 func TestServerFails(t *testing.T) {
 	for _, fa := range faulty.Faults {
 		t.Run(fa.Name, func(t *testing.T) {
@@ -58,7 +58,7 @@
 					}
 					switch {
 					case fa.Broken && an.err == nil && an.outcome != "may-have-run":
-						t.Errorf("a broken answer looked whole: %+v", an)
+						t.Errorf("a truncated answer looked complete: %+v", an)
 					case !fa.Broken && (an.outcome != "may-have-run" || an.status != http.StatusBadGateway || an.err != nil):
 						t.Errorf("the caller got %+v, want may-have-run", an)
 					}
@@ -68,9 +68,9 @@
 	}
 }
 
-// TestServerFailsOnKeptConnection: the server answers one request and closes
-// when it has read the next one on the same connection. This is where
-// net/http's Transport sends again on its own what it takes for replayable.
+// TestServerFailsOnKeptConnection: the server answers one request and closes the connection after
+// it has read the next one. In this case net/http's Transport resends on its own a request that it
+// considers replayable.
 func TestServerFailsOnKeptConnection(t *testing.T) {
 	fn := func(cn net.Conn, n int, req *http.Request) bool {
 		if n == 1 {
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestTransportResends shows the trap that the test above guards against: the
-// transport as it comes sends such requests twice.
+// TestTransportResends shows the behaviour that the test above guards against: http.Transport sends
+// such requests twice by default.
 func TestTransportResends(t *testing.T) {
 	for _, tc := range []struct {
 		method, key string
@@ -124,9 +124,9 @@
 	}
 }
 
-// TestOtherServerHelps: one of two servers fails in each way. What may be
-// repeated is answered by the other; what may not has run once in all, and the
-// caller is told that it may have run.
+// TestRetryOnOtherServer: one of two servers fails in each way. A request that may be retried is
+// answered by the other server. Any other request runs once in total, and the caller is told that
+// it may have run.
 func TestRetryOnOtherServer(t *testing.T) {
 	for _, fa := range faulty.Faults {
 		if fa.Broken {
@@ -136,12 +136,13 @@
 			t.Run(fa.Name+"/"+kd.name, func(t *testing.T) {
 				t.Parallel()
 				bad, good := newFaultyServer(t, fa.Behave), newFaultyServer(t, faulty.Well)
-				// The failing server is in the own failure domain: tried first.
+				// The failing server is in the outlet's own failure domain and is therefore tried
+				// first.
 				rg := newRig(t, bad.Addr, good.Addr)
 				an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
 				runs := [2]int{bad.Seen(), good.Seen()}
 				if kd.repeatable && (an.status != http.StatusOK || runs != [2]int{1, 1}) {
-					t.Errorf("got %+v, runs %v; want it answered by the other", an, runs)
+					t.Errorf("got %+v, runs %v; want an answer of the other server", an, runs)
 				}
 				if !kd.repeatable && (an.outcome != "may-have-run" || runs != [2]int{1, 0}) {
 					t.Errorf("got %+v, runs %v; want one run", an, runs)
@@ -151,23 +152,23 @@
 	}
 }
 
-// TestNotRunGoesElsewhere: one of two servers refuses truly: nobody listens,
-// the server says so in the agreed way, its slots are full, it drains, its
-// inlet is another VM's, or its VM is gone. Every kind of request is then
-// answered by the other server and runs once.
+// TestNotRunSentElsewhere: one of two servers does not run the request: nothing listens there, the
+// server sheds with the agreed header, its slots are full, it drains, its inlet belongs to another
+// VM or process, or its VM is gone. Every kind of request is then answered by the other server and
+// runs once.
 func TestNotRunSentElsewhere(t *testing.T) {
-	// Port 1 of loopback: nobody listens, and no other test gets it.
+	// Nothing listens on port 1 of the loopback address, and no other test is given it.
 	const unusedAddr = "127.0.0.1:1"
 	for _, tc := range []struct {
 		name        string
 		fn          faulty.Behave
 		injectFault func(rg *rig)
-		// reason is given when there is no other server, and runs is how many
-		// heads the refusing server sees.
+		// reason is what the caller is told if there is no other server, runs how many requests the
+		// refusing server sees.
 		reason string
 		runs   int
 	}{
-		{"nobody listens", nil, func(rg *rig) {
+		{"nothing listens", nil, func(rg *rig) {
 			rg.vms[0].in.SetTarget(inlet.Target{VM: "vm-0", Process: pick.Process(rg.vms[0].rec), Service: "booking", Addr: unusedAddr})
 		}, "no-connection", 0},
 		{"the server sheds", func(cn net.Conn, _ int, req *http.Request) bool {
@@ -186,7 +187,7 @@
 		{"another process has the address", nil, func(rg *rig) {
 			rg.vms[0].in.SetTarget(inlet.Target{VM: "vm-0", Process: "x", Service: "booking", Addr: rg.vms[0].addr})
 		}, "wrong-target", 0},
-		{"the outlet shows no token", nil, func(rg *rig) { rg.vms[0].in.Token = "hush" }, "token-missing-or-wrong", 0},
+		{"the outlet sends no token", nil, func(rg *rig) { rg.vms[0].in.Token = "hush" }, "token-missing-or-wrong", 0},
 		{"the VM is gone", nil, func(rg *rig) { rg.vms[0].http.Close() }, "no-connection", 0},
 	} {
 		for _, kd := range requestKinds {
@@ -213,9 +214,8 @@
 	}
 }
 
-// TestFrozenServer: the server reads the request and never answers. The caller
-// is told at its deadline, not later, that it may have run, and the slot is
-// free again.
+// TestFrozenServer: the server reads the request and never answers. At its deadline, not later, the
+// caller is told that the request may have run, and the slot is released.
 func TestFrozenServer(t *testing.T) {
 	done, timeouts := make(chan struct{}), make(chan string, 1)
 	rs := newFaultyServer(t, func(_ net.Conn, _ int, req *http.Request) bool {
@@ -245,15 +245,15 @@
 	for !ok() {
 		select {
 		case <-ctx.Done():
-			t.Fatal("the condition did not come")
+			t.Fatal("condition not met within 20 s")
 		case <-tick.C:
 		}
 	}
 }
 
-// TestSurplusBytes: a server sends more than its answer, in the same write, in
-// each form of body. The surplus is a whole answer by itself and would be
-// taken for the answer to the next caller's request on that connection.
+// TestSurplusBytes: a server sends bytes after its answer in the same write, with each form of
+// body. These bytes are a complete answer themselves and could be taken for the answer to the next
+// caller's request on the connection.
 func TestSurplusBytes(t *testing.T) {
 	const injected = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen"
 	for _, tc := range []struct{ name, answer string }{
@@ -287,9 +287,8 @@
 	}
 }
 
-// TestOwnAnswers: hundreds of callers at once, each with an answer of its own,
-// some of which give up, some read slowly, and some answers break off. Each
-// caller gets its own answer whole or an error.
+// TestAnswersNotMixed: hundreds of concurrent callers have an individual answer each. Some callers
+// cancel, and some answers are cut off. Each caller must get its own answer completely or an error.
 func TestAnswersNotMixed(t *testing.T) {
 	size := func(id int) int { return (id * 7919) % 70_000 }
 	text := func(id int) string { return strings.Repeat(fmt.Sprintf("%08d", id), size(id)/8+1) }
@@ -303,7 +302,7 @@
 		case 1:
 			_ = http.NewResponseController(w).Flush()
 		case 2:
-			// Breaks off in the middle.
+			// Cut off in the middle.
 			_, _ = io.WriteString(w, body[:len(body)/2])
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
@@ -339,7 +338,7 @@
 					}
 				}
 				if id%5 == 2 && an.err == nil && an.status == http.StatusOK {
-					t.Errorf("request %d: an answer that broke off looked whole", id)
+					t.Errorf("request %d: a truncated answer looked complete", id)
 				}
 			}
 		})
--- a/internal/path/outlet/gone_test.go
+++ b/internal/path/outlet/gone_test.go
@@ -16,10 +16,9 @@
 	"github.com/flamingomast/flamingomast/internal/plat/faulty"
 )
 
-// TestNoSilentSuccess: a caller got a success without a body that no backend
-// server had sent. The read beside its request had failed, which ends the
-// request's context as if the caller had gone; the outlet then returned without a
-// word, and the HTTP library takes that for 200.
+// TestNoSilentSuccess guards against a caller receiving an empty 200 that no backend server sent. A
+// failed background read cancels the request's context as if the caller had gone. The outlet then
+// returned without writing an answer, for which net/http sends 200.
 func TestNoSilentSuccess(t *testing.T) {
 	var cancel context.CancelFunc
 	be, err := faulty.New(func(cn net.Conn, _ int, req *http.Request) bool {
@@ -46,7 +45,7 @@
 	}
 }
 
-// noting notes whether a handler wrote a status of its own.
+// statusRecorder records whether a handler wrote a status itself.
 type statusRecorder struct {
 	*httptest.ResponseRecorder
 	wrote *bool
@@ -57,8 +56,8 @@
 	sr.ResponseRecorder.WriteHeader(code)
 }
 
-// TestSlowBody: a caller sends half of its body and no more. It is told 408 once
-// its time is over, which promises that the request has not run.
+// TestSlowBody: a caller sends half of its body and stops. At its deadline it is told 408, which
+// guarantees that the request has not run.
 func TestSlowBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lr := newLoadRig(t, 1, anyDomain)
@@ -79,11 +78,11 @@
 	})
 }
 
-// TestCallerGoneBefore: requests lay in the queue of new connections until their
-// callers had given up and closed. None may reach a backend server: nobody waits
-// for the answer, and the server's slots are wanted.
+// TestCallerGoneBefore: requests wait in the accept queue until their callers have given up and
+// closed their connections. None of them may reach a backend server: the answer would be discarded,
+// and the slots are needed.
 func TestCallerGoneBefore(t *testing.T) {
-	// With one processor the read that notices the close has its turn for certain.
+	// With one processor, the background read that detects the close is certain to run.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	var ran atomic.Int64
 	be := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { ran.Add(1) }))
--- a/internal/path/outlet/link_test.go
+++ b/internal/path/outlet/link_test.go
@@ -15,11 +15,11 @@
 	"github.com/flamingomast/flamingomast/internal/path/proxy"
 )
 
-// TestLinkOverload: callers download one and a half times what a VM's link of 5
-// Mbit/s carries. Each document waited behind all before it until all came late,
-// and held a slot meanwhile, so that lookups found none. Those that cannot be in
-// time are refused at once, with when the link will be free; the others are in
-// time, and the lookups beside them are not delayed.
+// TestLinkOverload: callers download one and a half times what a VM's 5 Mbit/s link carries. Each
+// document used to queue behind all earlier ones until all of them were late, and held a slot
+// meanwhile, so that lookups were refused. Documents that cannot be in time must be refused at once
+// with a Retry-After of when the link will be free, the others must be in time, and concurrent
+// lookups must not be delayed.
 func TestLinkOverload(t *testing.T) {
 	const objective = 800 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
@@ -41,7 +41,7 @@
 			_, _ = w.Write(make([]byte, 90_000))
 			return true
 		}
-		// The outlet learns the size of documents.
+		// The outlet measures the size of a document.
 		lr.send("/document", nil)
 		var documents, lookups *tally
 		var wg sync.WaitGroup
--- a/internal/path/outlet/load_test.go
+++ b/internal/path/outlet/load_test.go
@@ -28,7 +28,7 @@
 	"github.com/flamingomast/flamingomast/internal/plat/memnet"
 )
 
-// serve serves h at addr in virtual time.
+// serve starts a server for h at addr on the in-memory network.
 func (lr *loadRig) serve(addr string, h http.Handler) {
 	_, ln := lr.nw.Listen(addr, "")
 	hs := &http.Server{Handler: h}
@@ -40,13 +40,13 @@
 	return lr.nw.Dial(ctx, lr.caller, addr)
 }
 
-// counting counts the requests that reach a handler.
+// countingHandler counts the requests that reach a handler.
 type countingHandler struct {
 	http.Handler
 	requests atomic.Int64
 }
 
-// ServeHTTP counts a request.
+// ServeHTTP counts the request and calls the handler.
 func (ch *countingHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	ch.requests.Add(1)
 	ch.Handler.ServeHTTP(w, r)
@@ -54,14 +54,14 @@
 
 func (ch *countingHandler) n() int { return int(ch.requests.Load()) }
 
-// backend is a backend server with as many workers as slots, which takes the
-// requests in their order and does not see that a caller has given up.
+// backend is a backend server with as many workers as slots. It runs requests in the order in which
+// they arrive, also those whose callers have given up.
 type backend struct {
 	work    func() time.Duration
 	workers chan struct{}
-	// fail, when set, may answer in place of working.
+	// fail, if set, may answer the request without doing the work.
 	fail func(w http.ResponseWriter, r *http.Request) bool
-	// call, when set, makes the server call another service.
+	// call, if set, calls another service and returns the status of its answer.
 	call func(r *http.Request) int
 
 	mu  sync.Mutex
@@ -102,13 +102,14 @@
 	return func() time.Duration { return mean/2 + rand.N(mean) }
 }
 
-// loadRig is a mesh with one outlet in virtual time.
+// loadRig is one outlet with inlets and backend servers on an in-memory network, for load tests in
+// virtual time.
 type loadRig struct {
 	t      *testing.T
 	nw     *memnet.Network
 	caller *memnet.Host
 	outlet *outlet.Outlet
-	// front is where requests go: out, or a baseline.
+	// front receives the requests: outlet or a baseline.
 	front    http.Handler
 	rules    string
 	recs     []*member.Record
@@ -119,8 +120,8 @@
 	closes   []func()
 }
 
-// loadRules declares vms VMs of the service booking, in turn in the failure
-// domains a, b and c, and two classes.
+// loadRules declares two classes and the given number of VMs of the service booking, distributed
+// over the failure domains a, b and c in turn.
 func loadRules(vms int, more string) string {
 	var b strings.Builder
 	b.WriteString("regions: [{name: r}]\nfailure-domains: [{name: a, region: r}, {name: b, region: r}, {name: c, region: r}]\n")
@@ -173,7 +174,7 @@
 	lr.recs, lr.gates, lr.backends = append(lr.recs, rec), append(lr.gates, in.Gate), append(lr.backends, be)
 }
 
-// view returns what outlets go by.
+// view returns the members and the configuration that outlets build their tables from.
 func (lr *loadRig) view() (*member.View, *snap.Snapshot) {
 	vw, _ := (&member.View{}).Merge(lr.recs)
 	return vw, compile(lr.t, lr.rules)
@@ -184,7 +185,7 @@
 	lr.outlet.SetTable(pick.Build(sn, pick.Fleet{Members: vw, Self: "outlet"}, lr.outlet.Table()))
 }
 
-// messages returns how many requests have reached an inlet.
+// inletRequests returns how many requests have reached the inlets.
 func (lr *loadRig) inletRequests() int {
 	n := 0
 	for _, in := range lr.inlets {
@@ -204,7 +205,7 @@
 	synctest.Wait()
 }
 
-// tally counts what callers got.
+// tally counts the outcomes that callers saw.
 type tally struct {
 	mu                            sync.Mutex
 	good, notRun, mayHaveRun, bad int
@@ -238,7 +239,7 @@
 	return list[int(q*float64(len(list)-1))]
 }
 
-// send sends one request to the outlet.
+// send sends one request to front.
 func (lr *loadRig) send(path string, ta *tally) {
 	lr.sendTo(lr.front, "booking", path, nil, ta)
 }
@@ -265,7 +266,7 @@
 	return rec.Code
 }
 
-// load sends requests at a rate, at random intervals, for a time.
+// load sends requests at the given rate with random intervals.
 func (lr *loadRig) load(rate float64, span time.Duration, path func() string) *tally {
 	ta := &tally{}
 	var wg conc.WaitGroup
@@ -281,11 +282,10 @@
 
 func constantPath(path string) func() string { return func() string { return path } }
 
-// TestGoodput loads two servers with once, twice and five times what their
-// slots can serve. The protected class keeps to 0.3 of the capacity, below its
-// share of half the slots; all the rest is of another class. What they serve
-// in time must stay near their capacity, the protected class near its unloaded
-// latency, and who is refused must learn it at once.
+// TestGoodput loads two servers with one, two and five times their capacity. The load of the
+// protected class is 0.3 of the capacity, below its share of half the slots; the rest belongs to
+// another class. The goodput must stay near the capacity, the latency of the protected class near
+// its unloaded value, and refusals must be immediate.
 func TestGoodput(t *testing.T) {
 	const vms = 2
 	capacity := float64(vms*slots) / workTime.Seconds()
@@ -322,7 +322,7 @@
 			t.Errorf("%.0f x: %d of %d protected requests answered", times, confirm.good, confirm.total())
 		}
 	}
-	// The baseline: no limit at the inlet.
+	// For comparison: no limit at the inlet.
 	lookup, confirm := run(5, func(lr *loadRig) {
 		for _, ga := range lr.gates {
 			ga.Configure(1_000_000, nil)
@@ -332,7 +332,7 @@
 	t.Logf("5 x without limits: goodput %.1f%% of capacity, protected 99th %s", 100*good/capacity, quantile(confirm.latency, 0.99))
 }
 
-// attempts returns how many requests the servers have seen.
+// attempts returns how many requests the backend servers have received.
 func (lr *loadRig) attempts() int {
 	n := 0
 	for _, be := range lr.backends {
@@ -343,10 +343,9 @@
 
 func abort(http.ResponseWriter, *http.Request) bool { panic(http.ErrAbortHandler) }
 
-// TestThirdFails: a third of the servers take each request and break the
-// connection. Safe requests are sent again, but the servers must see few more
-// requests than callers sent, and callers few failures; when the servers are
-// well again, the requests to them must come back without a peak.
+// TestThirdFails: a third of the servers accept each request and break the connection. Safe
+// requests are retried, but the servers must receive few more requests than the callers sent, and
+// few requests may fail. After the servers have recovered, their load must return without a peak.
 func TestThirdFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lr := newLoadRig(t, 6, anyDomain)
@@ -374,8 +373,8 @@
 	})
 }
 
-// TestThirdFailsThreeDeep: the same where each request makes two more, one
-// below the other. A retry at each level must not multiply.
+// TestThirdFailsNestedCalls is TestThirdFails with a call nested in each request. Retries at both
+// levels must not multiply.
 func TestThirdFailsNestedCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lr := newLoadRig(t, 6, anyDomain)
@@ -394,7 +393,7 @@
 			}
 		}
 		ta := lr.load(60, 10*time.Second, constantPath("/1"))
-		// A request without failures is seen twice: once at each level.
+		// Without failures, servers receive a request twice, once at each level.
 		per := float64(lr.attempts()) / float64(2*ta.total())
 		t.Logf("attempts per call %.3f; %d of %d answered", per, ta.good, ta.total())
 		if per > 1.3 || ta.good < ta.total()*98/100 {
--- a/internal/path/outlet/notrun_test.go
+++ b/internal/path/outlet/notrun_test.go
@@ -13,11 +13,11 @@
 	"github.com/flamingomast/flamingomast/internal/path/pick"
 )
 
-// TestReachedNoServer: whatever becomes of a request that no backend server has got,
-// its caller is told 503 with the time to come back, before its own time is over. In a
-// fleet under load one answer in thirty was 502 or 504 to such a request: it waited in
-// an inlet's queue until its deadline, at which its outlet gave up as well without
-// having heard whether it had run, so that a confirmation could not be sent again.
+// TestUndeliveredIsNotRun: the caller of a request that no backend server received must be told 503
+// with a Retry-After before its own timeout. In a fleet under load, one answer in thirty to such
+// requests was 502 or 504: the request waited in an inlet's queue until its deadline, at which the
+// outlet gave up as well without having learned whether it had run, so that a confirmation could
+// not be retried.
 func TestUndeliveredIsNotRun(t *testing.T) {
 	blockServers := func(lr *loadRig) {
 		for i, be := range lr.backends {
@@ -54,7 +54,7 @@
 				in.Handler.(*inlet.Inlet).SetTarget(inlet.Target{VM: lr.recs[i].VM, Process: pick.Process(lr.recs[i])})
 			}
 		}},
-		{"nobody listens at the servers", func(lr *loadRig) {
+		{"nothing listens at the servers", func(lr *loadRig) {
 			for i, in := range lr.inlets {
 				in.Handler.(*inlet.Inlet).SetTarget(inlet.Target{VM: lr.recs[i].VM, Process: pick.Process(lr.recs[i]), Service: "booking", Addr: "nobody:1"})
 			}
@@ -93,15 +93,15 @@
 					}
 				}
 				if n := lr.attempts() - before; n > 0 {
-					t.Errorf("%d requests reached a server: the case shows nothing", n)
+					t.Errorf("%d requests reached a server: the case tests nothing", n)
 				}
 			})
 		})
 	}
 }
 
-// refusedTruly sends a confirmation whose caller waits for as long as patience, and
-// tells what is wrong with its refusal.
+// checkRefusal sends a confirmation whose caller waits for timeout. It returns what is wrong with
+// the refusal, empty if nothing.
 func (lr *loadRig) checkRefusal(timeout time.Duration) string {
 	req := httptest.NewRequest(http.MethodPost, "/visit", nil)
 	req.Host = "booking"
@@ -112,7 +112,7 @@
 	took := time.Since(began)
 	hdr := rec.Header()
 	if rec.Code != http.StatusServiceUnavailable || hdr.Get("Flamingomast-Outcome") != "not-run" || hdr.Get("Retry-After") == "" || took >= timeout {
-		return fmt.Sprintf("%d %s/%s after %s, come back in %q", rec.Code, hdr.Get("Flamingomast-Outcome"), hdr.Get("Flamingomast-Reason"), took, hdr.Get("Retry-After"))
+		return fmt.Sprintf("%d %s/%s after %s, Retry-After %q", rec.Code, hdr.Get("Flamingomast-Outcome"), hdr.Get("Flamingomast-Reason"), took, hdr.Get("Retry-After"))
 	}
 	return ""
 }
--- a/internal/path/outlet/outlet.go
+++ b/internal/path/outlet/outlet.go
@@ -25,9 +25,10 @@
 	"github.com/flamingomast/flamingomast/internal/stat/logs"
 )
 
-// Outlet serves callers. Its table may be replaced at any time.
+// Outlet is an HTTP handler that forwards the requests of callers to backend servers. Its table may
+// be replaced at any time.
 type Outlet struct {
-	// Stats counts requests by service and class.
+	// Stats holds the request statistics by service and class.
 	Stats      hist.Set
 	fw         *proxy.Forwarder
 	log        *slog.Logger
@@ -37,59 +38,59 @@
 	work       func() limit.Work
 	retryBound retry.Bound
 	poison     func() *poison.View
-	// setRetryAfter is how much later than others this outlet tries a poison request again.
+	// poisonJitter is this outlet's random delay, at most poison.RefuseSpread, before it tries a
+	// refused poison request again.
 	poisonJitter time.Duration
-	logSample    atomic.Uint64 // bits of the share of requests that are logged
+	logSample    atomic.Uint64 // bits of the float64 that LogSample returns
 	routing      board.Cell[routing]
-	// started is when the outlet was made.
+	// started is when the outlet was created.
 	started time.Time
-	// ctx ends with Close.
+	// ctx is cancelled by Close.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// linkRate is the rate of the VM's link in bits a second, 0 where it is not known;
-	// large is how many large answers come over it.
+	// linkRate is the rate of the VM's link in bits per second, 0 if unknown. largeAnswers is the
+	// number of large answers that are being received over it.
 	linkRate     float64
 	largeAnswers atomic.Int32
-	// activeRequests and bodies bound what callers can make the outlet hold.
+	// activeRequests and bufferedBytes bound the memory that callers can make the outlet use.
 	activeRequests, bufferedBytes proxy.Bound
-	// callerTries knows the tries that failed.
+	// callerTries remembers failed requests, so that a caller's retry of one is recognised.
 	callerTries again.Memory
 }
 
-// routing is a table with the state that belongs to its services.
+// routing is a table with the state kept for its services and routes.
 type routing struct {
 	tb         *pick.Table
-	budgets    []*retry.Budget // by the index of the service
-	routeStats []*routeStats   // by the index of the route
-	// throttles are by the index of the service, then by that of the class.
+	budgets    []*retry.Budget // by service index
+	routeStats []*routeStats   // by route index
+	// throttles are indexed by service, then by class.
 	throttles [][]*shed.Throttle
 }
 
-// Options sets an outlet; the zero value works.
+// Options configures an outlet; the zero value is valid.
 type Options struct {
 	Forwarder *proxy.Forwarder
 	Log       *slog.Logger
-	// LogSample is the share of requests, 0 to 1, that are logged.
+	// LogSample is the share of answered requests, 0 to 1, that are logged.
 	Sample float64
-	// Token is what inlets ask for; empty for none.
+	// Token is the mesh token that inlets require, empty for none.
 	Token string
-	// Names are the headers of callers.
+	// Names are the names of the headers that callers use.
 	Names result.Names
-	// Link is the rate of the VM's link in bits a second, 0 where it is not known.
+	// LinkRate is the rate of the VM's link in bits per second, 0 if unknown.
 	Link float64
-	// Work returns what the VM's own backend server is doing; nil where there is none.
+	// Work returns what the VM's own backend server is doing; nil if the VM has none.
 	Work func() limit.Work
-	// Repeats bounds the repeats of all outlets together, for each service; nil stands
-	// for retry.Default.
+	// RetryBound bounds the retries to each service, summed over all outlets; nil stands for
+	// retry.Default.
 	Repeats *retry.Bound
-	// Poison returns the requests that servers ended under; nil where none are known.
+	// Poison returns the requests during which backend servers exited; nil if they are not tracked.
 	Poison func() *poison.View
-	// Service is the service that runs on this VM, which backend servers are
-	// told as the one that calls.
+	// Service is the service that runs on this VM. Backend servers are told that it is the caller.
 	Service string
 }
 
-// New returns an outlet without a table; it refuses requests until SetTable.
+// New returns an outlet without a table. It refuses requests until SetTable is called.
 func New(op Options) *Outlet {
 	ou := &Outlet{fw: op.Forwarder, log: op.Log, token: op.Token, names: op.Names.Or(), service: op.Service, linkRate: op.Link, work: op.Work, retryBound: retry.Default, poison: op.Poison, poisonJitter: rand.N(poison.RefuseSpread), started: time.Now()}
 	if ou.poison == nil {
@@ -113,13 +114,14 @@
 	return ou
 }
 
-// SetSample sets the share of requests, 0 to 1, that are logged.
+// SetLogSample sets the share of answered requests, 0 to 1, that are logged.
 func (ou *Outlet) SetSample(share float64) { ou.logSample.Store(math.Float64bits(share)) }
 
-// LogSample returns the share of requests that are logged.
+// LogSample returns the share of answered requests, 0 to 1, that are logged.
 func (ou *Outlet) LogSample() float64 { return math.Float64frombits(ou.logSample.Load()) }
 
-// SetTable replaces the table. Requests under way keep the one they have.
+// SetTable replaces the table. Requests in progress keep the table they began with. Retry budgets,
+// throttles and route statistics are carried over by name.
 func (ou *Outlet) SetTable(tb *pick.Table) {
 	old := ou.routing.Get()
 	if old != nil {
@@ -168,13 +170,13 @@
 	ou.routing.Set(next)
 }
 
-// Close ends the kept connections and what the outlet does beside requests.
+// Close stops the background work of the outlet and closes its idle connections.
 func (ou *Outlet) Close() {
 	ou.cancel()
 	ou.fw.Close()
 }
 
-// Table returns the table in use, nil for none.
+// Table returns the current table, nil if there is none.
 func (ou *Outlet) Table() *pick.Table {
 	if rt := ou.routing.Get(); rt != nil {
 		return rt.tb
@@ -182,7 +184,7 @@
 	return nil
 }
 
-// ServeHTTP serves one request.
+// ServeHTTP handles one request of a caller.
 func (ou *Outlet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	start := arrivalTime(r)
 	if callerGone(r) {
@@ -229,8 +231,8 @@
 	}
 	undo := ou.setDeadlines(w, start.Add(limit))
 	defer func() {
-		// Without its deadline the server would wait for the rest of a body that
-		// does not come before it sends the answer.
+		// If the body is incomplete, the deadlines stay: without them the server would wait for the
+		// rest of the body before it sends the answer.
 		if !rq.body.incomplete {
 			undo()
 		}
@@ -238,8 +240,8 @@
 	rq.serve()
 }
 
-// arrivalTime returns when a request had been read. One that was sent behind others and
-// waited for its turn has used up as much of its time.
+// arrivalTime returns when a request had been read. The time that a pipelined request waits behind
+// earlier ones counts towards its deadline.
 func arrivalTime(r *http.Request) time.Time {
 	if at := piping.Arrived(r); !at.IsZero() {
 		return at
@@ -247,25 +249,25 @@
 	return time.Now()
 }
 
-// Repeatable reports whether a request may be run again if its answer is lost, and
-// begun before those that its caller sent before it are answered.
+// Retryable reports whether a request may be run again if its answer is lost, so that it may also
+// be started before earlier requests on its connection are answered.
 func (ou *Outlet) Repeatable(r *http.Request) bool {
 	_, route := ou.match(r)
 	return route != nil && retry.Allowed(result.MayHaveRun, route.Repeat, r.Method)
 }
 
-// callerGone reports whether the caller has closed its connection before the request was
-// read. The server notices that by a read beside the handler, which gets its turn
-// here: without it a request that waited in the queue of new connections until
-// its caller gave up would still be sent to a backend server.
+// callerGone reports whether the caller closed its connection before the request was handled. The
+// server detects that with a background read, which the scheduler is given the chance to run here.
+// Otherwise a request that waited in the accept queue until its caller gave up would still be sent
+// to a backend server.
 func callerGone(r *http.Request) bool {
 	runtime.Gosched()
 	return r.Context().Err() != nil
 }
 
-// setDeadlines ends reads from and writes to a caller that takes longer than the
-// deadline: without it a caller that sends or reads slowly holds a slot of the
-// backend server for as long as it likes. It returns what undoes it.
+// setDeadlines bounds reads from and writes to the caller by the deadline of the request. Otherwise
+// a caller that sends or reads slowly could hold a slot of the backend server indefinitely. It
+// returns a function that removes the bounds.
 func (ou *Outlet) setDeadlines(w http.ResponseWriter, at time.Time) func() {
 	rc := http.NewResponseController(w)
 	set := func(read, write time.Time) {
@@ -273,8 +275,8 @@
 			ou.log.Debug(logs.DeadlineUnset, slog.Any("error", err))
 		}
 	}
-	// The write deadline is later, so that a caller whose body did not come in time is still
-	// told.
+	// The write deadline is later, so that a caller whose body did not arrive in time can still be
+	// sent an answer.
 	set(at.Add(time.Second), at.Add(2*time.Second))
 	return func() { set(time.Time{}, time.Time{}) }
 }
@@ -282,8 +284,8 @@
 func (ou *Outlet) refuse(w http.ResponseWriter, r *http.Request, rf *result.Refusal) {
 	ou.Stats.For("none", "none").Outcomes.Add(rf.Outcome.String()+"/"+string(rf.Reason), 1)
 	if rf.Reason == result.ReasonBadRequest || r.ContentLength != 0 {
-		// What is left of the request is not read, so it cannot be taken for
-		// another one.
+		// The rest of the request is not read. Closing the connection keeps it from being parsed as
+		// another request.
 		w.Header().Set("Connection", "close")
 	}
 	rf.Write(w, ou.names.Fractions)
--- a/internal/path/outlet/outlets_test.go
+++ b/internal/path/outlet/outlets_test.go
@@ -13,24 +13,24 @@
 	"github.com/flamingomast/flamingomast/internal/path/pick"
 )
 
-// setRetryAfter sends each request to one of many outlets.
+// randomOutlets sends each request to a random outlet.
 type randomOutlets []*outlet.Outlet
 
 func (ro randomOutlets) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	ro[rand.IntN(len(ro))].ServeHTTP(w, r)
 }
 
-// TestManyOutlets: 60 outlets share 24 servers of 4 slots that are used to two
-// thirds. Each outlet has 50 requests a second and hears of a server twice a second, so
-// what it believes is old, and one server in ten is full by chance. Callers were
-// refused beside free servers, and calls that backend servers made were lost with
-// all the work done for them.
+// TestManyOutlets: 60 outlets share 24 servers of 4 slots at two thirds of their capacity and
+// above. Each outlet has about 50 requests a second and learns the load of a server twice a second,
+// so its view is stale, and one server in ten is full by chance. Callers were refused although
+// other servers had free slots, and calls made by backend servers were lost with all the work done
+// for them.
 func TestManyOutlets(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		rate float64
-		// refused is the most that may be refused, messages the most that one
-		// request may be sent on average.
+		// refused bounds the share of refused requests, inletRequests the average number of
+		// requests to inlets for each request of a caller.
 		refused, inletRequests float64
 	}{
 		{"two thirds", 3200, 0.01, 1.5},
@@ -56,7 +56,7 @@
 			inletRequests := float64(lr.inletRequests()-before) / float64(ta.total())
 			t.Logf("%s: %.4f refused, %.2f messages a request, 99th of answers %v", tc.name, refused, inletRequests, quantile(ta.latency, 0.99))
 			if refused > tc.refused || inletRequests > tc.inletRequests {
-				t.Errorf("%s: %.4f refused, bound %.4f; %.2f messages a request, bound %.2f", tc.name, refused, tc.refused, inletRequests, tc.inletRequests)
+				t.Errorf("%s: %.4f refused, want at most %.4f; %.2f messages a request, want at most %.2f", tc.name, refused, tc.refused, inletRequests, tc.inletRequests)
 			}
 		})
 	}
--- a/internal/path/outlet/pick_test.go
+++ b/internal/path/outlet/pick_test.go
@@ -12,7 +12,7 @@
 	"github.com/flamingomast/flamingomast/internal/path/pick"
 )
 
-// sized is a compiled sample with a record for each of its VMs.
+// compileSample compiles a sample configuration and returns it with a record for each of its VMs.
 func compileSample(tb testing.TB, vms, services int) (*snap.Snapshot, *member.View) {
 	tb.Helper()
 	ms := sample.Mesh(vms, 5, services)
@@ -40,7 +40,7 @@
 	return pick.Build(sn, pick.Fleet{Members: vw, Self: "outlet"}, nil), sn.Services["service-1"]
 }
 
-// TestPickAllocates: picking is on the path of each request.
+// TestPickAllocates: every request picks a server, so picking must not allocate.
 func TestPickAllocates(t *testing.T) {
 	table, sv := pickTable(t, 790, 73)
 	now := time.Now()
--- a/internal/path/outlet/poison.go
+++ b/internal/path/outlet/poison.go
@@ -10,9 +10,10 @@
 	"github.com/flamingomast/flamingomast/internal/stat/logs"
 )
 
-// checkPoison refuses a request that ends the backend servers that run it. One such
-// request took down a whole service, as each outlet repeated it and its caller came again
-// at others; what any daemon saw of it counts here.
+// checkPoison refuses a poison request: one that makes the backend servers that run it exit. A
+// single such request once took down a whole service, because each outlet retried it and its caller
+// sent it again through other outlets. What any daemon has observed of the request is therefore
+// taken into account.
 func (rq *request) checkPoison() *result.Refusal {
 	vw := rq.ou.poison()
 	if !vw.Suspects(rq.r) {
@@ -20,7 +21,7 @@
 	}
 	prefix, complete := rq.body.prefix()
 	if !complete {
-		// Its body broke off, which the attempt finds as well.
+		// The body could not be read; the attempt will fail for the same reason.
 		return nil
 	}
 	key := ident.Of(rq.r, prefix)
@@ -32,6 +33,6 @@
 		slog.String(logs.ID, rq.id()), slog.String(logs.Key, key.String()), slog.Int(logs.Ends, rq.serverExits))
 	return &result.Refusal{
 		Outcome: result.NotRun, Reason: result.ReasonPoison,
-		Detail: "backend servers ended each time they ran this request; it is not run again for now",
+		Detail: "backend servers exited while running this request; it is refused for now",
 	}
 }
--- a/internal/path/outlet/request.go
+++ b/internal/path/outlet/request.go
@@ -24,8 +24,8 @@
 	ou    *Outlet
 	route *snap.Route
 	sv    *snap.Service
-	// base has the servers of the service, gp those that the request is sent to: during a
-	// rollout it may be the ones of the new version.
+	// base holds the servers of the service, gp those that the request is sent to: during a rollout
+	// these may be the servers of the new version.
 	base, gp *pick.Group
 	bu       *retry.Budget
 	rs       *routeStats
@@ -36,34 +36,36 @@
 	body     requestBody
 	tried    pick.Tried
 	start    time.Time
-	// queued is how long after start the outlet began to handle it, limit how long after
-	// start it gives up.
+	// queued is the time from start until the outlet began to handle the request, limit the time
+	// from start until the outlet gives up.
 	queued, limit time.Duration
-	// elapsed is how long the caller had been at it before it came here.
+	// elapsed is the time from the caller's first try until this one, 0 if this is the first.
 	elapsed time.Duration
-	// final is set where the caller cannot come back after a refusal.
+	// final is set if the caller cannot retry after a refusal.
 	final bool
-	// priority is the route's, or for a call that of the request it is made for.
+	// priority is that of the route or, for a call of a backend server, that of the request it is
+	// made for.
 	priority int
-	// parentRetry is how likely a call is made for a request that was run before.
+	// parentRetry is the probability that a call is made for a request that has been run before.
 	parentRetry float64
-	// callerTry is this one of its caller, further says that there was one before it.
+	// callerTry is the caller's try that this request is, callerRetry whether it retries an earlier
+	// one.
 	callerTry   *again.Try
 	callerRetry bool
-	// version is the one that the request was routed by, vm the last one that it
-	// was sent to.
+	// version is the configuration version the request was routed by, vm the last VM it was sent
+	// to.
 	version uint64
 	vm      string
-	// software is the version of the last server's software.
+	// software is the software version of the last server.
 	software string
-	// spent is what the answered attempt spent at the inlet.
+	// spent is the time that the answered attempt took at the inlet.
 	spent result.Spent
-	// attempts counts the attempts, busy those that found no room, sent those that
-	// may have reached a backend server.
+	// attempts counts all attempts, rejections those rejected for lack of capacity or shed,
+	// delivered those that may have reached a backend server.
 	attempts, rejections, delivered int
-	// serverExits counts the attempts under which the backend server ended.
+	// serverExits counts the backend servers that exited while they ran the request.
 	serverExits int
-	// lastRefusal is the last attempt that was not answered, nil for none.
+	// lastRefusal is the refusal of the last attempt, nil if it was answered.
 	lastRefusal *result.Refusal
 }
 
@@ -81,8 +83,8 @@
 		rq.refuse(rf)
 		return
 	}
-	// One that came back is offered in any case: held back, it would be turned away
-	// twice for nothing.
+	// A caller's retry bypasses the throttle: throttling it would refuse the same request twice
+	// without any benefit.
 	if !rq.final && !rq.callerRetry && !rq.th.Offer(rq.priority, rq.start, rand.Float64()) {
 		rq.refuse(&result.Refusal{Outcome: result.NotRun, Reason: result.ReasonFull})
 		return
@@ -90,8 +92,8 @@
 	rq.th.Done(rq.priority, time.Now(), rq.send())
 }
 
-// send sends the request until it is answered or given up on, and reports whether
-// an inlet took it.
+// send makes attempts until the request is answered or given up. It reports whether an inlet
+// accepted the request.
 func (rq *request) send() (accepted bool) {
 	var last *result.Refusal
 	for {
@@ -119,7 +121,7 @@
 			rq.tried.Add(ep)
 		}
 		last = combineRefusals(last, rf)
-		// What a new version did not answer goes to the one before.
+		// A request that the new version did not answer goes to the previous one.
 		if rq.base.Len() > 0 {
 			rq.gp = rq.base
 		}
@@ -130,7 +132,7 @@
 	}
 }
 
-// criteria returns what the request asks of a server.
+// criteria returns the properties of the request by which a server is picked.
 func (rq *request) criteria() pick.Want {
 	return pick.Want{
 		Size: rq.rs.expectedSize(), Stay: pacer.Narrow(rq.ou.linkRate),
@@ -138,14 +140,14 @@
 	}
 }
 
-// staleConn reports whether a request met a kept connection that could not take
-// it. That says nothing of the server, which may be tried again.
+// staleConn reports whether the request was sent on a kept connection that was already closed. That
+// says nothing about the server, which may be tried again.
 func staleConn(rf *result.Refusal) bool {
 	return rf.Outcome == result.NotRun && rf.Reason == result.ReasonBroken
 }
 
-// combineRefusals returns what must be said of two attempts together: a request of which
-// one attempt may have run may have run, whatever became of the others.
+// combineRefusals returns the refusal that describes two attempts together: if one attempt may have
+// run, the request may have run, whatever the outcome of the others.
 func combineRefusals(last, rf *result.Refusal) *result.Refusal {
 	if last != nil && last.Outcome == result.MayHaveRun && rf.Outcome == result.NotRun {
 		return last
@@ -153,17 +155,17 @@
 	return rf
 }
 
-// How many servers without room a request tries.
+// The number of attempts rejected for lack of capacity after which a request is refused.
 const (
-	// maxRejections holds for few servers: more would only multiply the load when all are
-	// full.
+	// maxRejections holds for small services. More attempts would only multiply the load when all
+	// servers are full.
 	maxRejections = 2
-	// manyServers is the number from which one more is tried: with as many, some have
-	// room for a moment. Each try takes the processors of two daemons.
+	// manyServers is the number of servers from which one more rejection is allowed: among that
+	// many, some have capacity for a moment. Each attempt costs processor time on two daemons.
 	manyServers = 15
 )
 
-// rejectionLimit returns how many servers without room the request tries.
+// rejectionLimit returns the number of rejections after which the request is refused.
 func (rq *request) rejectionLimit() int {
 	if rq.gp.Len() >= manyServers {
 		return maxRejections + 1
@@ -186,8 +188,8 @@
 		return false
 	}
 	if at, ok := rq.ctx.Deadline(); ok && rf.Outcome == result.NotRun && time.Until(at) < time.Duration(rq.rs.held.Load()) {
-		// It could not be answered in time by any server. Sent again, it would wait
-		// until its deadline and be lost without a word whether it had run.
+		// No server could answer in time. If the request were sent again, it would wait until its
+		// deadline, and the caller would not learn whether it had run.
 		return false
 	}
 	if rf.Reason.NoRoom() || rf.Reason == result.ReasonShed {
@@ -198,12 +200,12 @@
 	if !retry.Allowed(rf.Outcome, rq.route.Repeat, rq.r.Method) {
 		return false
 	}
-	// What no backend server saw adds no load to any when it is sent again.
+	// A retry of a request that no backend server received adds no load to any of them.
 	return !mayHaveReached(rf) || rq.bu.Take()
 }
 
-// retryProbability returns how likely a backend server gets the request, or the one that it is
-// a call for, not for the first time.
+// retryProbability returns the probability that the next attempt is not the first time that a
+// backend server gets the request or, for a call, the request it is made for.
 func (rq *request) retryProbability() float64 {
 	if rq.delivered > 0 {
 		return 1
@@ -211,47 +213,46 @@
 	return rq.parentRetry
 }
 
-// mayHaveReached reports whether a refused request may have reached a backend server,
-// which then had the work of it.
+// mayHaveReached reports whether a refused request may have reached a backend server and cost it
+// work.
 func mayHaveReached(rf *result.Refusal) bool {
 	return rf.Outcome != result.NotRun || rf.Reason == result.ReasonShed
 }
 
-// refuse writes the final answer of a request that no server answered. It does so
-// at once; when to come back stands in it.
+// refuse writes the final answer of a request that no server answered. It does not wait; the answer
+// says when the caller should retry.
 func (rq *request) refuse(rf *result.Refusal) {
 	rq.record(rf.Outcome, rf.Reason)
 	rq.setRetryAfter(rf)
 	retryAdvised := rf.Outcome == result.NotRun && rf.Reason != result.ReasonPoison
 	rq.ou.callerTries.Failed(rq.callerTry, time.Now(), retryAdvised, &rq.rs.callerRetries)
-	// Written also where the caller seems to have gone: the context of a request
-	// ends as well when a read from the caller fails, and a handler that returns
-	// without an answer is taken for a success without a body.
+	// The refusal is written even if the caller seems to have gone. The context of a request is
+	// also cancelled when a read from the caller fails, and net/http sends an empty 200 for a
+	// handler that returns without an answer.
 	if rq.body.streamed() || rq.body.incomplete {
 		rq.w.Header().Set("Connection", "close")
 	}
 	rf.Write(rq.w, rq.ou.names.Fractions)
 }
 
-// The return of refused callers.
+// Delays after which refused callers are asked to retry.
 const (
-	// objectiveDivisor is the part of the objective after which a caller is told to
-	// come back at least: soon enough for an answer in time, and late enough for
-	// slots to have become free.
+	// objectiveDivisor gives the shortest delay as a fraction of the objective: early enough for an
+	// answer in time, and late enough for slots to become free.
 	objectiveDivisor = 4
-	// defaultRetryDelay stands for it where no objective is declared.
+	// defaultRetryDelay is the shortest delay if no objective is declared.
 	defaultRetryDelay = 100 * time.Millisecond
-	// shedRetryDelay is for requests that a backend server shed though it had free slots:
-	// the next try has the same chance, whenever it comes.
+	// shedRetryDelay is for requests that a backend server shed although it had free slots: a later
+	// retry has no better chance.
 	shedRetryDelay = 10 * time.Millisecond
 )
 
-// setRetryAfter sets when the caller of a request that has not run should come back:
-// when a slot is expected to be free, spread over as long again, so that those
-// who were refused together do not come back as one wave.
+// setRetryAfter sets when the caller of a request that has not run should retry: when a slot is
+// expected to be free, with a jitter of up to the same length, so that callers refused together do
+// not retry together.
 func (rq *request) setRetryAfter(rf *result.Refusal) {
 	if rf.Reason == result.ReasonPoison || rq.serverExits >= poison.Most {
-		// It would be refused as it is now.
+		// A retry would be refused as well.
 		rf.RetryAfter = 0
 		return
 	}
@@ -266,7 +267,7 @@
 	rf.RetryAfter = delay/2 + rand.N(delay/2)
 }
 
-// retryDelay returns when the caller of a refused request should come back at least.
+// retryDelay returns the shortest delay after which the caller of a refused request should retry.
 func (rq *request) retryDelay(rf *result.Refusal) time.Duration {
 	if rf.Reason == result.ReasonShed {
 		return shedRetryDelay
@@ -292,7 +293,7 @@
 	rq.logResult(oc, re, took)
 }
 
-// logResult writes the line of a request: failures always, answers as sampled.
+// logResult logs the end of a request: every failure, and a sample of the answers.
 func (rq *request) logResult(oc result.Outcome, re result.Reason, took time.Duration) {
 	level := slog.LevelWarn
 	if oc == result.Answered {
@@ -310,8 +311,8 @@
 		slog.Duration(logs.Wait, rq.spent.Wait), slog.Duration(logs.Held, rq.spent.Held), slog.Duration(logs.Took, took))
 }
 
-// softwareAttr returns the version of the last server's software for the log, nothing where
-// the service is not being rolled out.
+// softwareAttr returns the log attribute for the last server's software version, empty unless the
+// service has a rollout.
 func (rq *request) softwareAttr() slog.Attr {
 	if rq.base.Rollout() == nil {
 		return slog.Attr{}
@@ -319,7 +320,7 @@
 	return slog.String(logs.Software, rq.software)
 }
 
-// causeAttr returns what broke the last attempt for the log, nothing where the request was
+// causeAttr returns the log attribute for the error of the last attempt, empty if the request was
 // answered.
 func (rq *request) causeAttr() slog.Attr {
 	if rq.lastRefusal == nil {
@@ -328,8 +329,7 @@
 	return rq.lastRefusal.CauseAttr()
 }
 
-// logAttempt writes the line of a try that did not end in an answer, with what
-// was believed of the server.
+// logAttempt logs a failed attempt with the load that the server was believed to have.
 func (rq *request) logAttempt(ep *pick.Endpoint, rf *result.Refusal) {
 	load, age := ep.Believed(time.Now())
 	rq.ou.log.LogAttrs(context.Background(), slog.LevelInfo, logs.Attempt, slog.String(logs.ID, rq.id()),
@@ -337,7 +337,7 @@
 		slog.Float64(logs.Load, load), slog.Duration(logs.LoadAge, age), slog.Duration(logs.Took, time.Since(rq.start)), rf.CauseAttr())
 }
 
-// id returns the caller's id of the request, empty where callers give none.
+// id returns the caller's request id, empty if callers set none.
 func (rq *request) id() string {
 	if name := rq.ou.names.Request; name != "" {
 		return rq.r.Header.Get(name)
--- a/internal/path/outlet/rig_test.go
+++ b/internal/path/outlet/rig_test.go
@@ -24,7 +24,7 @@
 	"github.com/flamingomast/flamingomast/internal/plat/faulty"
 )
 
-// rules is what the tests route by. Requests below /once may not be repeated.
+// rules is the configuration of the tests. Requests below /once must not be retried.
 const rules = `
 regions: [{name: r}]
 failure-domains: [{name: a, region: r}, {name: b, region: r}]
@@ -55,7 +55,7 @@
 	return sn
 }
 
-// rig is an outlet with the inlets of some VMs, over real connections.
+// rig is an outlet with the inlets of some VMs, connected over loopback.
 type rig struct {
 	t      testing.TB
 	sn     *snap.Snapshot
@@ -64,22 +64,22 @@
 	vms    []*rigVM
 }
 
-// rigVM is a VM's inlet in front of a backend server.
+// rigVM is the inlet of a VM, in front of a backend server.
 type rigVM struct {
 	rec  *member.Record
 	in   *inlet.Inlet
 	http *httptest.Server
-	// addr is the backend server's.
+	// addr is the address of the backend server.
 	addr string
 }
 
-// patientDial opens a connection however long the machine takes: the bound of the
-// real one is wall time, which a busy machine exceeds on loopback.
+// dialWithoutTimeout opens a connection without the usual dial timeout, which is in wall time and
+// is exceeded on a busy machine even over loopback.
 func dialWithoutTimeout(ctx context.Context, addr string) (net.Conn, error) {
 	return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 }
 
-// newRig starts an outlet in front of one VM for each backend server address.
+// newRig starts an outlet and one VM for each address of a backend server.
 func newRig(t testing.TB, servers ...string) *rig {
 	t.Helper()
 	rg := &rig{t: t, sn: compile(t, rules), outlet: outlet.New(outlet.Options{Forwarder: proxy.New(proxy.Options{Dial: dialWithoutTimeout})})}
@@ -111,7 +111,7 @@
 	rg.vms = append(rg.vms, vm)
 }
 
-// update gives the outlet a table of the VMs.
+// update builds the outlet's table from the records of the VMs.
 func (rg *rig) update() {
 	var recs []*member.Record
 	for _, vm := range rg.vms {
@@ -138,7 +138,7 @@
 	return req
 }
 
-// answer is what a caller got.
+// answer is what a caller received.
 type answer struct {
 	status     int
 	outcome    string
@@ -149,7 +149,7 @@
 	took       time.Duration
 }
 
-// do sends a request on a connection of its own.
+// do sends a request on its own connection.
 func (rg *rig) do(req *http.Request) answer {
 	cl := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
 	return send(cl, req)
@@ -170,7 +170,7 @@
 	}
 }
 
-// newRaw starts a faulty backend server for the test.
+// newFaultyServer starts a faulty backend server for the test.
 func newFaultyServer(t testing.TB, fn faulty.Behave) *faulty.Server {
 	t.Helper()
 	sr, err := faulty.New(fn)
--- a/internal/path/outlet/routestats.go
+++ b/internal/path/outlet/routestats.go
@@ -11,24 +11,24 @@
 	"github.com/flamingomast/flamingomast/internal/path/result"
 )
 
-// routeStats is what an outlet has learned of a route's requests; it outlives
-// versions of the configuration.
+// routeStats holds what an outlet has measured of a route's requests. It is kept when the
+// configuration changes.
 type routeStats struct {
-	// size is the weighted mean of the bytes that an answer has, with its head.
+	// size is the moving average of the bytes of a request and its answer, with both heads.
 	size atomic.Int64
-	// held is the weighted mean time for which its requests hold a slot.
+	// held is the moving average of the time for which a request holds a slot.
 	held atomic.Int64
-	// callerRetries learns whether callers come back after a refusal.
+	// callerRetries tracks whether callers retry after a refusal.
 	callerRetries again.Route
 }
 
-// sizeDivisor is the part of the mean that one answer makes.
+// sizeDivisor is the inverse weight of one answer in the moving average of sizes.
 const sizeDivisor = 16
 
-// headBytes is what the head of an answer takes, and that of the request.
+// headBytes is the assumed size of the heads of a request and its answer together.
 const headBytes = 700
 
-// recordSize notes the bytes of a request and its answer.
+// recordSize records the bytes of a request and its answer.
 func (rs *routeStats) recordSize(n int64) {
 	old := rs.size.Load()
 	if old == 0 {
@@ -38,10 +38,10 @@
 	rs.size.Store(old + (n-old)/sizeDivisor)
 }
 
-// heldDivisor is how many answers make the mean time of a route.
+// heldDivisor is the inverse weight of one answer in the moving average of slot times.
 const heldDivisor = 32
 
-// recordHeld notes for how long a request held a slot and returns what is typical.
+// recordHeld records for how long a request held a slot and returns the moving average.
 func (rs *routeStats) recordHeld(held time.Duration) time.Duration {
 	old := time.Duration(rs.held.Load())
 	if old == 0 {
@@ -52,7 +52,7 @@
 	return next
 }
 
-// expectedSize returns the bytes that a request and its answer are expected to have.
+// expectedSize returns the expected bytes of a request and its answer.
 func (rs *routeStats) expectedSize() int64 {
 	if n := rs.size.Load(); n > 0 {
 		return n
@@ -60,9 +60,9 @@
 	return headBytes
 }
 
-// urgency returns the header that ranks a request at an inlet: its priority, what
-// is left of its objective, 0 where that has passed, and whether its caller came
-// back. Spent is how long the request has been here.
+// urgency returns the header value that ranks a request at an inlet: its priority, the milliseconds
+// left of its objective, at least 1, and whether it is final, that is, whether the caller cannot
+// retry after a refusal. spent is how long the request has been at this outlet.
 func urgency(rt *snap.Route, priority int, elapsed, spent time.Duration, final bool) string {
 	text := strconv.Itoa(priority)
 	if rt.Objective > 0 {
@@ -74,5 +74,5 @@
 	return text
 }
 
-// knownBodySize returns the length of a request's body, as far as it is known.
+// knownBodySize returns the length of a request's body, 0 if it is unknown.
 func knownBodySize(r *http.Request) int64 { return max(0, r.ContentLength) }
--- a/internal/path/outlet/servers_test.go
+++ b/internal/path/outlet/servers_test.go
@@ -10,14 +10,15 @@
 	"github.com/flamingomast/flamingomast/internal/mesh/member"
 )
 
-// TestMisleadingServers: one of six servers fails at once while it looks idle,
-// crawls, is new, or sheds. Few requests may be hurt by it.
+// TestOneFaultyServer: one of six servers fails fast, which makes it look idle, is 20 times slower
+// than the others, or sheds. Few requests may fail because of it. The healthy case checks its
+// normal share.
 func TestOneFaultyServer(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		injectFault func(lr *loadRig)
-		// hurt is the most requests that may fail, and share the range of the
-		// odd server's part of the requests.
+		// maxFailed bounds the share of failed requests; low and top bound the share of the
+		// requests that the first server runs.
 		maxFailed float64
 		low, top  float64
 	}{
@@ -28,7 +29,7 @@
 			}
 		}, 0.02, 0, 0.02},
 		{"crawls", func(lr *loadRig) { lr.backends[0].work = uniform(20 * workTime) }, 0.01, 0, 0.06},
-		{"is well", func(*loadRig) {}, 0, 0.12, 0.22},
+		{"is healthy", func(*loadRig) {}, 0, 0.12, 0.22},
 		{"sheds", func(lr *loadRig) {
 			lr.backends[0].fail = func(w http.ResponseWriter, _ *http.Request) bool {
 				w.Header().Set("Flamingomast-Not-Run", "1")
@@ -44,17 +45,17 @@
 			ta := lr.load(400, 10*time.Second, constantPath("/lookup"))
 			failed := float64(ta.total()-ta.good) / float64(ta.total())
 			share := float64(lr.backends[0].runs()) / float64(lr.attempts())
-			t.Logf("%s: hurt %.4f of the requests, its share %.3f, attempts per request %.3f", tc.name, failed, share, float64(lr.attempts())/float64(ta.total()))
+			t.Logf("%s: %.4f of the requests failed, share of the server %.3f, attempts per request %.3f", tc.name, failed, share, float64(lr.attempts())/float64(ta.total()))
 			if failed > tc.maxFailed || share < tc.low || share > tc.top {
-				t.Errorf("%s: hurt %.4f, bound %.4f; share %.3f, from %.3f to %.3f", tc.name, failed, tc.maxFailed, share, tc.low, tc.top)
+				t.Errorf("%s: %.4f failed, want at most %.4f; share %.3f, want %.3f to %.3f", tc.name, failed, tc.maxFailed, share, tc.low, tc.top)
 			}
 		})
 	}
 }
 
-// TestSlowStart: a new server gets a growing share, and its whole one once its
-// time is over. That one is taken over 20 s: which of equal servers looks best
-// changes every few seconds, so the share in 2 s is between 0.04 and 0.3 for each.
+// TestSlowStart: a new server is given a growing share of the requests, and its full share after
+// its slow-start time. The full share is measured over 20 s: which of several equal servers looks
+// best changes every few seconds, so within 2 s the share of each varies between 0.04 and 0.3.
 func TestSlowStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lr := newLoadRig(t, 6, anyDomain)
@@ -70,20 +71,20 @@
 		}
 		t.Logf("shares in five times 2 s and 20 s: %.3f", shares)
 		if shares[0] > 0.08 || shares[5] < 0.12 {
-			t.Errorf("shares %.3f; want a small first and a whole last one", shares)
+			t.Errorf("shares %.3f; want a small first and a full last one", shares)
 		}
 	})
 }
 
-// TestDomainLost: all servers of the callers' own failure domain die at once.
-// Requests that were not in flight there must all be answered by the others.
+// TestDomainLost: all servers in the callers' own failure domain fail at once. All requests except
+// those in flight there must be answered by the other servers.
 func TestDomainLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lr := newLoadRig(t, 6, "")
 		defer lr.close()
 		ta := lr.load(100, 2*time.Second, constantPath("/lookup"))
 		if own := lr.backends[0].runs() + lr.backends[3].runs(); own < ta.total()*95/100 {
-			t.Errorf("%d of %d requests stayed in the own failure domain", own, ta.total())
+			t.Errorf("%d of %d requests stayed in the callers' failure domain", own, ta.total())
 		}
 		inFlight := 0
 		for i := range lr.recs {
@@ -101,9 +102,8 @@
 	})
 }
 
-// TestDrainUnderLoad: a server drains under load, and the news of it takes two
-// seconds to come. No request fails for it, and none starts there after the
-// order.
+// TestDrainUnderLoad: a server drains under load, and the outlet learns of it two seconds later. No
+// request may fail because of that, and none may start there after the drain began.
 func TestDrainUnderLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lr := newLoadRig(t, 6, anyDomain)
@@ -123,13 +123,13 @@
 			t.Errorf("%d of %d answered", ta.good, ta.total())
 		}
 		if after := lr.backends[0].runs() - ran; after > slots {
-			t.Errorf("%d requests ran after the order; only those already admitted may", after)
+			t.Errorf("%d requests ran after the drain began; only those already admitted may", after)
 		}
 	})
 }
 
-// TestAllFull: no server has room. A request asks two of them, three of many, and no more: to
-// ask all would multiply the load by their number when it is highest.
+// TestAllFull: no server has capacity. A request tries two servers, or three if there are many, and
+// no more: trying all would multiply the load by their number when it is highest.
 func TestAllFull(t *testing.T) {
 	for servers, want := range map[int]string{6: `{"2": 1}`, 24: `{"3": 1}`} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/path/outlet/start.go
+++ b/internal/path/outlet/start.go
@@ -8,20 +8,21 @@
 	"github.com/flamingomast/flamingomast/internal/conf/snap"
 )
 
-// The first moments of an outlet.
+// Waiting during the startup of an outlet.
 const (
-	// startupPeriod is how long after its start an outlet waits for what it does not know
-	// yet: the configuration, then the servers.
+	// startupPeriod is how long after its start an outlet makes requests wait for what it does not
+	// know yet: first the configuration, then the servers.
 	startupPeriod = time.Second
-	// startupWait is how long a request waits for that at most.
+	// startupWait is the longest that one request waits.
 	startupWait = 200 * time.Millisecond
 )
 
-// findRoute returns the table and the route of a request, nil where there is none.
+// findRoute returns the table and the route of a request, nil if there is none.
 //
-// After a kill of all daemons their callers are there at once, while each daemon learns
-// of the others. Refused for want of a server, they come back when their objective has
-// passed, and none is in time; here they wait for the first servers instead.
+// After all daemons were killed, callers reconnect immediately, while the daemons are still
+// discovering each other. If their requests were refused for lack of a server, the callers would
+// retry after their objective has passed, and no request would be in time. During startup, requests
+// therefore wait for the first servers.
 func (ou *Outlet) findRoute(r *http.Request) (*routing, *snap.Route) {
 	rt, route := ou.match(r)
 	if rt.canServe(route) || time.Since(ou.started) > startupPeriod {
@@ -44,7 +45,7 @@
 	}
 }
 
-// match returns the present table and the route of a request by it.
+// match returns the current table and the route it has for a request.
 func (ou *Outlet) match(r *http.Request) (*routing, *snap.Route) {
 	rt := ou.routing.Get()
 	if rt == nil {
@@ -53,8 +54,8 @@
 	return rt, rt.tb.Snap.Match(r.Method, r.Host, r.URL.Path, r.Header)
 }
 
-// canServe reports whether enough is known to handle a request: that it has no route, or a
-// server for it.
+// canServe reports whether enough is known to handle a request: either it has no route, or its
+// route has a server.
 func (rt *routing) canServe(route *snap.Route) bool {
 	if rt == nil || route == nil {
 		return rt != nil
--- a/internal/path/outlet/start_test.go
+++ b/internal/path/outlet/start_test.go
@@ -10,10 +10,10 @@
 	"github.com/flamingomast/flamingomast/internal/path/pick"
 )
 
-// TestStartWait: all daemons were killed, and their callers are back as soon as the first
-// of them listens, some 100 ms before it knows of the others. Refused for want of a
-// server, they come back when their objective has passed. Here they wait for the first
-// servers; later, a service without servers is refused at once.
+// TestStartWait: after all daemons were killed, callers reconnect as soon as the first daemon
+// listens, about 100 ms before it has learned of the others. Callers refused for lack of a server
+// retry after their objective has passed. Therefore requests wait for the first servers at startup;
+// later, a request to a service without servers is refused at once.
 func TestStartWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lr := newLoadRig(t, 2, anyDomain)
--- a/internal/path/outlet/validate.go
+++ b/internal/path/outlet/validate.go
@@ -11,31 +11,31 @@
 	"github.com/flamingomast/flamingomast/internal/path/result"
 )
 
-// validate refuses what is not carried, before anything of it is sent on.
+// validate refuses invalid and unsupported requests before any part of them is forwarded.
 func (ou *Outlet) validate(r *http.Request) *result.Refusal {
 	refuse := func(re result.Reason, format string, args ...any) *result.Refusal {
 		return &result.Refusal{Outcome: result.NotRun, Reason: re, Detail: fmt.Sprintf(format, args...)}
 	}
 	if r.Method == http.MethodConnect || proxy.Upgrades(r.Header) {
-		return refuse(result.ReasonUpgrade, "CONNECT and upgrades are not carried")
+		return refuse(result.ReasonUpgrade, "CONNECT and protocol upgrades are not supported")
 	}
 	if name := proxy.Forged(r.Header); name != "" {
-		return refuse(result.ReasonBadRequest, "the header %s is not taken from callers", name)
+		return refuse(result.ReasonBadRequest, "callers must not set the header %s", name)
 	}
 	if _, ok := ou.callerTimeout(r.Header); !ok && r.Header.Get(ou.names.Timeout) != "" {
-		return refuse(result.ReasonBadRequest, "%s must be a whole number of milliseconds above 0", ou.names.Timeout)
+		return refuse(result.ReasonBadRequest, "%s must be a positive whole number of milliseconds", ou.names.Timeout)
 	}
 	if !strings.HasPrefix(r.URL.Path, "/") || hasDotSegment(r.URL.Path) {
-		return refuse(result.ReasonBadRequest, "the path must begin with a slash and have no \".\" or \"..\" segment")
+		return refuse(result.ReasonBadRequest, "the path must begin with a slash and contain no \".\" or \"..\" segment")
 	}
 	if r.ContentLength > proxy.MaxBody {
-		return refuse(result.ReasonTooLarge, "a body may have %d bytes", proxy.MaxBody)
+		return refuse(result.ReasonTooLarge, "the request body exceeds the limit of %d bytes", proxy.MaxBody)
 	}
 	return nil
 }
 
-// hasDotSegment reports whether a decoded path has a segment that servers resolve in
-// ways of their own: a rule for /confirm must not be passed by /x/../confirm.
+// hasDotSegment reports whether a decoded path has a "." or ".." segment. Servers resolve these in
+// different ways, so that /x/../confirm could evade the rules for /confirm.
 func hasDotSegment(path string) bool {
 	if !strings.Contains(path, "/.") {
 		return false
@@ -48,7 +48,7 @@
 	return false
 }
 
-// callerTimeout returns how long the caller waits, if it says so.
+// callerTimeout returns how long the caller waits, if the request says so.
 func (ou *Outlet) callerTimeout(hdr http.Header) (time.Duration, bool) {
 	ms, err := strconv.ParseInt(hdr.Get(ou.names.Timeout), 10, 32)
 	return time.Duration(ms) * time.Millisecond, err == nil && ms > 0
--- a/internal/path/outlet/validate_test.go
+++ b/internal/path/outlet/validate_test.go
@@ -22,8 +22,8 @@
 	"github.com/flamingomast/flamingomast/internal/plat/faulty"
 )
 
-// raw sends bytes to the outlet and returns the answer's first line and all of
-// it, or what came until the connection ended.
+// raw sends text to the outlet on a new connection. It returns the first line and all of what it
+// receives until the connection ends.
 func (rg *rig) raw(text string) (first, all string) {
 	rg.t.Helper()
 	cn, err := net.Dial("tcp", strings.TrimPrefix(rg.front.URL, "http://"))
@@ -40,9 +40,9 @@
 	return first, string(b)
 }
 
-// TestHostileCallers: forged headers, smuggled requests, bad targets and
-// oversized heads are refused at the edge. The backend server sees nothing of
-// them, and others are served on.
+// TestHostileCallers: the outlet refuses forged headers, smuggled requests, invalid targets and
+// oversized heads. None of them may reach the backend server, and other callers must still be
+// served.
 func TestHostileCallers(t *testing.T) {
 	for _, tc := range []struct{ name, text, want string }{
 		{"forged target", "GET / HTTP/1.1\r\nHost: booking\r\nFlamingomast-Vm: vm-0\r\nConnection: close\r\n\r\n", "400"},
@@ -84,9 +84,9 @@
 	}
 }
 
-// TestSmuggling: a request with both a length and a coding. One hop might go by
-// the one and the next by the other; here it is framed anew, and the server
-// sees one request.
+// TestSmuggling: a request has both Content-Length and Transfer-Encoding. Two hops that frame it
+// differently would see different requests; the outlet frames it anew, and the server receives
+// exactly one request.
 func TestSmuggling(t *testing.T) {
 	var mu sync.Mutex
 	var seen []string
@@ -107,7 +107,7 @@
 	}
 }
 
-// TestPassedOn: what passes both hops and what does not.
+// TestForwardedHeaders checks what both hops forward and what they remove.
 func TestForwardedHeaders(t *testing.T) {
 	var got http.Header
 	var host, method, uri string
@@ -136,7 +136,7 @@
 	}
 	for name := range res.Header {
 		if strings.HasPrefix(name, "Flamingomast-") || name == "X-Hop" {
-			t.Errorf("the answer bears %s", name)
+			t.Errorf("the answer has the header %s", name)
 		}
 	}
 	if host != "booking" || method != "PATCH" || uri != "/a%2Fb/c?q=1&q=2" || got.Get("Idempotency-Key") != "k" || got.Get("X-Hop-Too") != "" {
@@ -152,9 +152,9 @@
 	}
 }
 
-// TestLargeBodies: a body above what is buffered, with and without a length,
-// passes whole. When the first server's slots are full it is refused before
-// any of the body is read, and goes whole to the other.
+// TestLargeBodies: a body above the buffering limit, with or without a length, is forwarded
+// completely. If the slots of the first server are full, the request is refused there before any of
+// the body is read, and the whole body goes to the other server.
 func TestLargeBodies(t *testing.T) {
 	back := func() string {
 		return startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -182,8 +182,8 @@
 	}
 }
 
-// TestEndlessBody: a body without a length that goes beyond the limit ends with
-// an error, and memory stays bounded since it is never kept.
+// TestEndlessBody: a body of unknown length that exceeds the limit ends with an error. It is never
+// buffered, so memory use stays bounded.
 func TestEndlessBody(t *testing.T) {
 	rs := newFaultyServer(t, func(_ net.Conn, _ int, req *http.Request) bool { faulty.ReadBody(req); return false })
 	rg := newRig(t, rs.Addr)
@@ -199,9 +199,8 @@
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
-// TestSlowCallers: callers that send their body a byte at a time, or do not
-// read their answer, hold a slot and the outlet's memory until their deadline
-// and no longer; others are served meanwhile.
+// TestSlowCallers: callers that send their body slowly or do not read their answer hold a slot and
+// memory of the outlet until their deadline and no longer. Other callers are served meanwhile.
 func TestSlowCallers(t *testing.T) {
 	big := strings.Repeat("x", 32<<20)
 	back := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -238,8 +237,8 @@
 	eventually(t, func() bool { return rg.vms[0].in.Gate.Load().Running == 0 && serving.Load() == 0 })
 }
 
-// TestCallerGone: a caller gives up. The server learns it at once through both
-// hops, and its slot is free.
+// TestCallerGone: when a caller cancels its request, the backend server learns that at once through
+// both hops, and the slot is released.
 func TestCallerGone(t *testing.T) {
 	started, ended := make(chan bool, 1), make(chan error, 1)
 	back := startServer(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -260,7 +259,7 @@
 	eventually(t, func() bool { return rg.vms[0].in.Gate.Load().Running == 0 })
 }
 
-// TestHTTP2Caller: over HTTP/2 a broken answer must break too.
+// TestHTTP2Caller: a truncated answer must not look complete over HTTP/2 either.
 func TestHTTP2Caller(t *testing.T) {
 	rs := newFaultyServer(t, func(cn net.Conn, n int, req *http.Request) bool {
 		if req.URL.Path == "/whole" {
@@ -276,16 +275,16 @@
 	cl := &http.Client{Transport: &http.Transport{Protocols: &ps, TLSClientConfig: &tls.Config{}}}
 	defer cl.CloseIdleConnections()
 	if an := send(cl, rg.request("GET", "/whole", "")); an.body != "ok /whole" {
-		t.Errorf("a whole answer: %+v", an)
+		t.Errorf("a complete answer: %+v", an)
 	}
 	if an := send(cl, rg.request("GET", "/half", "")); an.err == nil && an.outcome != "may-have-run" {
-		t.Errorf("a broken answer looked whole: %+v", an)
+		t.Errorf("a truncated answer looked complete: %+v", an)
 	}
 }
 
-// TestVersionAmidRequest: a new version comes, and with it the service and its
-// VMs go, while a request is running and another waits for its second attempt.
-// The request that runs ends whole by the version it began with.
+// TestConfigurationChangeDuringRequest: a new version of the configuration removes the service and
+// its VMs while a request is running. The request is completed under the version it began with, and
+// new requests are refused.
 func TestConfigurationChangeDuringRequest(t *testing.T) {
 	started, proceed := make(chan bool), make(chan bool)
 	rs := newFaultyServer(t, func(cn net.Conn, n int, req *http.Request) bool {
@@ -310,9 +309,9 @@
 	}
 }
 
-// TestManyCallers: hundreds of callers wait for a slow server at once. The
-// outlet takes a bounded number of them, refuses the others at once as not run,
-// and serves again when the server has answered.
+// TestManyCallers: hundreds of callers wait for a slow server at the same time. The outlet accepts
+// a bounded number of them, refuses the others at once as not run, and serves requests again after
+// the server has answered.
 func TestManyCallers(t *testing.T) {
 	const callers, most = 600, 512
 	proceed := make(chan bool)
@@ -343,9 +342,9 @@
 	}
 }
 
-// TestManyBodies: callers send a body and stop before its end. Only so many
-// bytes of bodies are kept; those of the others are streamed, and who gets a
-// slot is answered meanwhile.
+// TestManyBodies: callers send part of their body and stop. The outlet buffers only a bounded
+// number of bytes; the other bodies are streamed, and of these requests those that get neither a
+// slot nor a place in the queue are refused at once.
 func TestManyBodies(t *testing.T) {
 	rg := newRig(t, newFaultyServer(t, faulty.Well).Addr)
 	addr := strings.TrimPrefix(rg.front.URL, "http://")
@@ -364,13 +363,12 @@
 			}
 		}()
 	}
-	// What is streamed needs a slot or a place in the queue at once.
+	// A streamed request needs a slot or a place in the queue immediately.
 	eventually(t, func() bool { return refused.Load() == 3*kept-kept-8 })
 }
 
-// TestConnections: a service may have three connections and four slots'
-// requests run at once while its bound changes. Never are there more, and all
-// requests are answered.
+// TestConnections: a service has a limit of three connections and four concurrent requests. There
+// must never be more connections than that, and all requests must be answered.
 func TestConnections(t *testing.T) {
 	var open, most atomic.Int64
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -404,11 +402,11 @@
 	}
 	wg.Wait()
 	if n := most.Load(); n > 3 {
-		t.Errorf("%d connections at once, bound 3", n)
+		t.Errorf("%d concurrent connections, limit 3", n)
 	}
 }
 
-// TestNoConfiguration: an outlet that holds no version yet says so at once.
+// TestNoBackendServer: the outlet refuses a request at once if the service has no server.
 func TestNoBackendServer(t *testing.T) {
 	rg := newRig(t)
 	an := rg.do(rg.request("GET", "/a", ""))
@@ -417,8 +415,7 @@
 	}
 }
 
-// FuzzEdge: whatever a caller writes, the outlet answers in HTTP or ends the
-// connection, and the server sees only requests for the host that is served.
+// FuzzEdge: whatever a caller sends, the outlet answers in valid HTTP or closes the connection.
 func FuzzEdge(f *testing.F) {
 	f.Add("GET / HTTP/1.1\r\nHost: booking\r\n\r\n")
 	f.Add("POST /a HTTP/1.1\r\nHost: booking\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
@@ -439,7 +436,7 @@
 			return
 		}
 		if _, err := http.ReadResponse(br, nil); err != nil {
-			t.Errorf("answered no HTTP: %v", err)
+			t.Errorf("the answer is not valid HTTP: %v", err)
 		}
 	})
 }
--- a/internal/path/outlet/weight_test.go
+++ b/internal/path/outlet/weight_test.go
@@ -13,21 +13,21 @@
 	"github.com/flamingomast/flamingomast/internal/path/pick"
 )
 
-// TestPartFull: operators give a new service a quarter of a route's requests, and it has
-// no room. Were its part sent to the other service, that would get more than the operators
-// have said and be the next without room. What does not fit is refused as not run, and
-// the other part stays as large as its weight.
+// TestWeightedTargetFull: a new service is given a quarter of a route's requests and has no
+// capacity. If its share went to the other service, that one would get more load than configured
+// and could be overloaded next. Requests to the full service must be refused as not run, and the
+// other service must get no more than its weight.
 func TestWeightedTargetFull(t *testing.T) {
 	const requests = 800
 	for _, tc := range []struct {
 		name string
-		// slots are those of the part of a quarter.
+		// slots is the number of slots of the new service.
 		slots int
-		// refused is the share of the requests that is turned away.
+		// refused is the expected share of refused requests.
 		refused float64
 	}{
-		{"room in both", 4, 0},
-		{"no room in one", 0, 0.25},
+		{"capacity in both", 4, 0},
+		{"no capacity in one", 0, 0.25},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			be := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -49,10 +49,10 @@
 				counts[fmt.Sprintf("%d %s", an.status, an.outcome)]++
 			}
 			toOther := outcomeCounts(rg, "booking")["answered"]
-			// Four standard deviations of a draw.
+			// Four standard deviations of the measured share.
 			const tolerance = 0.062
 			if got := float64(toOther) / requests; got < 0.75-tolerance || got > 0.75+tolerance {
-				t.Errorf("the other part got %.3f of the requests, its weight is 0.75: %v", got, counts)
+				t.Errorf("the other service got %.3f of the requests, its weight is 0.75: %v", got, counts)
 			}
 			refused := float64(counts["503 not-run"]) / requests
 			if refused < tc.refused-tolerance || refused > tc.refused+tolerance {
@@ -62,7 +62,7 @@
 	}
 }
 
-// endAttempt returns how the requests of a service ended at the outlet, by outcome.
+// outcomeCounts returns how many requests of a service ended with each outcome at the outlet.
 func outcomeCounts(rg *rig, service string) map[string]int {
 	counts := map[string]int{}
 	for _, part := range strings.Split(strings.Trim(rg.outlet.Stats.For(service, "default").Outcomes.String(), "{}"), ", ") {
