--- a/internal/path/outlet/load_test.go
+++ b/internal/path/outlet/load_test.go
@@ -28,7 +28,7 @@
 	"github.com/flamingomast/flamingomast/internal/plat/memnet"
 )
 
-// serve serves h at addr in virtual time.
+// serve starts a server for h at addr on the in-memory network.
 func (lr *loadRig) serve(addr string, h http.Handler) {
 	_, ln := lr.nw.Listen(addr, "")
 	hs := &http.Server{Handler: h}
@@ -40,28 +40,28 @@
 	return lr.nw.Dial(ctx, lr.caller, addr)
 }
 
-// counting counts the requests that reach a handler.
-type counting struct {
+// countingHandler counts the requests that reach a handler.
+type countingHandler struct {
 	http.Handler
 	requests atomic.Int64
 }
 
-// ServeHTTP counts a request.
-func (co *counting) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	co.requests.Add(1)
-	co.Handler.ServeHTTP(w, r)
+// ServeHTTP counts the request and calls the handler.
+func (ch *countingHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	ch.requests.Add(1)
+	ch.Handler.ServeHTTP(w, r)
 }
 
-func (co *counting) n() int { return int(co.requests.Load()) }
+func (ch *countingHandler) n() int { return int(ch.requests.Load()) }
 
-// backend is a backend server with as many workers as slots, which takes the
-// requests in their order and does not see that a caller has given up.
+// backend is a backend server with as many workers as slots. It runs requests in the order in which
+// they arrive, also those whose callers have given up.
 type backend struct {
 	work    func() time.Duration
 	workers chan struct{}
-	// fail, when set, may answer in place of working.
+	// fail, if set, may answer the request without doing the work.
 	fail func(w http.ResponseWriter, r *http.Request) bool
-	// call, when set, makes the server call another service.
+	// call, if set, calls another service and returns the status of its answer.
 	call func(r *http.Request) int
 
 	mu  sync.Mutex
@@ -94,33 +94,34 @@
 }
 
 const (
-	slots = 4
-	work  = 20 * time.Millisecond
+	slots    = 4
+	workTime = 20 * time.Millisecond
 )
 
 func uniform(mean time.Duration) func() time.Duration {
 	return func() time.Duration { return mean/2 + rand.N(mean) }
 }
 
-// loadRig is a mesh with one outlet in virtual time.
+// loadRig is one outlet with inlets and backend servers on an in-memory network, for load tests in
+// virtual time.
 type loadRig struct {
 	t      *testing.T
 	nw     *memnet.Network
 	caller *memnet.Host
-	out    *outlet.Outlet
-	// front is where requests go: out, or a baseline.
-	front  http.Handler
-	rules  string
-	recs   []*member.Record
-	gates  []*limit.Gate
-	inlets []*counting
-	back   []*backend
-	stops  []func()
-	closes []func()
+	outlet *outlet.Outlet
+	// front receives the requests: outlet or a baseline.
+	front    http.Handler
+	rules    string
+	recs     []*member.Record
+	gates    []*limit.Gate
+	inlets   []*countingHandler
+	backends []*backend
+	stops    []func()
+	closes   []func()
 }
 
-// loadRules declares vms VMs of the service booking, in turn in the failure
-// domains a, b and c, and two classes.
+// loadRules declares two classes and the given number of VMs of the service booking, distributed
+// over the failure domains a, b and c in turn.
 func loadRules(vms int, more string) string {
 	var b strings.Builder
 	b.WriteString("regions: [{name: r}]\nfailure-domains: [{name: a, region: r}, {name: b, region: r}, {name: c, region: r}]\n")
@@ -140,8 +141,8 @@
 	lr := &loadRig{t: t, nw: memnet.New(), rules: loadRules(vms, more)}
 	lr.nw.Latency = func(*memnet.Host, *memnet.Host) time.Duration { return 0 }
 	lr.caller, _ = lr.nw.Listen("caller:1", "")
-	lr.out = outlet.New(outlet.Options{Forwarder: lr.forwarder()})
-	lr.front = lr.out
+	lr.outlet = outlet.New(outlet.Options{Forwarder: lr.forwarder()})
+	lr.front = lr.outlet
 	for i := range vms {
 		lr.addVM(i)
 	}
@@ -157,7 +158,7 @@
 
 func (lr *loadRig) addVM(i int) {
 	name := fmt.Sprint("vm-", i)
-	be := &backend{work: uniform(work), workers: make(chan struct{}, slots)}
+	be := &backend{work: uniform(workTime), workers: make(chan struct{}, slots)}
 	lr.serve(name+":1", be)
 	in := inlet.New(proxy.Options{Dial: lr.dial}, nil)
 	lr.closes = append(lr.closes, in.Close)
@@ -167,13 +168,13 @@
 	}
 	in.SetTarget(inlet.Target{VM: name, Process: pick.Process(rec), Service: "booking", Addr: name + ":1"})
 	in.Gate.Configure(slots, []limit.Class{{Name: "confirm", Share: 50, Queue: 8}, {Name: "default", Share: 25, Queue: 4}})
-	co := &counting{Handler: in}
-	lr.serve(rec.Inlet, co)
-	lr.inlets = append(lr.inlets, co)
-	lr.recs, lr.gates, lr.back = append(lr.recs, rec), append(lr.gates, in.Gate), append(lr.back, be)
+	ch := &countingHandler{Handler: in}
+	lr.serve(rec.Inlet, ch)
+	lr.inlets = append(lr.inlets, ch)
+	lr.recs, lr.gates, lr.backends = append(lr.recs, rec), append(lr.gates, in.Gate), append(lr.backends, be)
 }
 
-// view returns what outlets go by.
+// view returns the members and the configuration that outlets build their tables from.
 func (lr *loadRig) view() (*member.View, *snap.Snapshot) {
 	vw, _ := (&member.View{}).Merge(lr.recs)
 	return vw, compile(lr.t, lr.rules)
@@ -181,11 +182,11 @@
 
 func (lr *loadRig) update() {
 	vw, sn := lr.view()
-	lr.out.SetTable(pick.Build(sn, pick.Fleet{Members: vw, Self: "outlet"}, lr.out.Table()))
+	lr.outlet.SetTable(pick.Build(sn, pick.Fleet{Members: vw, Self: "outlet"}, lr.outlet.Table()))
 }
 
-// messages returns how many requests have reached an inlet.
-func (lr *loadRig) messages() int {
+// inletRequests returns how many requests have reached the inlets.
+func (lr *loadRig) inletRequests() int {
 	n := 0
 	for _, in := range lr.inlets {
 		n += in.n()
@@ -204,11 +205,11 @@
 	synctest.Wait()
 }
 
-// tally counts what callers got.
+// tally counts the outcomes that callers saw.
 type tally struct {
 	mu                            sync.Mutex
 	good, notRun, mayHaveRun, bad int
-	latency, refusal              []time.Duration
+	latency, refusalLatency       []time.Duration
 }
 
 func (ta *tally) add(rec *httptest.ResponseRecorder, took time.Duration) {
@@ -217,7 +218,7 @@
 	switch oc := rec.Header().Get("Flamingomast-Outcome"); {
 	case oc == "not-run":
 		ta.notRun++
-		ta.refusal = append(ta.refusal, took)
+		ta.refusalLatency = append(ta.refusalLatency, took)
 	case oc != "":
 		ta.mayHaveRun++
 	case rec.Code != http.StatusOK:
@@ -238,7 +239,7 @@
 	return list[int(q*float64(len(list)-1))]
 }
 
-// send sends one request to the outlet.
+// send sends one request to front.
 func (lr *loadRig) send(path string, ta *tally) {
 	lr.sendTo(lr.front, "booking", path, nil, ta)
 }
@@ -265,7 +266,7 @@
 	return rec.Code
 }
 
-// load sends requests at a rate, at random intervals, for a time.
+// load sends requests at the given rate with random intervals.
 func (lr *loadRig) load(rate float64, span time.Duration, path func() string) *tally {
 	ta := &tally{}
 	var wg conc.WaitGroup
@@ -279,26 +280,25 @@
 	return ta
 }
 
-func always(path string) func() string { return func() string { return path } }
+func constantPath(path string) func() string { return func() string { return path } }
 
-// TestGoodput loads two servers with once, twice and five times what their
-// slots can serve. The protected class keeps to 0.3 of the capacity, below its
-// share of half the slots; all the rest is of another class. What they serve
-// in time must stay near their capacity, the protected class near its unloaded
-// latency, and who is refused must learn it at once.
+// TestGoodput loads two servers with one, two and five times their capacity. The load of the
+// protected class is 0.3 of the capacity, below its share of half the slots; the rest belongs to
+// another class. The goodput must stay near the capacity, the latency of the protected class near
+// its unloaded value, and refusals must be immediate.
 func TestGoodput(t *testing.T) {
 	const vms = 2
-	capacity := float64(vms*slots) / work.Seconds()
+	capacity := float64(vms*slots) / workTime.Seconds()
 	const span = 5 * time.Second
 	const protected = 0.3
-	run := func(times float64, spoil func(*loadRig)) (lookup, confirm *tally) {
+	run := func(times float64, injectFault func(*loadRig)) (lookup, confirm *tally) {
 		synctest.Test(t, func(t *testing.T) {
 			lr := newLoadRig(t, vms, anyDomain)
 			defer lr.close()
-			spoil(lr)
+			injectFault(lr)
 			var wg conc.WaitGroup
-			wg.Go(func() { confirm = lr.load(min(times, 1)*protected*capacity, span, always("/confirm")) })
-			lookup = lr.load((times-min(times, 1)*protected)*capacity, span, always("/lookup"))
+			wg.Go(func() { confirm = lr.load(min(times, 1)*protected*capacity, span, constantPath("/confirm")) })
+			lookup = lr.load((times-min(times, 1)*protected)*capacity, span, constantPath("/lookup"))
 			wg.Wait()
 		})
 		return lookup, confirm
@@ -309,7 +309,7 @@
 	for _, times := range []float64{1, 2, 5} {
 		lookup, confirm := run(times, func(*loadRig) {})
 		good := float64(lookup.good+confirm.good) / span.Seconds()
-		refused := quantile(slices.Concat(lookup.refusal, confirm.refusal), 0.99)
+		refused := quantile(slices.Concat(lookup.refusalLatency, confirm.refusalLatency), 0.99)
 		t.Logf("%.0f x: goodput %.1f%% of capacity; protected: %d of %d answered, 99th %s; others: %d of %d; refused in %s (99th)",
 			times, 100*good/capacity, confirm.good, confirm.total(), quantile(confirm.latency, 0.99), lookup.good, lookup.total(), refused)
 		if times > 1 && good < 0.95*capacity {
@@ -322,7 +322,7 @@
 			t.Errorf("%.0f x: %d of %d protected requests answered", times, confirm.good, confirm.total())
 		}
 	}
-	// The baseline: no limit at the inlet.
+	// For comparison: no limit at the inlet.
 	lookup, confirm := run(5, func(lr *loadRig) {
 		for _, ga := range lr.gates {
 			ga.Configure(1_000_000, nil)
@@ -332,10 +332,10 @@
 	t.Logf("5 x without limits: goodput %.1f%% of capacity, protected 99th %s", 100*good/capacity, quantile(confirm.latency, 0.99))
 }
 
-// attempts returns how many requests the servers have seen.
+// attempts returns how many requests the backend servers have received.
 func (lr *loadRig) attempts() int {
 	n := 0
-	for _, be := range lr.back {
+	for _, be := range lr.backends {
 		n += be.runs()
 	}
 	return n
@@ -343,30 +343,29 @@
 
 func abort(http.ResponseWriter, *http.Request) bool { panic(http.ErrAbortHandler) }
 
-// TestThirdFails: a third of the servers take each request and break the
-// connection. Safe requests are sent again, but the servers must see few more
-// requests than callers sent, and callers few failures; when the servers are
-// well again, the requests to them must come back without a peak.
+// TestThirdFails: a third of the servers accept each request and break the connection. Safe
+// requests are retried, but the servers must receive few more requests than the callers sent, and
+// few requests may fail. After the servers have recovered, their load must return without a peak.
 func TestThirdFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lr := newLoadRig(t, 6, anyDomain)
 		defer lr.close()
-		for _, be := range lr.back[:2] {
+		for _, be := range lr.backends[:2] {
 			be.fail = abort
 		}
-		ta := lr.load(200, 10*time.Second, always("/lookup"))
+		ta := lr.load(200, 10*time.Second, constantPath("/lookup"))
 		per := float64(lr.attempts()) / float64(ta.total())
 		t.Logf("attempts per request %.3f; %d of %d answered", per, ta.good, ta.total())
 		if per > 1.2 || ta.good < ta.total()*99/100 {
 			t.Errorf("attempts per request %.3f, answered %d of %d", per, ta.good, ta.total())
 		}
-		for _, be := range lr.back[:2] {
+		for _, be := range lr.backends[:2] {
 			be.fail = nil
 		}
 		before := lr.attempts()
-		ta = lr.load(200, 40*time.Second, always("/lookup"))
+		ta = lr.load(200, 40*time.Second, constantPath("/lookup"))
 		per = float64(lr.attempts()-before) / float64(ta.total())
-		share := float64(lr.back[0].runs()+lr.back[1].runs()) / float64(lr.attempts())
+		share := float64(lr.backends[0].runs()+lr.backends[1].runs()) / float64(lr.attempts())
 		t.Logf("recovered: attempts per request %.3f, share of the recovered third %.2f", per, share)
 		if per > 1.02 || ta.good < ta.total() {
 			t.Errorf("after recovery: attempts per request %.3f, answered %d of %d", per, ta.good, ta.total())
@@ -374,27 +373,27 @@
 	})
 }
 
-// TestThirdFailsThreeDeep: the same where each request makes two more, one
-// below the other. A retry at each level must not multiply.
-func TestThirdFailsThreeDeep(t *testing.T) {
+// TestThirdFailsNestedCalls is TestThirdFails with a call nested in each request. Retries at both
+// levels must not multiply.
+func TestThirdFailsNestedCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lr := newLoadRig(t, 6, anyDomain)
 		defer lr.close()
-		for i, be := range lr.back {
+		for i, be := range lr.backends {
 			be.work = uniform(time.Millisecond)
 			be.call = func(r *http.Request) int {
 				if r.URL.Path == "/1/1" {
 					return http.StatusOK
 				}
 				hdr := http.Header{"Flamingomast-Timeout-Ms": r.Header["Flamingomast-Timeout-Ms"]}
-				return lr.sendTo(lr.out, "booking", r.URL.Path+"/1", hdr, nil)
+				return lr.sendTo(lr.outlet, "booking", r.URL.Path+"/1", hdr, nil)
 			}
 			if i < 2 {
 				be.fail = abort
 			}
 		}
-		ta := lr.load(60, 10*time.Second, always("/1"))
-		// A request without failures is seen twice: once at each level.
+		ta := lr.load(60, 10*time.Second, constantPath("/1"))
+		// Without failures, servers receive a request twice, once at each level.
 		per := float64(lr.attempts()) / float64(2*ta.total())
 		t.Logf("attempts per call %.3f; %d of %d answered", per, ta.good, ta.total())
 		if per > 1.3 || ta.good < ta.total()*98/100 {
