--- a/internal/path/again/again.go
+++ b/internal/path/again/again.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// places and ways bound the failed tries that are remembered: as many as an outlet
+	// sets and ways bound the failed tries that are remembered: as many as an outlet
 	// refuses in a few seconds of overload. Tries that fall into one place have ways
 	// there, so that none of a wave is lost.
-	places = 1 << 8
-	ways   = 8
-	// tolerance is by how much the moment may differ at which a caller stops waiting,
+	sets = 1 << 8
+	ways = 8
+	// deadlineTolerance is by how much the moment may differ at which a caller stops waiting,
 	// as its two tries tell it: several times the way to the callers.
-	tolerance = 25 * time.Millisecond
+	deadlineTolerance = 25 * time.Millisecond
 )
 
 // Memory holds failed tries. The zero value is empty. Its methods may be called from
@@ -26,36 +26,36 @@
 // request, since callers of one route differ in patience. But a caller that comes
 // back asks for the same, and stops waiting at the same moment as before.
 type Memory struct {
-	tries [places][ways]atomic.Pointer[Try]
+	tries [sets][ways]atomic.Pointer[Try]
 }
 
 // Try is a caller's try at a request.
 type Try struct {
 	// First is when the first try came, until when its caller stops waiting.
-	First time.Time
-	until time.Time
-	key   uint64
-	// failed is when this try was given up on.
-	failed time.Time
+	First    time.Time
+	deadline time.Time
+	key      uint64
+	// failedAt is when this try was given up on.
+	failedAt time.Time
 }
 
 // Came returns the try of a request that came at a moment, whose caller waits for as
 // long as left from then on, 0 where it does not say. It reports whether it is a
 // further one, and takes that into the account of its route.
-func (me *Memory) Came(r *http.Request, at time.Time, left time.Duration, ro *Route) (tr *Try, further bool) {
-	tr = &Try{First: at}
-	if left <= 0 {
+func (tk *Memory) Came(r *http.Request, now time.Time, timeout time.Duration, rs *Route) (tr *Try, further bool) {
+	tr = &Try{First: now}
+	if timeout <= 0 {
 		return tr, false
 	}
-	tr.until, tr.key = at.Add(left), key(r)
+	tr.deadline, tr.key = now.Add(timeout), key(r)
 	for i := range ways {
-		place := &me.tries[tr.key%places][i]
-		old := place.Load()
-		if old == nil || !old.same(tr) || !old.failed.Before(at) || !place.CompareAndSwap(old, nil) {
+		entry := &tk.tries[tr.key%sets][i]
+		old := entry.Load()
+		if old == nil || !old.same(tr) || !old.failedAt.Before(now) || !entry.CompareAndSwap(old, nil) {
 			continue
 		}
 		tr.First = old.First
-		ro.back(old.failed)
+		rs.countRetried(old.failedAt)
 		return tr, true
 	}
 	return tr, false
@@ -63,36 +63,36 @@
 
 // same reports whether two tries are of one caller and request.
 func (tr *Try) same(other *Try) bool {
-	return tr.key == other.key && tr.until.Sub(other.until).Abs() <= tolerance
+	return tr.key == other.key && tr.deadline.Sub(other.deadline).Abs() <= deadlineTolerance
 }
 
 // Failed remembers a try that was given up on now. Told says that its caller was told
 // to come back.
-func (me *Memory) Failed(tr *Try, now time.Time, told bool, ro *Route) {
-	if tr.until.IsZero() {
+func (tk *Memory) Failed(tr *Try, now time.Time, retryAdvised bool, rs *Route) {
+	if tr.deadline.IsZero() {
 		return
 	}
 	next := *tr
-	next.failed = now
-	me.place(tr.key, now).Store(&next)
-	if told {
-		ro.told(now)
+	next.failedAt = now
+	tk.entry(tr.key, now).Store(&next)
+	if retryAdvised {
+		rs.countAdvised(now)
 	}
 }
 
-// place returns where a try is put: in place of the one whose caller stops waiting
+// entry returns where a try is put: in place of the one whose caller stops waiting
 // first, which is over already as a rule.
-func (me *Memory) place(key uint64, now time.Time) *atomic.Pointer[Try] {
+func (tk *Memory) entry(key uint64, now time.Time) *atomic.Pointer[Try] {
 	var best *atomic.Pointer[Try]
-	var until time.Time
+	var deadline time.Time
 	for i := range ways {
-		place := &me.tries[key%places][i]
-		old := place.Load()
-		if old == nil || old.until.Before(now) {
-			return place
+		entry := &tk.tries[key%sets][i]
+		old := entry.Load()
+		if old == nil || old.deadline.Before(now) {
+			return entry
 		}
-		if best == nil || old.until.Before(until) {
-			best, until = place, old.until
+		if best == nil || old.deadline.Before(deadline) {
+			best, deadline = entry, old.deadline
 		}
 	}
 	return best
--- a/internal/path/again/route.go
+++ b/internal/path/again/route.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// epoch is the time over which those that were told to come back are counted
+	// period is the time over which those that were told to come back are counted
 	// together. What an epoch tells is used once the next one is over too: by then who
 	// comes back has done so.
-	epoch = time.Second
-	// enough is how many must have been told before anything is concluded.
-	enough = 6
-	// few is the part of them that comes back, as one in so many, below which callers
+	period = time.Second
+	// minAdvised is how many must have been told before anything is concluded.
+	minAdvised = 6
+	// finalDivisor is the part of them that comes back, as one in so many, below which callers
 	// of a route are taken not to come back.
-	few = 4
-	// seldom is the part of a route's requests, as one in so many, that may come while
+	finalDivisor = 4
+	// idleDivisor is the part of a route's requests, as one in so many, that may come while
 	// the own backend server runs nothing though it made them: one whose caller has
 	// left may still run there.
-	seldom = 20
-	// most bounds what is remembered, so that a change of habit shows within as many.
-	most = 64
+	idleDivisor = 20
+	// maxCount bounds what is remembered, so that a change of habit shows within as many.
+	maxCount = 64
 )
 
 // Route learns whether the callers of a route come back when they are told to.
@@ -28,58 +28,58 @@
 // work done for its parent is lost with it. The zero value takes it that they do.
 type Route struct {
 	mu sync.Mutex
-	// now, last and old are the counts of the present epoch, of the one before it and
+	// current, last and old are the counts of the present epoch, of the one before it and
 	// of all older ones.
-	now, last, old count
-	began          time.Time
-	// came counts the requests of the route, alone those that came while the VM's own
+	current, previous, older count
+	periodStart              time.Time
+	// arrivals counts the requests of the route, alone those that came while the VM's own
 	// backend server ran nothing.
-	came, alone int
+	arrivals, idleArrivals int
 }
 
 // count is how many were told to come back and how many did.
-type count struct{ told, back int }
+type count struct{ advised, retried int }
 
-// told counts a caller that was told to come back.
-func (ro *Route) told(now time.Time) {
-	ro.mu.Lock()
-	defer ro.mu.Unlock()
-	ro.advance(now)
-	ro.now.told++
+// advised counts a caller that was told to come back.
+func (rs *Route) countAdvised(now time.Time) {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	rs.advance(now)
+	rs.current.advised++
 }
 
-// back counts a caller that came back after it was told so at a moment.
-func (ro *Route) back(told time.Time) {
-	ro.mu.Lock()
-	defer ro.mu.Unlock()
-	ro.advance(time.Now())
+// retried counts a caller that came back after it was told so at a moment.
+func (rs *Route) countRetried(advisedAt time.Time) {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	rs.advance(time.Now())
 	switch {
-	case !told.Before(ro.began):
-		ro.now.back++
-	case !told.Before(ro.began.Add(-epoch)):
-		ro.last.back++
+	case !advisedAt.Before(rs.periodStart):
+		rs.current.retried++
+	case !advisedAt.Before(rs.periodStart.Add(-period)):
+		rs.previous.retried++
 	default:
-		ro.old.back++
+		rs.older.retried++
 	}
 }
 
-// advance begins a new epoch if it is time; ro.mu is held.
-func (ro *Route) advance(now time.Time) {
+// advance begins a new epoch if it is time; rs.mu is held.
+func (rs *Route) advance(now time.Time) {
 	for range 2 {
-		if now.Sub(ro.began) < epoch {
+		if now.Sub(rs.periodStart) < period {
 			return
 		}
-		ro.old.told += ro.last.told
-		ro.old.back += ro.last.back
-		if ro.old.told > most {
-			ro.old.back = ro.old.back * most / ro.old.told
-			ro.old.told = most
+		rs.older.advised += rs.previous.advised
+		rs.older.retried += rs.previous.retried
+		if rs.older.advised > maxCount {
+			rs.older.retried = rs.older.retried * maxCount / rs.older.advised
+			rs.older.advised = maxCount
 		}
-		ro.last, ro.now = ro.now, count{}
-		ro.began = ro.began.Add(epoch)
+		rs.previous, rs.current = rs.current, count{}
+		rs.periodStart = rs.periodStart.Add(period)
 	}
-	if now.Sub(ro.began) >= epoch {
-		ro.began = now
+	if now.Sub(rs.periodStart) >= period {
+		rs.periodStart = now
 	}
 }
 
@@ -90,18 +90,18 @@
 // As long as nothing is known of refusals, a request is taken for a call of the VM's
 // own backend server where its caller has no time to come back, and where hardly any of
 // the route came while that server ran nothing.
-func (ro *Route) Came(now time.Time, short, busy bool) bool {
-	ro.mu.Lock()
-	defer ro.mu.Unlock()
-	ro.advance(now)
-	if ro.came++; !busy {
-		ro.alone++
+func (rs *Route) Came(now time.Time, shortTimeout, serverBusy bool) bool {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	rs.advance(now)
+	if rs.arrivals++; !serverBusy {
+		rs.idleArrivals++
 	}
-	if ro.came > most {
-		ro.came, ro.alone = ro.came/2, ro.alone/2
+	if rs.arrivals > maxCount {
+		rs.arrivals, rs.idleArrivals = rs.arrivals/2, rs.idleArrivals/2
 	}
-	if ro.old.told >= enough {
-		return ro.old.back*few < ro.old.told
+	if rs.older.advised >= minAdvised {
+		return rs.older.retried*finalDivisor < rs.older.advised
 	}
-	return short && ro.alone*seldom < ro.came
+	return shortTimeout && rs.idleArrivals*idleDivisor < rs.arrivals
 }
--- a/internal/path/lapse/lapse.go
+++ b/internal/path/lapse/lapse.go
@@ -34,8 +34,8 @@
 
 // peer holds the shortest difference of the present and the last half window.
 type peer struct {
-	now, last time.Duration
-	since     time.Time
+	current, previous time.Duration
+	windowStart       time.Time
 }
 
 // Excess takes a message from the sender that was sent at the sender's steady
@@ -47,14 +47,14 @@
 	// Only differences of the result are used, so any fixed moment will do.
 	diff := now.Sub(epoch) - sent
 	if pe == nil {
-		tr.add(sender, &peer{now: diff, last: diff, since: now})
+		tr.add(sender, &peer{current: diff, previous: diff, windowStart: now})
 		return 0
 	}
-	if now.Sub(pe.since) >= window/2 {
-		pe.last, pe.now, pe.since = pe.now, diff, now
+	if now.Sub(pe.windowStart) >= window/2 {
+		pe.previous, pe.current, pe.windowStart = pe.current, diff, now
 	}
-	pe.now = min(pe.now, diff)
-	return max(0, diff-min(pe.now, pe.last))
+	pe.current = min(pe.current, diff)
+	return max(0, diff-min(pe.current, pe.previous))
 }
 
 func (tr *Tracker) add(sender string, pe *peer) {
@@ -67,13 +67,13 @@
 // epoch is where the steady clock of this process is counted from.
 var epoch = time.Now()
 
-// process names this process among others, also those that had its address
+// processID names this process among others, also those that had its address
 // before.
-var process = strconv.FormatUint(rand.Uint64()>>24, 36)
+var processID = strconv.FormatUint(rand.Uint64()>>24, 36)
 
 // Stamp returns the text that says when a message is sent.
 func Stamp(now time.Time) string {
-	return process + "/" + strconv.FormatInt(now.Sub(epoch).Milliseconds(), 10)
+	return processID + "/" + strconv.FormatInt(now.Sub(epoch).Milliseconds(), 10)
 }
 
 // Late reads a stamp that came at now and returns how much longer than the
--- a/internal/path/limit/late_test.go
+++ b/internal/path/limit/late_test.go
@@ -25,14 +25,14 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ga := New()
-				ga.Configure(1, []Class{{Name: "lookup", Queue: 4}})
+				lm := New()
+				lm.Configure(1, []Class{{Name: "lookup", Queue: 4}})
 				for range 20 {
-					tk := fill(t, ga, "lookup", 1)[0]
+					sl := acquireN(t, lm, "lookup", 1)[0]
 					time.Sleep(tc.held)
-					tk.Leave()
+					sl.Leave()
 				}
-				stuck := fill(t, ga, "lookup", 1)[0]
+				stuck := acquireN(t, lm, "lookup", 1)[0]
 				ctx := t.Context()
 				if tc.deadline > 0 {
 					var cancel context.CancelFunc
@@ -42,13 +42,13 @@
 					time.AfterFunc(time.Minute, stuck.Leave)
 				}
 				began := time.Now()
-				tk, rf := ga.Enter(ctx, Request{Class: "lookup", Final: true})
+				sl, rf := lm.Enter(ctx, Request{Class: "lookup", Final: true})
 				took := time.Since(began)
 				if tc.deadline == 0 {
 					if rf != nil || took != time.Minute {
 						t.Errorf("refused with %+v after %s", rf, took)
 					}
-					tk.Leave()
+					sl.Leave()
 					return
 				}
 				if rf == nil || rf.Outcome != result.NotRun || rf.Reason != result.ReasonTooLate || took != tc.want {
--- a/internal/path/limit/limit.go
+++ b/internal/path/limit/limit.go
@@ -27,13 +27,13 @@
 	draining bool
 	classes  map[string]*class
 	order    []*class
-	// service is the weighted mean time for which a slot is held, kinds the same for
+	// serviceTime is the weighted mean time for which a slot is held, kinds the same for
 	// each kind of request.
-	service mean
-	kinds   kinds
-	worth   worths
-	// doing counts the requests that run by priority, without calls.
-	doing [result.Ranks - 1]int
+	service       movingAverage
+	serviceByKind serviceTimes
+	ranker        ranker
+	// runningByPriority counts the requests that run by priority, without calls.
+	runningByPriority [result.Ranks - 1]int
 	// repeats is how many of those that run are repeats.
 	repeats float64
 	idle    chan struct{}
@@ -41,9 +41,9 @@
 
 type class struct {
 	Class
-	own     int // slots that are always its own
-	running int
-	queue   []*waiter
+	reserved int // slots that are always its own
+	running  int
+	queue    []*waiter
 	// grants counts the slots that were handed to those who wait.
 	grants int
 }
@@ -77,143 +77,143 @@
 
 // New returns a gate without slots; Configure gives it some.
 func New() *Gate {
-	return &Gate{classes: map[string]*class{}, kinds: kinds{}}
+	return &Gate{classes: map[string]*class{}, serviceByKind: serviceTimes{}}
 }
 
 // Configure sets the slots and classes. Requests that run or wait stay as they
 // are; a class that is no longer declared goes on without a share.
-func (ga *Gate) Configure(slots int, classes []Class) {
-	ga.mu.Lock()
-	defer ga.mu.Unlock()
-	ga.slots = slots
-	for _, cl := range ga.order {
-		cl.Share, cl.own, cl.Queue = 0, 0, 0
+func (lm *Gate) Configure(slots int, classes []Class) {
+	lm.mu.Lock()
+	defer lm.mu.Unlock()
+	lm.slots = slots
+	for _, cl := range lm.order {
+		cl.Share, cl.reserved, cl.Queue = 0, 0, 0
 	}
 	for _, cf := range classes {
-		cl := ga.class(cf.Name)
+		cl := lm.class(cf.Name)
 		cl.Class = cf
-		cl.own = slots * cf.Share / 100
+		cl.reserved = slots * cf.Share / 100
 		if cf.Share > 0 {
-			cl.own = max(1, cl.own)
+			cl.reserved = max(1, cl.reserved)
 		}
 	}
-	ga.handOver()
+	lm.grantSlots()
 }
 
-// class returns the class of a name and makes it if need be; ga.mu is held.
-func (ga *Gate) class(name string) *class {
-	cl := ga.classes[name]
+// class returns the class of a name and makes it if need be; lm.mu is held.
+func (lm *Gate) class(name string) *class {
+	cl := lm.classes[name]
 	if cl == nil {
 		cl = &class{Class: Class{Name: name}}
-		ga.classes[name] = cl
-		ga.order = append(ga.order, cl)
+		lm.classes[name] = cl
+		lm.order = append(lm.order, cl)
 	}
 	return cl
 }
 
 // Ticket is a slot that a request holds.
 type Ticket struct {
-	ga    *Gate
-	cl    *class
-	rq    Request
-	since time.Time
-	left  bool
+	lm         *Gate
+	cl         *class
+	rq         Request
+	acquiredAt time.Time
+	released   bool
 }
 
 // Enter waits for a slot. It returns a ticket, or the refusal of a request
 // that has certainly not run. A request that could not be served before its
 // deadline is refused at once, not when the deadline comes.
-func (ga *Gate) Enter(ctx context.Context, rq Request) (*Ticket, *result.Refusal) {
-	ga.mu.Lock()
-	if ga.draining {
-		ga.mu.Unlock()
+func (lm *Gate) Enter(ctx context.Context, rq Request) (*Ticket, *result.Refusal) {
+	lm.mu.Lock()
+	if lm.draining {
+		lm.mu.Unlock()
 		return nil, refuse(result.ReasonDraining, 0)
 	}
-	cl := ga.class(rq.Class)
-	if ga.mayRun(cl) {
-		tk := ga.admit(cl, rq)
-		ga.mu.Unlock()
-		return tk, nil
-	}
-	wt := newWaiter(rq, ga.expected(rq.Kind), time.Now())
-	wt.rank = ga.worth.rank(&rq, wt.service)
-	at := cl.place(wt)
-	if rf := ga.hopeless(ctx, cl, wt, at); rf != nil {
-		ga.mu.Unlock()
+	cl := lm.class(rq.Class)
+	if lm.mayRun(cl) {
+		sl := lm.admit(cl, rq)
+		lm.mu.Unlock()
+		return sl, nil
+	}
+	wt := newWaiter(rq, lm.expectedServiceTime(rq.Kind), time.Now())
+	wt.rank = lm.ranker.rank(&rq, wt.serviceTime)
+	pos := cl.position(wt)
+	if rf := lm.refuseLate(ctx, cl, wt, pos); rf != nil {
+		lm.mu.Unlock()
 		return nil, rf
 	}
 	if len(cl.queue) >= cl.Queue {
-		ga.displace(cl)
+		lm.evict(cl)
 	}
-	cl.queue = slices.Insert(cl.queue, at, wt)
-	ga.waiting++
-	ga.mu.Unlock()
-	return ga.wait(ctx, cl, wt)
+	cl.queue = slices.Insert(cl.queue, pos, wt)
+	lm.waiting++
+	lm.mu.Unlock()
+	return lm.wait(ctx, cl, wt)
 }
 
-// expected returns for how long a request of a kind is expected to hold a slot;
-// ga.mu is held.
-func (ga *Gate) expected(kind string) time.Duration {
-	if d := ga.kinds.value(kind); d > 0 {
+// expectedServiceTime returns for how long a request of a kind is expected to hold a slot;
+// lm.mu is held.
+func (lm *Gate) expectedServiceTime(kind string) time.Duration {
+	if d := lm.serviceByKind.expected(kind); d > 0 {
 		return d
 	}
-	return ga.service.value
+	return lm.service.value
 }
 
-func refuse(re result.Reason, after time.Duration) *result.Refusal {
-	return &result.Refusal{Outcome: result.NotRun, Reason: re, RetryAfter: after}
+func refuse(reason result.Reason, retryAfter time.Duration) *result.Refusal {
+	return &result.Refusal{Outcome: result.NotRun, Reason: reason, RetryAfter: retryAfter}
 }
 
 // mayRun reports whether a request of the class gets a slot now. A class below
 // its own share goes first; above it, a class takes what is idle as long as
-// nobody waits for it. ga.mu is held.
-func (ga *Gate) mayRun(cl *class) bool {
-	if ga.running >= ga.slots {
+// nobody waits for it. lm.mu is held.
+func (lm *Gate) mayRun(cl *class) bool {
+	if lm.running >= lm.slots {
 		return false
 	}
-	return cl.running < cl.own || ga.waiting == 0
+	return cl.running < cl.reserved || lm.waiting == 0
 }
 
-func (ga *Gate) admit(cl *class, rq Request) *Ticket {
-	ga.running++
+func (lm *Gate) admit(cl *class, rq Request) *Ticket {
+	lm.running++
 	cl.running++
-	ga.count(&rq, 1)
-	return &Ticket{ga: ga, cl: cl, rq: rq, since: time.Now()}
+	lm.countRunning(&rq, 1)
+	return &Ticket{lm: lm, cl: cl, rq: rq, acquiredAt: time.Now()}
 }
 
-// count counts a request that runs, or with n below zero one that has ended; ga.mu is
+// countRunning counts a request that runs, or with n below zero one that has ended; lm.mu is
 // held.
-func (ga *Gate) count(rq *Request, n int) {
-	ga.repeats += float64(n) * rq.Repeat
+func (lm *Gate) countRunning(rq *Request, n int) {
+	lm.repeats += float64(n) * rq.Repeat
 	if !rq.Final {
-		ga.doing[step(rq.Priority)] += n
+		lm.runningByPriority[priorityIndex(rq.Priority)] += n
 	}
 }
 
-// hopeless refuses a request whose turn would come too late if it waited at a place
-// of its class's queue; ga.mu is held.
-func (ga *Gate) hopeless(ctx context.Context, cl *class, wt *waiter, at int) *result.Refusal {
-	wait := ga.expectedWait(cl, wt, at)
-	last := at >= len(cl.queue)
-	if last && len(cl.queue) >= cl.Queue || wait > wt.patient() {
+// refuseLate refuses a request whose turn would come too late if it waited at a place
+// of its class's queue; lm.mu is held.
+func (lm *Gate) refuseLate(ctx context.Context, cl *class, wt *waiter, pos int) *result.Refusal {
+	wait := lm.expectedWait(cl, wt, pos)
+	last := pos >= len(cl.queue)
+	if last && len(cl.queue) >= cl.Queue || wait > wt.maxExpectedWait() {
 		return refuse(result.ReasonFull, wait)
 	}
-	if left, ok := ctx.Deadline(); ok && time.Until(left) < wait+wt.service {
+	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) < wait+wt.serviceTime {
 		return refuse(result.ReasonTooLate, wait)
 	}
 	return nil
 }
 
 // expectedWait estimates when a slot would come to a request at a place of its
-// class's queue, from the time for which those before it will hold theirs; ga.mu is
+// class's queue, from the time for which those before it will hold theirs; lm.mu is
 // held.
-func (ga *Gate) expectedWait(cl *class, wt *waiter, at int) time.Duration {
-	slots, sum := ga.slots, ga.service.value+cl.before(wt, at)
-	if cl.own > 0 {
+func (lm *Gate) expectedWait(cl *class, wt *waiter, pos int) time.Duration {
+	slots, sum := lm.slots, lm.service.value+cl.serviceTimeAhead(wt, pos)
+	if cl.reserved > 0 {
 		// Its own slots serve its own queue first.
-		slots = cl.own
+		slots = cl.reserved
 	} else {
-		sum += ga.service.value * time.Duration(ga.waiting-len(cl.queue))
+		sum += lm.service.value * time.Duration(lm.waiting-len(cl.queue))
 	}
 	if slots <= 0 {
 		return time.Second
@@ -221,194 +221,194 @@
 	return sum / time.Duration(slots)
 }
 
-func (ga *Gate) wait(ctx context.Context, cl *class, wt *waiter) (*Ticket, *result.Refusal) {
-	patient, late := wt.giveUp(), false
-	if left := wt.untilTooLate(ctx); left < patient {
-		patient, late = left, true
+func (lm *Gate) wait(ctx context.Context, cl *class, wt *waiter) (*Ticket, *result.Refusal) {
+	timeout, late := wt.queueTimeout(), false
+	if remaining := wt.timeToLatestStart(ctx); remaining < timeout {
+		timeout, late = remaining, true
 	}
-	tm := time.NewTimer(patient)
+	tm := time.NewTimer(timeout)
 	defer tm.Stop()
 	select {
 	case <-wt.ready:
 	case <-ctx.Done():
 	case <-tm.C:
 	}
-	ga.mu.Lock()
-	defer ga.mu.Unlock()
+	lm.mu.Lock()
+	defer lm.mu.Unlock()
 	if wt.granted {
 		// Granted and given up at the same moment counts as granted; the
 		// caller sees its ended context next and leaves the slot.
-		return &Ticket{ga: ga, cl: cl, rq: wt.Request, since: time.Now()}, nil
+		return &Ticket{lm: lm, cl: cl, rq: wt.Request, acquiredAt: time.Now()}, nil
 	}
-	after := ga.expectedWait(cl, wt, len(cl.queue))
-	if !wt.gone {
-		wt.gone = true
-		ga.waiting--
+	retryAfter := lm.expectedWait(cl, wt, len(cl.queue))
+	if !wt.dequeued {
+		wt.dequeued = true
+		lm.waiting--
 		cl.remove(wt)
 	}
 	switch {
-	case ga.draining:
+	case lm.draining:
 		return nil, refuse(result.ReasonDraining, 0)
 	case ctx.Err() != nil:
-		return nil, refuse(result.ReasonDeadline, after)
+		return nil, refuse(result.ReasonDeadline, retryAfter)
 	case late:
-		return nil, refuse(result.ReasonTooLate, after)
+		return nil, refuse(result.ReasonTooLate, retryAfter)
 	}
-	return nil, refuse(result.ReasonFull, after)
+	return nil, refuse(result.ReasonFull, retryAfter)
 }
 
-// displace refuses the last of a full queue for one that goes before it, as long as
+// evict refuses the last of a full queue for one that goes before it, as long as
 // there is one that is not the only one of its priority. Without
 // that, calls of backend servers were refused behind a queue of less urgent
-// requests, and the work of their callers was lost. ga.mu is held.
-func (ga *Gate) displace(cl *class) {
+// requests, and the work of their callers was lost. lm.mu is held.
+func (lm *Gate) evict(cl *class) {
 	victim := cl.victim()
 	cl.remove(victim)
-	ga.waiting--
-	victim.gone = true
+	lm.waiting--
+	victim.dequeued = true
 	close(victim.ready)
 }
 
 // Since returns when the slot was given.
-func (tk *Ticket) Since() time.Time { return tk.since }
+func (sl *Ticket) Since() time.Time { return sl.acquiredAt }
 
 // Leave gives the slot back; it does so once. It is not safe for concurrent use.
-func (tk *Ticket) Leave() {
-	if tk.left {
+func (sl *Ticket) Leave() {
+	if sl.released {
 		return
 	}
-	tk.left = true
-	ga := tk.ga
-	held := time.Since(tk.since)
-	ga.mu.Lock()
-	defer ga.mu.Unlock()
-	ga.service.add(held)
-	ga.kinds.add(tk.rq.Kind, held)
-	ga.worth.add(&tk.rq, held)
-	ga.count(&tk.rq, -1)
-	ga.running--
-	tk.cl.running--
-	ga.handOver()
-	if ga.running == 0 && ga.idle != nil {
-		close(ga.idle)
-		ga.idle = nil
+	sl.released = true
+	lm := sl.lm
+	serviceTime := time.Since(sl.acquiredAt)
+	lm.mu.Lock()
+	defer lm.mu.Unlock()
+	lm.service.add(serviceTime)
+	lm.serviceByKind.add(sl.rq.Kind, serviceTime)
+	lm.ranker.add(&sl.rq, serviceTime)
+	lm.countRunning(&sl.rq, -1)
+	lm.running--
+	sl.cl.running--
+	lm.grantSlots()
+	if lm.running == 0 && lm.idle != nil {
+		close(lm.idle)
+		lm.idle = nil
 	}
 }
 
-// handOver gives free slots to those who wait: classes below their own share
+// grantSlots gives free slots to those who wait: classes below their own share
 // first, the one farthest below leading, then the others by their use.
-// ga.mu is held.
-func (ga *Gate) handOver() {
-	for ga.running < ga.slots && ga.waiting > 0 {
-		cl := ga.nextClass()
+// lm.mu is held.
+func (lm *Gate) grantSlots() {
+	for lm.running < lm.slots && lm.waiting > 0 {
+		cl := lm.nextClass()
 		if cl == nil {
 			return
 		}
 		wt := cl.next(time.Now())
 		cl.remove(wt)
-		ga.waiting--
-		wt.granted, wt.gone = true, true
-		ga.running++
+		lm.waiting--
+		wt.granted, wt.dequeued = true, true
+		lm.running++
 		cl.running++
-		ga.count(&wt.Request, 1)
+		lm.countRunning(&wt.Request, 1)
 		close(wt.ready)
 	}
 }
 
-func (ga *Gate) nextClass() *class {
+func (lm *Gate) nextClass() *class {
 	var best *class
-	for _, cl := range ga.order {
+	for _, cl := range lm.order {
 		if len(cl.queue) == 0 {
 			continue
 		}
-		if best == nil || cl.use() < best.use() {
+		if best == nil || cl.utilization() < best.utilization() {
 			best = cl
 		}
 	}
 	return best
 }
 
-// use is the part of its own slots that a class uses; above 1 it borrows.
-func (cl *class) use() float64 {
-	if cl.own == 0 {
+// utilization is the part of its own slots that a class uses; above 1 it borrows.
+func (cl *class) utilization() float64 {
+	if cl.reserved == 0 {
 		return 1 + float64(cl.running)
 	}
-	return float64(cl.running) / float64(cl.own)
+	return float64(cl.running) / float64(cl.reserved)
 }
 
 // Drain refuses all new requests from now on and those that wait. It returns
 // how many run and a channel that is closed once none does.
-func (ga *Gate) Drain() (running int, idle <-chan struct{}) {
-	ga.mu.Lock()
-	defer ga.mu.Unlock()
-	ga.draining = true
-	for _, cl := range ga.order {
+func (lm *Gate) Drain() (running int, idle <-chan struct{}) {
+	lm.mu.Lock()
+	defer lm.mu.Unlock()
+	lm.draining = true
+	for _, cl := range lm.order {
 		for _, wt := range cl.queue {
-			wt.gone = true
+			wt.dequeued = true
 			close(wt.ready)
 		}
-		ga.waiting -= len(cl.queue)
+		lm.waiting -= len(cl.queue)
 		cl.queue = nil
 	}
-	if ga.idle == nil {
-		ga.idle = make(chan struct{})
+	if lm.idle == nil {
+		lm.idle = make(chan struct{})
 	}
-	ch := ga.idle
-	if ga.running == 0 {
-		close(ga.idle)
-		ga.idle = nil
+	ch := lm.idle
+	if lm.running == 0 {
+		close(lm.idle)
+		lm.idle = nil
 	}
-	return ga.running, ch
+	return lm.running, ch
 }
 
 // Open admits requests again after a Drain, for another backend server.
-func (ga *Gate) Open() {
-	ga.mu.Lock()
-	defer ga.mu.Unlock()
-	ga.draining = false
+func (lm *Gate) Open() {
+	lm.mu.Lock()
+	defer lm.mu.Unlock()
+	lm.draining = false
 }
 
 // Draining reports whether all new requests are refused.
-func (ga *Gate) Draining() bool {
-	ga.mu.Lock()
-	defer ga.mu.Unlock()
-	return ga.draining
+func (lm *Gate) Draining() bool {
+	lm.mu.Lock()
+	defer lm.mu.Unlock()
+	return lm.draining
 }
 
 // Work returns what the backend server is doing.
-func (ga *Gate) Work() Work {
-	ga.mu.Lock()
-	defer ga.mu.Unlock()
-	wk := Work{Running: ga.running}
-	for pr, count := range ga.doing {
-		if count >= ga.doing[wk.Priority] {
-			wk.Priority = pr
+func (lm *Gate) Work() Work {
+	lm.mu.Lock()
+	defer lm.mu.Unlock()
+	ac := Work{Running: lm.running}
+	for pr, count := range lm.runningByPriority {
+		if count >= lm.runningByPriority[ac.Priority] {
+			ac.Priority = pr
 		}
 	}
-	if ga.running > 0 {
-		wk.Repeats = min(1, max(0, ga.repeats/float64(ga.running)))
+	if lm.running > 0 {
+		ac.Repeats = min(1, max(0, lm.repeats/float64(lm.running)))
 	}
-	return wk
+	return ac
 }
 
 // Load returns how many requests run and wait, the slots, and what waits are to be
 // expected.
-func (ga *Gate) Load() result.Load {
-	ga.mu.Lock()
-	defer ga.mu.Unlock()
-	ld := result.Load{Running: ga.running, Waiting: ga.waiting, Slots: ga.slots, Service: ga.service.value.Truncate(time.Millisecond)}
-	if ga.running < ga.slots || ga.slots <= 0 {
+func (lm *Gate) Load() result.Load {
+	lm.mu.Lock()
+	defer lm.mu.Unlock()
+	ld := result.Load{Running: lm.running, Waiting: lm.waiting, Slots: lm.slots, Service: lm.service.value.Truncate(time.Millisecond)}
+	if lm.running < lm.slots || lm.slots <= 0 {
 		return ld
 	}
 	now := time.Now()
 	for i := range ld.Waits {
-		ld.Waits[i] = ga.service.value
+		ld.Waits[i] = lm.service.value
 	}
-	for _, cl := range ga.order {
-		cl.addWaits(&ld.Waits, ga.worth.final, now)
+	for _, cl := range lm.order {
+		cl.addWaits(&ld.Waits, lm.ranker.callRank, now)
 	}
 	for i := range ld.Waits {
-		ld.Waits[i] = (ld.Waits[i] / time.Duration(ga.slots)).Truncate(time.Millisecond)
+		ld.Waits[i] = (ld.Waits[i] / time.Duration(lm.slots)).Truncate(time.Millisecond)
 	}
 	return ld
 }
--- a/internal/path/limit/limit_test.go
+++ b/internal/path/limit/limit_test.go
@@ -15,9 +15,9 @@
 
 var classes = []Class{{Name: "confirm", Share: 50, Queue: 4}, {Name: "lookup", Share: 25, Queue: 2}}
 
-// TestExact: whatever comes and goes, never do more requests run than there are
+// TestSlotLimit: whatever comes and goes, never do more requests run than there are
 // slots, none is granted a slot that is not free, and none is forgotten.
-func TestExact(t *testing.T) {
+func TestSlotLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type job struct {
 			class          string
@@ -32,8 +32,8 @@
 		slots := rapid.IntRange(1, 6).Draw(rt, "slots")
 		drainAt := rapid.IntRange(0, 80).Draw(rt, "drain")
 		synctest.Test(t, func(t *testing.T) {
-			ga := New()
-			ga.Configure(slots, classes)
+			lm := New()
+			lm.Configure(slots, classes)
 			var running, most, done atomic.Int64
 			var wg conc.WaitGroup
 			for _, jb := range jobs {
@@ -41,7 +41,7 @@
 					time.Sleep(time.Duration(jb.at) * time.Millisecond)
 					ctx, cancel := context.WithTimeout(context.Background(), time.Duration(jb.wait)*time.Millisecond)
 					defer cancel()
-					tk, rf := ga.Enter(ctx, Request{Class: jb.class})
+					sl, rf := lm.Enter(ctx, Request{Class: jb.class})
 					done.Add(1)
 					if rf != nil {
 						if rf.Outcome != result.NotRun {
@@ -54,11 +54,11 @@
 					}
 					time.Sleep(time.Duration(jb.work) * time.Millisecond)
 					running.Add(-1)
-					tk.Leave()
+					sl.Leave()
 				})
 			}
 			time.Sleep(time.Duration(drainAt) * time.Millisecond)
-			_, idle := ga.Drain()
+			_, idle := lm.Drain()
 			<-idle
 			if n := running.Load(); n != 0 {
 				t.Errorf("idle with %d running", n)
@@ -67,25 +67,25 @@
 			if most.Load() > int64(slots) || done.Load() != int64(len(jobs)) {
 				t.Errorf("%d ran at once in %d slots; %d of %d came back", most.Load(), slots, done.Load(), len(jobs))
 			}
-			if ld := ga.Load(); ld.Running != 0 || ld.Waiting != 0 {
+			if ld := lm.Load(); ld.Running != 0 || ld.Waiting != 0 {
 				t.Errorf("left over: %+v", ld)
 			}
 		})
 	})
 }
 
-// fill takes n slots for a class.
-func fill(t *testing.T, ga *Gate, class string, n int) []*Ticket {
+// acquireN takes n slots for a class.
+func acquireN(t *testing.T, lm *Gate, class string, n int) []*Ticket {
 	t.Helper()
-	var list []*Ticket
+	var slots []*Ticket
 	for range n {
-		tk, rf := ga.Enter(t.Context(), Request{Class: class})
+		sl, rf := lm.Enter(t.Context(), Request{Class: class})
 		if rf != nil {
 			t.Fatalf("refused: %+v", rf)
 		}
-		list = append(list, tk)
+		slots = append(slots, sl)
 	}
-	return list
+	return slots
 }
 
 // TestShare: one class has borrowed all slots. Of those that wait, the class
@@ -93,18 +93,18 @@
 // both use theirs alike; the class declared first then goes first.
 func TestShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ga := New()
-		ga.Configure(4, []Class{classes[1], classes[0]})
-		held := fill(t, ga, "lookup", 4)
+		lm := New()
+		lm.Configure(4, []Class{classes[1], classes[0]})
+		held := acquireN(t, lm, "lookup", 4)
 		order := make(chan string, 10)
 		end := make(chan struct{})
 		defer close(end)
 		enter := func(class string) {
 			go func() {
-				if tk, rf := ga.Enter(t.Context(), Request{Class: class}); rf == nil {
+				if sl, rf := lm.Enter(t.Context(), Request{Class: class}); rf == nil {
 					order <- class
 					<-end
-					tk.Leave()
+					sl.Leave()
 				}
 			}()
 			synctest.Wait()
@@ -114,8 +114,8 @@
 		enter("confirm")
 		enter("confirm")
 		var got []string
-		for _, tk := range held {
-			tk.Leave()
+		for _, sl := range held {
+			sl.Leave()
 			got = append(got, <-order)
 		}
 		want := []string{"confirm", "confirm", "lookup", "confirm"}
@@ -127,23 +127,23 @@
 	})
 }
 
-// TestHopeless: a request that cannot be served before its deadline is refused
+// TestUnmeetableDeadline: a request that cannot be served before its deadline is refused
 // at once, and told when to come back by the rate at which slots become free.
-func TestHopeless(t *testing.T) {
+func TestUnmeetableDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ga := New()
-		ga.Configure(1, classes)
+		lm := New()
+		lm.Configure(1, classes)
 		// Slots are held for two seconds each.
 		for range 50 {
-			tk := fill(t, ga, "lookup", 1)[0]
+			sl := acquireN(t, lm, "lookup", 1)[0]
 			time.Sleep(2 * time.Second)
-			tk.Leave()
+			sl.Leave()
 		}
-		fill(t, ga, "lookup", 1)
+		acquireN(t, lm, "lookup", 1)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		began := time.Now()
-		_, rf := ga.Enter(ctx, Request{Class: "lookup"})
+		_, rf := lm.Enter(ctx, Request{Class: "lookup"})
 		if took := time.Since(began); rf == nil || rf.Reason != result.ReasonTooLate || took != 0 {
 			t.Errorf("refused with %+v after %s", rf, took)
 		}
@@ -157,21 +157,21 @@
 // touched by it.
 func TestFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ga := New()
-		ga.Configure(2, classes)
-		fill(t, ga, "lookup", 2)
+		lm := New()
+		lm.Configure(2, classes)
+		acquireN(t, lm, "lookup", 2)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		for range 2 {
-			go func() { _, _ = ga.Enter(ctx, Request{Class: "lookup"}) }()
+			go func() { _, _ = lm.Enter(ctx, Request{Class: "lookup"}) }()
 		}
 		synctest.Wait()
-		if _, rf := ga.Enter(t.Context(), Request{Class: "lookup"}); rf == nil || rf.Reason != result.ReasonFull {
+		if _, rf := lm.Enter(t.Context(), Request{Class: "lookup"}); rf == nil || rf.Reason != result.ReasonFull {
 			t.Errorf("the third that waits: %+v", rf)
 		}
-		go func() { _, _ = ga.Enter(ctx, Request{Class: "confirm"}) }()
+		go func() { _, _ = lm.Enter(ctx, Request{Class: "confirm"}) }()
 		synctest.Wait()
-		if ld := ga.Load(); ld.Waiting != 3 {
+		if ld := lm.Load(); ld.Waiting != 3 {
 			t.Errorf("%d wait, want 3", ld.Waiting)
 		}
 	})
@@ -180,38 +180,38 @@
 // TestReconfigured: slots shrink below what runs. Nothing that runs is ended,
 // and nothing new begins until enough has ended.
 func TestReconfigured(t *testing.T) {
-	ga := New()
-	ga.Configure(4, classes)
-	held := fill(t, ga, "lookup", 4)
-	ga.Configure(1, nil)
-	for i, tk := range held {
-		if _, rf := ga.Enter(t.Context(), Request{Class: "lookup"}); rf == nil {
+	lm := New()
+	lm.Configure(4, classes)
+	held := acquireN(t, lm, "lookup", 4)
+	lm.Configure(1, nil)
+	for i, sl := range held {
+		if _, rf := lm.Enter(t.Context(), Request{Class: "lookup"}); rf == nil {
 			t.Fatalf("entered with %d running in 1 slot", len(held)-i)
 		}
-		tk.Leave()
+		sl.Leave()
 	}
-	fill(t, ga, "lookup", 1)
+	acquireN(t, lm, "lookup", 1)
 }
 
 func BenchmarkGate(b *testing.B) {
-	ga := New()
-	ga.Configure(100, classes)
+	lm := New()
+	lm.Configure(100, classes)
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			if tk, rf := ga.Enter(b.Context(), Request{Class: "lookup"}); rf == nil {
-				tk.Leave()
+			if sl, rf := lm.Enter(b.Context(), Request{Class: "lookup"}); rf == nil {
+				sl.Leave()
 			}
 		}
 	})
 }
 
-// TestPatience: nine slots are held for 160 ms each, so one comes free every 18
+// TestMaxWait: nine slots are held for 160 ms each, so one comes free every 18
 // ms. Of a lookup that is wanted in 400 ms nine may wait, of a confirmation in
 // 500 ms thirteen; of those whose objective has passed five, which a burst leaves, and of
 // calls, which cannot come back, as many as the queue holds: what waits longer is late,
 // and a refusal at once lets it be served elsewhere.
-func TestPatience(t *testing.T) {
+func TestMaxWait(t *testing.T) {
 	for name, tc := range map[string]struct {
 		rq   Request
 		want int
@@ -223,28 +223,28 @@
 		"not said":     {Request{}, 16},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			ga := New()
-			ga.Configure(9, []Class{{Name: "", Queue: 16}})
+			lm := New()
+			lm.Configure(9, []Class{{Name: "", Queue: 16}})
 			for range 9 {
-				tk, rf := ga.Enter(t.Context(), Request{})
+				sl, rf := lm.Enter(t.Context(), Request{})
 				if rf != nil {
 					t.Fatal(rf)
 				}
-				time.AfterFunc(160*time.Millisecond, tk.Leave)
+				time.AfterFunc(160*time.Millisecond, sl.Leave)
 			}
 			time.Sleep(time.Second)
 			for range 9 {
-				if _, rf := ga.Enter(t.Context(), Request{}); rf != nil {
+				if _, rf := lm.Enter(t.Context(), Request{}); rf != nil {
 					t.Fatal(rf)
 				}
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			var wg conc.WaitGroup
 			for range 30 {
-				wg.Go(func() { _, _ = ga.Enter(ctx, tc.rq) })
+				wg.Go(func() { _, _ = lm.Enter(ctx, tc.rq) })
 				synctest.Wait()
 			}
-			if got := ga.Load().Waiting; got != tc.want {
+			if got := lm.Load().Waiting; got != tc.want {
 				t.Errorf("%s: %d wait, want %d", name, got, tc.want)
 			}
 			cancel()
@@ -253,15 +253,15 @@
 	}
 }
 
-// TestDisplaced: a queue is full of requests of little urgency when an urgent one
+// TestEvicted: a queue is full of requests of little urgency when an urgent one
 // comes. A call of a backend server was refused then, and the work of the request
 // that it was made for was lost. The last in the queue is refused in its place, at
 // once; one that is no more urgent than those that wait displaces nobody.
-func TestDisplaced(t *testing.T) {
+func TestEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ga := New()
-		ga.Configure(1, []Class{{Name: "default", Share: 100, Queue: 2}})
-		held := fill(t, ga, "default", 1)
+		lm := New()
+		lm.Configure(1, []Class{{Name: "default", Share: 100, Queue: 2}})
+		held := acquireN(t, lm, "default", 1)
 		type end struct {
 			name string
 			rf   *result.Refusal
@@ -269,10 +269,10 @@
 		ends := make(chan end, 10)
 		enter := func(name string, priority int) {
 			go func() {
-				tk, rf := ga.Enter(t.Context(), Request{Class: "default", Priority: priority, Objective: time.Second})
+				sl, rf := lm.Enter(t.Context(), Request{Class: "default", Priority: priority, Objective: time.Second})
 				ends <- end{name, rf}
-				if tk != nil {
-					tk.Leave()
+				if sl != nil {
+					sl.Leave()
 				}
 			}()
 			synctest.Wait()
@@ -294,31 +294,31 @@
 				t.Errorf("%s got the slot, %+v; want %s", got.name, got.rf, want)
 			}
 		}
-		if ld := ga.Load(); ld.Running != 0 || ld.Waiting != 0 {
+		if ld := lm.Load(); ld.Running != 0 || ld.Waiting != 0 {
 			t.Errorf("left over: %+v", ld)
 		}
 	})
 }
 
-// TestNobodyStarves: urgent calls keep a server busy for good, and documents of the
+// TestNoStarvation: urgent calls keep a server busy for good, and documents of the
 // least urgency come now and then. They got nothing at all; one slot in some goes
 // to who has waited longest.
-func TestNobodyStarves(t *testing.T) {
+func TestNoStarvation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ga := New()
-		ga.Configure(2, []Class{{Name: "default", Share: 100, Queue: 8}})
+		lm := New()
+		lm.Configure(2, []Class{{Name: "default", Share: 100, Queue: 8}})
 		ctx, cancel := context.WithCancel(t.Context())
 		var served [3]atomic.Int64
 		var wg conc.WaitGroup
 		send := func(priority int, objective time.Duration) {
 			wg.Go(func() {
-				tk, rf := ga.Enter(ctx, Request{Class: "default", Priority: priority, Objective: objective})
+				sl, rf := lm.Enter(ctx, Request{Class: "default", Priority: priority, Objective: objective})
 				if rf != nil {
 					return
 				}
 				time.Sleep(10 * time.Millisecond)
 				served[priority].Add(1)
-				tk.Leave()
+				sl.Leave()
 			})
 		}
 		for i := range 2000 {
--- a/internal/path/limit/load_test.go
+++ b/internal/path/limit/load_test.go
@@ -18,25 +18,25 @@
 	name string
 	// rate is how many come in a second, work for how long one holds a slot in the
 	// mean.
-	rate      float64
-	work      time.Duration
-	priority  int
-	objective time.Duration
-	deadline  time.Duration
-	// final says that they do not come back after a refusal, tries how often the
+	rate        float64
+	serviceTime time.Duration
+	priority    int
+	objective   time.Duration
+	deadline    time.Duration
+	// callRank says that they do not come back after a refusal, tries how often the
 	// others try, each back time after the last.
-	final bool
-	tries int
-	back  time.Duration
+	final      bool
+	tries      int
+	retryDelay time.Duration
 }
 
 // tally is what became of the requests of a flow, as shares of all.
 type tally struct{ inTime, late, lost float64 }
 
-// play sends flows to a gate of six slots for 20 s of virtual time.
-func play(flows []flow) map[string]tally {
-	ga := New()
-	ga.Configure(6, []Class{{Name: "default", Queue: 16}})
+// simulate sends flows to a gate of six slots for 20 s of virtual time.
+func simulate(flows []flow) map[string]tally {
+	lm := New()
+	lm.Configure(6, []Class{{Name: "default", Queue: 16}})
 	var mu sync.Mutex
 	counts, all := map[string]*tally{}, map[string]float64{}
 	var wg conc.WaitGroup
@@ -47,11 +47,11 @@
 		counts[fl.name] = ta
 		for at := 0.0; at < 20; at += rnd.ExpFloat64() / fl.rate {
 			all[fl.name]++
-			work := fl.work/2 + time.Duration(rnd.Float64()*float64(fl.work))
+			work := fl.serviceTime/2 + time.Duration(rnd.Float64()*float64(fl.serviceTime))
 			back := rand.New(rand.NewPCG(returns.Uint64(), 0))
 			wg.Go(func() {
 				time.Sleep(time.Until(began.Add(time.Duration(at * float64(time.Second)))))
-				took, ok := try(ga, &fl, work, back)
+				took, ok := simulateCaller(lm, &fl, work, back)
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
@@ -74,22 +74,22 @@
 	return shares
 }
 
-// try is a caller with all its tries at one request, who comes back at the times drawn
+// simulateCaller is a caller with all its tries at one request, who comes back at the times drawn
 // from back.
-func try(ga *Gate, fl *flow, work time.Duration, back *rand.Rand) (took time.Duration, ok bool) {
+func simulateCaller(lm *Gate, fl *flow, work time.Duration, back *rand.Rand) (took time.Duration, ok bool) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), fl.deadline)
 	defer cancel()
 	for range max(1, fl.tries) {
 		left := max(1, fl.objective-time.Since(began))
 		rq := Request{Class: "default", Kind: fl.name, Priority: fl.priority, Objective: left, Final: fl.final}
-		tk, rf := ga.Enter(ctx, rq)
+		sl, rf := lm.Enter(ctx, rq)
 		if rf == nil {
 			time.Sleep(work)
-			tk.Leave()
+			sl.Leave()
 			return time.Since(began), true
 		}
-		time.Sleep(fl.back/2 + time.Duration(back.Int64N(int64(fl.back)+1)))
+		time.Sleep(fl.retryDelay/2 + time.Duration(back.Int64N(int64(fl.retryDelay)+1)))
 	}
 	return 0, false
 }
@@ -98,12 +98,12 @@
 // refusal. Under each, as much as the slots allow must be in time, and nothing lost that
 // others have worked for.
 func TestLoads(t *testing.T) {
-	lookups := flow{name: "lookups", work: 120 * ms, priority: 2, objective: 400 * ms, deadline: 1200 * ms, tries: 3, back: 300 * ms}
-	records := flow{name: "records", work: 160 * ms, priority: 1, objective: 500 * ms, deadline: 1500 * ms, tries: 3, back: 300 * ms}
-	calls := flow{name: "calls", work: 30 * ms, priority: 2, objective: 120 * ms, deadline: 400 * ms, final: true}
+	lookups := flow{name: "lookups", serviceTime: 120 * ms, priority: 2, objective: 400 * ms, deadline: 1200 * ms, tries: 3, retryDelay: 300 * ms}
+	records := flow{name: "records", serviceTime: 160 * ms, priority: 1, objective: 500 * ms, deadline: 1500 * ms, tries: 3, retryDelay: 300 * ms}
+	calls := flow{name: "calls", serviceTime: 30 * ms, priority: 2, objective: 120 * ms, deadline: 400 * ms, final: true}
 	long := calls
-	long.name, long.work = "longer calls", 40*ms
-	lists := flow{name: "lists", work: 64 * ms, priority: 1, objective: 200 * ms, deadline: 1200 * ms, tries: 3, back: 150 * ms}
+	long.name, long.serviceTime = "longer calls", 40*ms
+	lists := flow{name: "lists", serviceTime: 64 * ms, priority: 1, objective: 200 * ms, deadline: 1200 * ms, tries: 3, retryDelay: 150 * ms}
 	at := func(fl flow, rate float64) flow {
 		fl.rate = rate
 		return fl
@@ -111,7 +111,7 @@
 	for _, tc := range []struct {
 		name  string
 		flows []flow
-		// inTime and lost bound the shares of flows from below and above.
+		// meetsObjective and lost bound the shares of flows from below and above.
 		inTime, lost map[string]float64
 	}{
 		{
@@ -149,7 +149,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				got := play(tc.flows)
+				got := simulate(tc.flows)
 				for name, ta := range got {
 					t.Logf("%s: in time %.3f, late %.3f, lost %.3f", name, ta.inTime, ta.late, ta.lost)
 				}
--- a/internal/path/limit/queue.go
+++ b/internal/path/limit/queue.go
@@ -13,20 +13,20 @@
 // waiter is a request that waits for a slot.
 type waiter struct {
 	Request
-	// service is for how long it is expected to hold a slot.
-	service time.Duration
+	// serviceTime is for how long it is expected to hold a slot.
+	serviceTime time.Duration
 	// rank is its place among others, lower ones first.
 	rank  float64
 	since time.Time
 	// due is when its answer must come to be in time, zero where nothing is declared.
-	due     time.Time
-	ready   chan struct{}
-	granted bool
-	gone    bool
+	due      time.Time
+	ready    chan struct{}
+	granted  bool
+	dequeued bool
 }
 
-func newWaiter(rq Request, service time.Duration, now time.Time) *waiter {
-	wt := &waiter{Request: rq, service: service, since: now, ready: make(chan struct{})}
+func newWaiter(rq Request, serviceTime time.Duration, now time.Time) *waiter {
+	wt := &waiter{Request: rq, serviceTime: serviceTime, since: now, ready: make(chan struct{})}
 	if rq.Objective > 0 {
 		wt.due = now.Add(rq.Objective)
 	}
@@ -34,82 +34,82 @@
 }
 
 const (
-	// patience is the part of the time left to a request before it must begin within
+	// maxWaitShare is the part of the time left to a request before it must begin within
 	// which its turn must be expected to come. What is refused at once can still be
 	// served in time elsewhere or a little later; what waits and is then too late has
 	// cost its caller the time and the server a slot.
-	patience = 0.8
-	// latePatience is how long a request may wait that cannot be in time any more.
+	maxWaitShare = 0.8
+	// lateMaxWait is how long a request may wait that cannot be in time any more.
 	// Slots are given to such ones only while no other waits, so it is long enough to
 	// outlast a burst and not longer: behind a lasting load its turn never comes.
-	latePatience = 100 * time.Millisecond
-	// spread is how many times its mean time a request is taken to hold a slot where
+	lateMaxWait = 100 * time.Millisecond
+	// padding is how many times its mean time a request is taken to hold a slot where
 	// it must be in time: of those begun with less than that left, many are late.
-	spread = 1.25
+	padding = 1.25
 )
 
-// likely returns for how long the request holds a slot at most, as a rule.
-func (wt *waiter) likely() time.Duration { return time.Duration(spread * float64(wt.service)) }
+// paddedTime returns for how long the request holds a slot at most, as a rule.
+func (wt *waiter) paddedTime() time.Duration { return time.Duration(padding * float64(wt.serviceTime)) }
 
-// inTime reports whether an answer can come in time if the request begins at a moment.
-func (wt *waiter) inTime(begin time.Time) bool {
-	return wt.due.IsZero() || !begin.Add(wt.likely()).After(wt.due)
+// meetsObjective reports whether an answer can come in time if the request begins at a moment.
+func (wt *waiter) meetsObjective(start time.Time) bool {
+	return wt.due.IsZero() || !start.Add(wt.paddedTime()).After(wt.due)
 }
 
-// patient returns how long the turn of the request may be expected to take.
-func (wt *waiter) patient() time.Duration {
+// maxExpectedWait returns how long the turn of the request may be expected to take.
+func (wt *waiter) maxExpectedWait() time.Duration {
 	if wt.Final || wt.due.IsZero() {
 		return math.MaxInt64
 	}
-	return max(latePatience, time.Duration(patience*float64(wt.Objective-wt.likely())))
+	return max(lateMaxWait, time.Duration(maxWaitShare*float64(wt.Objective-wt.paddedTime())))
 }
 
-// giveUp returns after which time the request is refused if its turn has not come.
-func (wt *waiter) giveUp() time.Duration {
+// queueTimeout returns after which time the request is refused if its turn has not come.
+func (wt *waiter) queueTimeout() time.Duration {
 	if wt.Final || wt.due.IsZero() {
 		return math.MaxInt64
 	}
-	return max(0, wt.Objective-wt.service) + latePatience
+	return max(0, wt.Objective-wt.serviceTime) + lateMaxWait
 }
 
-// heard is the time in which a refusal reaches the outlet that waits for it: a hop
+// refusalLatency is the time in which a refusal reaches the outlet that waits for it: a hop
 // between failure domains, and the turn of two daemons on a sixth of a core.
-const heard = 25 * time.Millisecond
+const refusalLatency = 25 * time.Millisecond
 
-// untilTooLate returns after which time the request could not be answered any more
+// timeToLatestStart returns after which time the request could not be answered any more
 // before its deadline, if it has one. A request that waited until its deadline was
 // given up on by its outlet at the same moment, which could not know then whether it
 // had run: callers were told 504, after which they may not repeat what may run only
 // once. Begun with less time than it takes, it would use a slot for nothing.
-func (wt *waiter) untilTooLate(ctx context.Context) time.Duration {
-	at, ok := ctx.Deadline()
+func (wt *waiter) timeToLatestStart(ctx context.Context) time.Duration {
+	deadline, ok := ctx.Deadline()
 	if !ok {
 		return math.MaxInt64
 	}
-	return time.Until(at) - max(wt.service, heard)
+	return time.Until(deadline) - max(wt.serviceTime, refusalLatency)
 }
 
-// place returns where a request stands among those of its class that wait: by rank, and
+// position returns where a request stands among those of its class that wait: by rank, and
 // by when the answer is due.
-func (cl *class) place(wt *waiter) int {
-	at, _ := slices.BinarySearchFunc(cl.queue, wt, func(a, b *waiter) int {
+func (cl *class) position(wt *waiter) int {
+	pos, _ := slices.BinarySearchFunc(cl.queue, wt, func(a, b *waiter) int {
 		// Those that are equal keep the order in which they came.
 		return cmp.Or(cmp.Compare(a.rank, b.rank), a.due.Compare(b.due), -1)
 	})
-	return at
+	return pos
 }
 
-// urgent reports whether a request gets its slot before those that are late already.
-func (wt *waiter) urgent(now time.Time) bool { return wt.Final || wt.inTime(now) }
+// preferred reports whether a request gets its slot before those that are late already.
+func (wt *waiter) preferred(now time.Time) bool { return wt.Final || wt.meetsObjective(now) }
 
-// before returns for how long those hold a slot that go before a request at a place of
+// serviceTimeAhead returns for how long those hold a slot that go before a request at a place of
 // the queue.
-func (cl *class) before(wt *waiter, at int) (sum time.Duration) {
+func (cl *class) serviceTimeAhead(wt *waiter, pos int) (sum time.Duration) {
 	now := time.Now()
-	urgent := wt.urgent(now)
-	for i, one := range cl.queue {
-		if i < at && (!urgent || one.urgent(now)) || !urgent && one.urgent(now) {
-			sum += one.service
+	preferred := wt.preferred(now)
+	for i, other := range cl.queue {
+		if i < pos && (!preferred || other.preferred(now)) || !preferred && other.preferred(now) {
+			sum += other.serviceTime
 		}
 	}
 	return sum
@@ -117,36 +117,36 @@
 
 // addWaits adds to each rank of result.Load.Waits for how long those that go before it
 // will hold a slot; final is the rank of calls.
-func (cl *class) addWaits(waits *[result.Ranks]time.Duration, final float64, now time.Time) {
+func (cl *class) addWaits(waits *[result.Ranks]time.Duration, callRank float64, now time.Time) {
 	for _, wt := range cl.queue {
-		if !wt.urgent(now) {
+		if !wt.preferred(now) {
 			continue
 		}
-		if wt.rank <= final {
-			waits[0] += wt.service
+		if wt.rank <= callRank {
+			waits[0] += wt.serviceTime
 		}
 		for i := 1; i < len(waits); i++ {
 			if wt.rank <= float64(i-1) {
-				waits[i] += wt.service
+				waits[i] += wt.serviceTime
 			}
 		}
 	}
 }
 
-// oldestEvery is how many slots go to the first in the queue before one goes to
+// oldestFirstEvery is how many slots go to the first in the queue before one goes to
 // the one that has waited longest. Without it, documents get nothing at servers that
 // urgent lookups and calls keep busy.
-const oldestEvery = 16
+const oldestFirstEvery = 16
 
 // next returns the waiter that gets the next slot: the first that can be in time, and
 // one that is late only where there is none.
 func (cl *class) next(now time.Time) *waiter {
 	cl.grants++
-	if cl.grants%oldestEvery == 0 {
+	if cl.grants%oldestFirstEvery == 0 {
 		return slices.MinFunc(cl.queue, func(a, b *waiter) int { return a.since.Compare(b.since) })
 	}
 	for _, wt := range cl.queue {
-		if wt.urgent(now) {
+		if wt.preferred(now) {
 			return wt
 		}
 	}
@@ -157,16 +157,16 @@
 // the only one of its priority.
 func (cl *class) victim() *waiter {
 	for _, wt := range slices.Backward(cl.queue) {
-		if !cl.single(wt) {
+		if !cl.onlyOfPriority(wt) {
 			return wt
 		}
 	}
 	return cl.queue[len(cl.queue)-1]
 }
 
-// single reports whether a waiter is the only one of its priority.
-func (cl *class) single(wt *waiter) bool {
-	return !slices.ContainsFunc(cl.queue, func(one *waiter) bool { return one != wt && one.Priority == wt.Priority })
+// onlyOfPriority reports whether a waiter is the only one of its priority.
+func (cl *class) onlyOfPriority(wt *waiter) bool {
+	return !slices.ContainsFunc(cl.queue, func(other *waiter) bool { return other != wt && other.Priority == wt.Priority })
 }
 
 func (cl *class) remove(wt *waiter) {
--- a/internal/path/pick/cost_test.go
+++ b/internal/path/pick/cost_test.go
@@ -9,11 +9,11 @@
 
 const ms = time.Millisecond
 
-// TestSpeed: of two servers the slow one has run calls of 30 ms, which take it 48, and
+// TestSlowness: of two servers the slow one has run calls of 30 ms, which take it 48, and
 // the fast one records of 160 ms, which take it 112. By the mean time for which they
 // hold a slot, all outlets took the slow one for the fast one and filled it: 1,547 of
 // 2,600 refusals in 13 s were its. A record must go to the fast one.
-func TestSpeed(t *testing.T) {
+func TestSlowness(t *testing.T) {
 	now := time.Now()
 	slow, fast := NewEndpoint(Endpoint{VM: "slow", Slots: 6}), NewEndpoint(Endpoint{VM: "fast", Slots: 6})
 	for range 40 {
@@ -25,11 +25,11 @@
 		ep.End(now, Good, &Group{})
 	}
 	for _, typical := range []time.Duration{30 * ms, 160 * ms} {
-		wa := Want{Held: typical}
-		if s, f := slow.cost(now, &wa, 0), fast.cost(now, &wa, 0); f >= s {
+		cr := Want{Held: typical}
+		if s, f := slow.cost(now, &cr, 0), fast.cost(now, &cr, 0); f >= s {
 			t.Errorf("a request that takes %v costs %v at the fast server, %v at the slow one", typical, f, s)
 		}
-		if got, want := slow.held(now, typical), typical*8/5; (got - want).Abs() > want/20 {
+		if got, want := slow.serviceTime(now, typical), typical*8/5; (got - want).Abs() > want/20 {
 			t.Errorf("the slow server is expected to take %v for %v, want about %v", got, typical, want)
 		}
 	}
@@ -39,7 +39,7 @@
 // records that fill a server's queue, and what this outlet has sent since the server
 // last told counts as well; with age the load that is typical takes its place.
 func TestWait(t *testing.T) {
-	gp := &Group{typical: &use{}}
+	gp := &Group{meanUse: &utilization{}}
 	full := result.Load{Running: 6, Waiting: 8, Slots: 6, Waits: [result.Ranks]time.Duration{20 * ms, 20 * ms, 200 * ms, 210 * ms}}
 	for _, tc := range []struct {
 		name string
@@ -71,15 +71,15 @@
 	}
 }
 
-// TestUnknown: a server that nothing is known of is taken to be like the others, and to
+// TestUnmeasuredServer: a server that nothing is known of is taken to be like the others, and to
 // be slower while it says that it is cold; one that has not answered for long is tried
 // again, however slow it was.
-func TestUnknown(t *testing.T) {
+func TestUnmeasuredServer(t *testing.T) {
 	now := time.Now()
-	if got := NewEndpoint(Endpoint{Slots: 6}).held(now, 100*ms); got != 100*ms {
+	if got := NewEndpoint(Endpoint{Slots: 6}).serviceTime(now, 100*ms); got != 100*ms {
 		t.Errorf("an unknown server is expected to take %v", got)
 	}
-	if got := NewEndpoint(Endpoint{Slots: 6, ColdUntil: now.Add(time.Second)}).held(now, 100*ms); got != coldFactor*100*ms {
+	if got := NewEndpoint(Endpoint{Slots: 6, ColdUntil: now.Add(time.Second)}).serviceTime(now, 100*ms); got != coldSlowdown*100*ms {
 		t.Errorf("a cold server is expected to take %v", got)
 	}
 	ep := NewEndpoint(Endpoint{Slots: 6})
@@ -88,7 +88,7 @@
 	for range 100 {
 		ep.Measured(200*ms, 100*ms)
 	}
-	if was, is := ep.held(now, 100*ms), ep.held(now.Add(10*time.Second), 100*ms); is >= 100*ms || was < 150*ms {
+	if was, is := ep.serviceTime(now, 100*ms), ep.serviceTime(now.Add(10*time.Second), 100*ms); is >= 100*ms || was < 150*ms {
 		t.Errorf("a slow server is expected to take %v, and %v ten seconds later", was, is)
 	}
 }
--- a/internal/path/pick/cut_test.go
+++ b/internal/path/pick/cut_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// TestCut: a failure domain is cut off from the others, and its own servers are full or
+// TestPartition: a failure domain is cut off from the others, and its own servers are full or
 // gone. Each request hung 400 ms on servers behind the cut, twice, before it was refused:
 // 222 of 700 tries in 5 s, and the calls among them held the slots of their parents. It
 // is refused at once where the answer is known; where it is not, a server that was left
 // out for its failures is still tried.
-func TestCut(t *testing.T) {
+func TestPartition(t *testing.T) {
 	now := time.Now()
 	first := func(int) int { return 0 }
 	const (
@@ -20,7 +20,7 @@
 	)
 	for _, tc := range []struct {
 		name string
-		// near and far are the states of two servers, weak says that the far one is
+		// subset and far are the states of two servers, weak says that the far one is
 		// behind a border that is known to be cut.
 		near, far int
 		weak      bool
@@ -38,10 +38,10 @@
 		{"both failing", failing, failing, false, false, "near"},
 	} {
 		near, far := NewEndpoint(Endpoint{VM: "near", Slots: 4}), NewEndpoint(Endpoint{VM: "far", Slots: 4})
-		gp := &Group{all: []*Endpoint{near, far}, spill: true, typical: &use{}}
-		gp.tiers = []tier{{strong: newPool([]*Endpoint{near}, "o")}, {strong: newPool([]*Endpoint{far}, "o")}}
+		gp := &Group{all: []*Endpoint{near, far}, spill: true, meanUse: &utilization{}}
+		gp.tiers = []tier{{reachable: newPool([]*Endpoint{near}, "o")}, {reachable: newPool([]*Endpoint{far}, "o")}}
 		if tc.weak {
-			gp.tiers[1] = tier{weak: newPool([]*Endpoint{far}, "o")}
+			gp.tiers[1] = tier{suspect: newPool([]*Endpoint{far}, "o")}
 		}
 		for ep, state := range map[*Endpoint]int{near: tc.near, far: tc.far} {
 			switch state {
@@ -66,12 +66,12 @@
 	}
 }
 
-// TestReturn: a server that could not be reached takes requests again once a connection
+// TestReinstate: a server that could not be reached takes requests again once a connection
 // was made, and counts as one that may be tried.
-func TestReturn(t *testing.T) {
+func TestReinstate(t *testing.T) {
 	now := time.Now()
 	ep := NewEndpoint(Endpoint{VM: "a", Slots: 4})
-	gp := &Group{all: []*Endpoint{ep}, tiers: []tier{{strong: newPool([]*Endpoint{ep}, "o")}}, typical: &use{}}
+	gp := &Group{all: []*Endpoint{ep}, tiers: []tier{{reachable: newPool([]*Endpoint{ep}, "o")}}, meanUse: &utilization{}}
 	ep.Begin(now)
 	ep.End(now, Unreachable, gp)
 	var tried Tried
--- a/internal/path/pick/pick.go
+++ b/internal/path/pick/pick.go
@@ -29,8 +29,8 @@
 	tiers []tier
 	all   []*Endpoint
 	spill bool
-	// typical is shared by all tables.
-	typical *use
+	// meanUse is shared by all tables.
+	meanUse *utilization
 	// target has the servers of a version that is being rolled out, and rollout says which
 	// part of the requests they get; nil for none.
 	target  *Group
@@ -42,33 +42,33 @@
 // tier has the servers of failure domains that are equally preferred. Those
 // that may be out of reach stand behind the others.
 type tier struct {
-	strong, weak pool
+	reachable, suspect pool
 }
 
 // pool is a list of servers of which the first near are used as long as one of
 // them takes requests.
 type pool struct {
-	list []*Endpoint
-	near int
+	list   []*Endpoint
+	subset int
 }
 
-// nearCount is how many servers of a pool an outlet uses. One that uses all
+// subsetSize is how many servers of a pool an outlet uses. One that uses all
 // of a large failure domain hears of each so seldom that its reports say nothing by then,
 // and keeps a connection to each. With as many it hears of each in time, and some full
 // ones still leave others.
-const nearCount = 8
+const subsetSize = 8
 
 // newPool returns the pool of an outlet: the servers in an order of its own, so
 // that outlets spread over servers, and one server more or less changes one place.
 func newPool(list []*Endpoint, self string) pool {
-	if len(list) > nearCount {
+	if len(list) > subsetSize {
 		score := make(map[*Endpoint]uint64, len(list))
 		for _, ep := range list {
 			score[ep] = xxhash.Sum64String(self + "\x00" + ep.VM)
 		}
 		slices.SortFunc(list, func(a, b *Endpoint) int { return cmp.Compare(score[b], score[a]) })
 	}
-	return pool{list: list, near: min(nearCount, len(list))}
+	return pool{list: list, subset: min(subsetSize, len(list))}
 }
 
 // Group returns the servers of a service of the table's own snapshot.
@@ -82,28 +82,28 @@
 // fail alike, the cause is rather the requests or something that all servers
 // share, such as a service that they call, and leaving out some would only load
 // the rest.
-func (gp *Group) mayEject(bad *Endpoint, now time.Time) bool {
-	out, others, sum := 0, 0, 0.0
+func (gp *Group) mayEject(candidate *Endpoint, now time.Time) bool {
+	ejected, others, sum := 0, 0, 0.0
 	for _, ep := range gp.all {
-		if ep.live == bad.live {
+		if ep.live == candidate.live {
 			continue
 		}
 		others++
 		if ep.Out(now) {
-			out++
+			ejected++
 		} else {
-			sum += ep.failShareNow()
+			sum += ep.failureRate()
 		}
 	}
-	if (out+1)*2 > len(gp.all) {
+	if (ejected+1)*2 > len(gp.all) {
 		return false
 	}
-	return others == out || bad.failShareNow() > outlier*sum/float64(others-out)
+	return others == ejected || candidate.failureRate() > outlierFactor*sum/float64(others-ejected)
 }
 
-// outlier is how many times the others' mean share of failures a server must
+// outlierFactor is how many times the others' mean share of failures a server must
 // have to be left out.
-const outlier = 2
+const outlierFactor = 2
 
 // Tried holds the servers that a request has been sent to.
 type Tried struct {
@@ -134,17 +134,17 @@
 // The price of a failure domain's border, which is paid by the byte, put as
 // time: a request waits so much rather than cross it.
 const (
-	// borderHop is what the way there and back takes.
-	borderHop = 3 * time.Millisecond
-	// borderByte is for each byte of the answer. At it, a request for a
+	// crossDomainLatency is what the way there and back takes.
+	crossDomainLatency = 3 * time.Millisecond
+	// crossDomainPerByte is for each byte of the answer. At it, a request for a
 	// small answer rather waits a little, and one for a large answer stays in its
 	// failure domain as long as any server there takes it. When all failure domains are
 	// busy, nobody gains by crossing.
-	borderByte = 30 * time.Microsecond
-	// borderPart is the part of the time for which a slot is held that is added,
+	crossDomainPerByte = 30 * time.Microsecond
+	// crossDomainServiceShare is the part of the time for which a slot is held that is added,
 	// so that requests stay as long as there is room, whatever the speed of the
 	// servers there.
-	borderPart = 0.5
+	crossDomainServiceShare = 0.5
 )
 
 // Want is what a request asks of a server.
@@ -168,23 +168,23 @@
 // not tried. Each tier stands for the best of some drawn at random. The cheapest one
 // wins, where a server behind more borders costs more. Where the rules do not let requests spill,
 // only the first tier with a server counts.
-func (gp *Group) Pick(now time.Time, wa Want, tried *Tried, rnd Random) *Endpoint {
-	if wa.Held <= 0 {
-		wa.Held = guessHeld
+func (gp *Group) Pick(now time.Time, cr Want, tried *Tried, rnd Random) *Endpoint {
+	if cr.Held <= 0 {
+		cr.Held = defaultServiceTime
 	}
 	var best *Endpoint
 	var bestCost time.Duration
 	for i := range gp.tiers {
-		for j, pl := range [2]*pool{&gp.tiers[i].strong, &gp.tiers[i].weak} {
-			if j > 0 && wa.Reached {
+		for j, pl := range [2]*pool{&gp.tiers[i].reachable, &gp.tiers[i].suspect} {
+			if j > 0 && cr.Reached {
 				break
 			}
-			ep, cost := pl.cheapest(now, &wa, gp.typical.share(), tried, rnd)
+			ep, cost := pl.cheapest(now, &cr, gp.meanUse.mean(), tried, rnd)
 			if ep == nil {
 				continue
 			}
-			border := borderHop + time.Duration(wa.Size)*borderByte + time.Duration(borderPart*float64(wa.Held))
-			cost += time.Duration(i)*border + time.Duration(j)*weakCost
+			crossDomainCost := crossDomainLatency + time.Duration(cr.Size)*crossDomainPerByte + time.Duration(crossDomainServiceShare*float64(cr.Held))
+			cost += time.Duration(i)*crossDomainCost + time.Duration(j)*suspectCost
 			if best == nil || cost < bestCost {
 				best, bestCost = ep, cost
 			}
@@ -192,19 +192,19 @@
 		if !gp.spill && best != nil {
 			return best
 		}
-		if wa.Stay && Large(wa.Size) && gp.tiers[i].takes(now) {
+		if cr.Stay && Large(cr.Size) && gp.tiers[i].hasAvailable(now) {
 			return best
 		}
 	}
-	if best != nil || wa.Reached {
+	if best != nil || cr.Reached {
 		return best
 	}
 	return gp.lastResort(now, tried, rnd)
 }
 
-// takes reports whether a server of the tier is within reach and not left out.
-func (tr *tier) takes(now time.Time) bool {
-	for _, ep := range tr.strong.list {
+// hasAvailable reports whether a server of the tier is within reach and not left out.
+func (tr *tier) hasAvailable(now time.Time) bool {
+	for _, ep := range tr.reachable.list {
 		if !ep.Out(now) {
 			return true
 		}
@@ -212,29 +212,29 @@
 	return false
 }
 
-// weakCost ranks servers that may be out of reach behind those that are not.
-const weakCost = 10 * time.Second
+// suspectCost ranks servers that may be out of reach behind those that are not.
+const suspectCost = 10 * time.Second
 
-// draws is how many servers of a list are compared. With two, a list of which
+// sampleSize is how many servers of a list are compared. With two, a list of which
 // one in ten has room would rarely show it; with all, every outlet would send to
 // the one that reported last.
-const draws = 5
+const sampleSize = 5
 
 // cheapest returns the server of a pool that costs least among some drawn, and its
 // cost.
-func (pl *pool) cheapest(now time.Time, wa *Want, use float64, tried *Tried, rnd Random) (*Endpoint, time.Duration) {
+func (pl *pool) cheapest(now time.Time, cr *Want, meanUse float64, tried *Tried, rnd Random) (*Endpoint, time.Duration) {
 	if len(pl.list) == 0 {
 		return nil, 0
 	}
-	var drawn [draws]*Endpoint
-	n := draw(&drawn, pl.list[:pl.near], now, tried, rnd)
-	if n == 0 && pl.near < len(pl.list) {
-		n = draw(&drawn, pl.list[pl.near:], now, tried, rnd)
+	var sampled [sampleSize]*Endpoint
+	n := sample(&sampled, pl.list[:pl.subset], now, tried, rnd)
+	if n == 0 && pl.subset < len(pl.list) {
+		n = sample(&sampled, pl.list[pl.subset:], now, tried, rnd)
 	}
 	var best *Endpoint
 	var bestCost, bestNoisy time.Duration
-	for _, ep := range drawn[:n] {
-		cost := ep.cost(now, wa, use) + ep.linkWait(now, wa.Size)
+	for _, ep := range sampled[:n] {
+		cost := ep.cost(now, cr, meanUse) + ep.linkWait(now, cr.Size)
 		noisy := cost + cost*time.Duration(rnd(costNoise))/100
 		if best == nil || noisy < bestNoisy {
 			best, bestCost, bestNoisy = ep, cost, noisy
@@ -248,28 +248,28 @@
 // get nothing as long as they have room, and its measure would never change.
 const costNoise = 15
 
-// draw takes servers that were neither tried nor left out, beginning at a random
+// sample takes servers that were neither tried nor left out, beginning at a random
 // one, and returns how many. One in its slow start is passed over for others.
-func draw(drawn *[draws]*Endpoint, list []*Endpoint, now time.Time, tried *Tried, rnd Random) int {
+func sample(sampled *[sampleSize]*Endpoint, list []*Endpoint, now time.Time, tried *Tried, rnd Random) int {
 	start := rnd(len(list))
 	n := 0
-	var starting *Endpoint
+	var skipped *Endpoint
 	for i := range list {
 		ep := list[(start+i)%len(list)]
 		switch {
 		case ep.Out(now) || tried.has(ep):
 			continue
-		case ep.starting(now, rnd):
-			starting = ep
+		case ep.skipInSlowStart(now, rnd):
+			skipped = ep
 			continue
 		}
-		drawn[n] = ep
-		if n++; n == draws {
+		sampled[n] = ep
+		if n++; n == sampleSize {
 			break
 		}
 	}
-	if n == 0 && starting != nil {
-		drawn[0], n = starting, 1
+	if n == 0 && skipped != nil {
+		sampled[0], n = skipped, 1
 	}
 	return n
 }
@@ -285,7 +285,7 @@
 	start := rnd(len(gp.all))
 	for i := range gp.all {
 		ep := gp.all[(start+i)%len(gp.all)]
-		if !tried.has(ep) && !(ep.live.cut.Load() && ep.Out(now)) {
+		if !tried.has(ep) && !(ep.live.unreachable.Load() && ep.Out(now)) {
 			return ep
 		}
 	}
--- a/internal/path/pick/pick_test.go
+++ b/internal/path/pick/pick_test.go
@@ -7,24 +7,24 @@
 	"github.com/flamingomast/flamingomast/internal/plat/steady"
 )
 
-// TestStay: the links of a failure domain are full of documents. A document that
+// TestStayInDomain: the links of a failure domain are full of documents. A document that
 // found no room there was sent across the border, where the links are as full and
 // each costs more than it is worth. It is refused instead, as long as a server of
 // the failure domain is alive; small requests go where there is room.
-func TestStay(t *testing.T) {
+func TestStayInDomain(t *testing.T) {
 	now := time.Now()
 	near := NewEndpoint(Endpoint{VM: "near", Slots: 4})
 	far := NewEndpoint(Endpoint{VM: "far", Slots: 4})
 	gp := &Group{
-		all: []*Endpoint{near, far}, spill: true, typical: &use{},
-		tiers: []tier{{strong: newPool([]*Endpoint{near}, "o")}, {strong: newPool([]*Endpoint{far}, "o")}},
+		all: []*Endpoint{near, far}, spill: true, meanUse: &utilization{},
+		tiers: []tier{{reachable: newPool([]*Endpoint{near}, "o")}, {reachable: newPool([]*Endpoint{far}, "o")}},
 	}
 	var busy Tried
 	busy.Add(near)
 	first := func(int) int { return 0 }
 	for _, tc := range []struct {
 		name  string
-		wa    Want
+		cr    Want
 		tried Tried
 		out   bool
 		want  *Endpoint
@@ -39,15 +39,15 @@
 		if tc.out {
 			near.live.ejected.Store(steady.Nanos(now.Add(time.Second)))
 		}
-		if got := gp.Pick(now, tc.wa, &tc.tried, first); got != tc.want {
+		if got := gp.Pick(now, tc.cr, &tc.tried, first); got != tc.want {
 			t.Errorf("%s goes to %+v, want %+v", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestPools: 60 outlets use eight of 23 servers each. All servers must be used, and
+// TestSubsets: 60 outlets use eight of 23 servers each. All servers must be used, and
 // one server more or less must change one place of an outlet at most.
-func TestPools(t *testing.T) {
+func TestSubsets(t *testing.T) {
 	servers := func(without int) (list []*Endpoint) {
 		for i := range 23 {
 			if i != without {
@@ -61,12 +61,12 @@
 		self := string(rune('A' + o))
 		pl := newPool(servers(-1), self)
 		had := map[string]bool{}
-		for _, ep := range pl.list[:pl.near] {
+		for _, ep := range pl.list[:pl.subset] {
 			used[ep.VM]++
 			had[ep.VM] = true
 		}
 		fewer, changed := newPool(servers(o%23), self), 0
-		for _, ep := range fewer.list[:fewer.near] {
+		for _, ep := range fewer.list[:fewer.subset] {
 			if !had[ep.VM] {
 				changed++
 			}
@@ -89,7 +89,7 @@
 func TestLinkWait(t *testing.T) {
 	now := time.Now()
 	ep := NewEndpoint(Endpoint{VM: "a", Slots: 4})
-	ep.live.linkFree.Store(steady.Nanos(now.Add(300 * time.Millisecond)))
+	ep.live.linkFreeAt.Store(steady.Nanos(now.Add(300 * time.Millisecond)))
 	for size, want := range map[int64]time.Duration{1000: 0, 90_000: 300 * time.Millisecond} {
 		if got := ep.linkWait(now, size); got != want {
 			t.Errorf("an answer of %d bytes waits %v for the link, want %v", size, got, want)
--- a/internal/path/pick/table.go
+++ b/internal/path/pick/table.go
@@ -29,10 +29,10 @@
 // Build returns the table for a snapshot and a fleet. Endpoints that prev knows keep their
 // counters, as long as the same start of them serves.
 func Build(sn *snap.Snapshot, fl Fleet, prev *Table) *Table {
-	known, uses := map[string]*Endpoint{}, map[string]*use{}
+	known, meanUses := map[string]*Endpoint{}, map[string]*utilization{}
 	if prev != nil {
 		for i, gp := range prev.groups {
-			uses[prev.Snap.ServiceList[i].Name] = gp.typical
+			meanUses[prev.Snap.ServiceList[i].Name] = gp.meanUse
 			for ep := range gp.each {
 				known[ep.VM] = ep
 			}
@@ -41,20 +41,20 @@
 	byService := make([][]*Endpoint, len(sn.ServiceList))
 	for rc := range fl.Members.All {
 		sv := sn.Services[rc.Service]
-		if !rc.Serving() || sv == nil || !listed(sn, sv, rc) {
+		if !rc.Serving() || sv == nil || !inInventory(sn, sv, rc) {
 			continue
 		}
-		ep := endpoint(rc, sv, known[rc.VM])
-		ep.Weak = rc.Mark != member.MarkNone || fl.Cut != nil && (*fl.Cut)[rc.Domain]
+		ep := endpointFor(rc, sv, known[rc.VM])
+		ep.Suspect = rc.Mark != member.MarkNone || fl.Cut != nil && (*fl.Cut)[rc.Domain]
 		byService[sv.Index] = append(byService[sv.Index], ep)
 	}
 	tb := &Table{Snap: sn, Outlets: fl.Members.LiveLen(), groups: make([]*Group, len(sn.ServiceList))}
 	for i, sv := range sn.ServiceList {
-		typical := uses[sv.Name]
-		if typical == nil {
-			typical = &use{}
+		meanUse := meanUses[sv.Name]
+		if meanUse == nil {
+			meanUse = &utilization{}
 		}
-		gp, next := fl.group(sv, byService[i], typical)
+		gp, next := fl.group(sv, byService[i], meanUse)
 		tb.groups[i] = gp
 		if !next.IsZero() && (tb.Next.IsZero() || next.Before(tb.Next)) {
 			tb.Next = next
@@ -63,9 +63,9 @@
 	return tb
 }
 
-// listed reports whether the inventory has the server where it says that it is;
+// inInventory reports whether the inventory has the server where it says that it is;
 // those of an announced service are in no inventory.
-func listed(sn *snap.Snapshot, sv *snap.Service, rc *member.Record) bool {
+func inInventory(sn *snap.Snapshot, sv *snap.Service, rc *member.Record) bool {
 	if sv.Announced {
 		return true
 	}
@@ -73,7 +73,7 @@
 	return declared && vm.Service == rc.Service && vm.Domain == rc.Domain
 }
 
-func endpoint(rc *member.Record, sv *snap.Service, known *Endpoint) *Endpoint {
+func endpointFor(rc *member.Record, sv *snap.Service, known *Endpoint) *Endpoint {
 	slots := rc.Slots
 	if slots <= 0 {
 		slots = sv.Slots
@@ -85,14 +85,14 @@
 	// A server that starts anew has nothing of what is known of the one before: its
 	// speed and load are its own, and it was not the one that failed.
 	if known != nil && known.Process == ep.Process && known.Since.Equal(ep.Since) {
-		return known.With(ep)
+		return known.WithFields(ep)
 	}
 	return NewEndpoint(ep)
 }
 
 // group returns the servers of a service by the versions of their software, and when that
 // changes by itself.
-func (fl *Fleet) group(sv *snap.Service, list []*Endpoint, typical *use) (*Group, time.Time) {
+func (fl *Fleet) group(sv *snap.Service, list []*Endpoint, meanUse *utilization) (*Group, time.Time) {
 	ro := fl.Rollouts.Of(sv.Name)
 	counts := map[string]int{}
 	for _, ep := range list {
@@ -118,12 +118,12 @@
 			baseline = append(baseline, ep)
 		}
 	}
-	gp := tiered(sv, baseline, fl.Self, typical)
+	gp := newGroup(sv, baseline, fl.Self, meanUse)
 	gp.idle = idle
 	if len(target) > 0 && ro != nil {
 		used, rest := firstServers(target, ro.Servers)
 		gp.idle = append(gp.idle, rest...)
-		gp.target, gp.rollout = tiered(sv, used, fl.Self, typical), ro
+		gp.target, gp.rollout = newGroup(sv, used, fl.Self, meanUse), ro
 	}
 	return gp, next
 }
@@ -145,27 +145,27 @@
 	return list[:n], list[n:]
 }
 
-// tiered returns a group of servers by how much their failure domains are preferred.
-func tiered(sv *snap.Service, list []*Endpoint, self string, typical *use) *Group {
+// newGroup returns a group of servers by how much their failure domains are preferred.
+func newGroup(sv *snap.Service, list []*Endpoint, self string, meanUse *utilization) *Group {
 	byDomain := map[string][]*Endpoint{}
 	for _, ep := range list {
 		byDomain[ep.Domain] = append(byDomain[ep.Domain], ep)
 	}
-	gp := &Group{spill: sv.Spill, typical: typical}
+	gp := &Group{spill: sv.Spill, meanUse: meanUse}
 	for _, domains := range sv.Tiers {
-		var strong, weak []*Endpoint
+		var reachable, suspect []*Endpoint
 		for _, dm := range domains {
 			for _, ep := range byDomain[dm] {
 				gp.all = append(gp.all, ep)
-				if ep.Weak {
-					weak = append(weak, ep)
+				if ep.Suspect {
+					suspect = append(suspect, ep)
 				} else {
-					strong = append(strong, ep)
+					reachable = append(reachable, ep)
 				}
 			}
 		}
-		if strong != nil || weak != nil {
-			gp.tiers = append(gp.tiers, tier{strong: newPool(strong, self), weak: newPool(weak, self)})
+		if reachable != nil || suspect != nil {
+			gp.tiers = append(gp.tiers, tier{reachable: newPool(reachable, self), suspect: newPool(suspect, self)})
 		}
 	}
 	return gp
--- a/internal/path/retry/budget.go
+++ b/internal/path/retry/budget.go
@@ -25,15 +25,15 @@
 
 // The parts of a bound that budgets use.
 const (
-	// used is the part of the ratio that is spent. The rest covers that requests
+	// usedShare is the part of the ratio that is spent. The rest covers that requests
 	// are counted here a little later than callers send them, and that an outlet of a
 	// very large fleet saves up one repeat though its part of the spare is less.
-	used = 0.95
-	// startPart is the part of what may be saved up that a budget starts with.
-	startPart = 3
-	// mostDebt is how many repeats that could not be refused are remembered, so
+	usedShare = 0.95
+	// initialDivisor is the part of what may be saved up that a budget starts with.
+	initialDivisor = 3
+	// maxDebt is how many repeats that could not be refused are remembered, so
 	// that a wave of them does not forbid retries long after it has passed.
-	mostDebt = 10
+	maxDebt = 10
 )
 
 // Budget bounds the repeats of one service at one outlet. Each request adds to it,
@@ -48,20 +48,20 @@
 //
 // The zero value allows none; New and Limit say how many.
 type Budget struct {
-	saved atomic.Int64
-	// most is what may be saved, perRequest what a request adds.
-	most, perRequest atomic.Int64
-	// advance is what was given at the start and is not paid back yet.
-	advance atomic.Int64
+	balance atomic.Int64
+	// maxBalance is what may be saved, perRequest what a request adds.
+	maxBalance, perRequest atomic.Int64
+	// initialCredit is what was given at the start and is not paid back yet.
+	initialCredit atomic.Int64
 }
 
 // New returns a budget of one of several outlets.
 func New(bo Bound, outlets int) *Budget {
 	var bu Budget
 	bu.Limit(bo, outlets)
-	if most := bu.most.Load(); most > 0 {
-		bu.advance.Store(max(unit, most/startPart))
-		bu.saved.Store(bu.advance.Load())
+	if maxBalance := bu.maxBalance.Load(); maxBalance > 0 {
+		bu.initialCredit.Store(max(unit, maxBalance/initialDivisor))
+		bu.balance.Store(bu.initialCredit.Load())
 	}
 	return &bu
 }
@@ -75,15 +75,15 @@
 	if bo.Ratio <= 0 {
 		share = 0
 	}
-	bu.most.Store(int64(share * unit))
-	bu.perRequest.Store(int64(bo.Ratio * used * unit))
+	bu.maxBalance.Store(int64(share * unit))
+	bu.perRequest.Store(int64(bo.Ratio * usedShare * unit))
 	bu.add(0)
 }
 
 // Request adds what a new request brings.
 func (bu *Budget) Request() {
 	n := bu.perRequest.Load()
-	if bu.advance.Load() > 0 && bu.advance.Add(-n) >= 0 {
+	if bu.initialCredit.Load() > 0 && bu.initialCredit.Add(-n) >= 0 {
 		return
 	}
 	bu.add(n)
@@ -97,11 +97,11 @@
 // Take takes one repeat out of the budget, if there is one.
 func (bu *Budget) Take() bool {
 	for {
-		old := bu.saved.Load()
+		old := bu.balance.Load()
 		if old < unit {
 			return false
 		}
-		if bu.saved.CompareAndSwap(old, old-unit) {
+		if bu.balance.CompareAndSwap(old, old-unit) {
 			return true
 		}
 	}
@@ -109,9 +109,9 @@
 
 func (bu *Budget) add(n int64) {
 	for {
-		old := bu.saved.Load()
-		next := max(-mostDebt*unit, min(bu.most.Load(), old+n))
-		if next == old || bu.saved.CompareAndSwap(old, next) {
+		old := bu.balance.Load()
+		next := max(-maxDebt*unit, min(bu.maxBalance.Load(), old+n))
+		if next == old || bu.balance.CompareAndSwap(old, next) {
 			return
 		}
 	}
--- a/internal/path/retry/budget_test.go
+++ b/internal/path/retry/budget_test.go
@@ -85,14 +85,14 @@
 type fleet struct {
 	bo      Bound
 	rnd     *rand.Rand
-	outlets []*outletOf
+	outlets []*testOutlet
 	weights []float64
 	sum     float64
 	a, b    counts
 	denied  int
 }
 
-type outletOf struct {
+type testOutlet struct {
 	a, b *Budget
 	// running and repeats are the runs of the VM's own server of A, of the last moment.
 	running, repeats float64
@@ -112,7 +112,7 @@
 func newFleet(n int, spare float64, skew bool) *fleet {
 	fl := &fleet{bo: Bound{Ratio: 0.2, Spare: spare}, rnd: rand.New(rand.NewPCG(uint64(n), 7))}
 	for i := range n {
-		fl.outlets = append(fl.outlets, &outletOf{a: New(fl.bo, n), b: New(fl.bo, n)})
+		fl.outlets = append(fl.outlets, &testOutlet{a: New(fl.bo, n), b: New(fl.bo, n)})
 		w := 1.0
 		if skew {
 			w = 1 / float64(i+1)
@@ -143,7 +143,7 @@
 }
 
 // request is one request for A at an outlet, with its repeats and the calls of its run.
-func (fl *fleet) request(ou *outletOf, shed float64) {
+func (fl *fleet) request(ou *testOutlet, shed float64) {
 	at := len(fl.a.requests) - 1
 	fl.a.requests[at]++
 	ou.a.Request()
@@ -158,30 +158,30 @@
 		if fl.rnd.Float64() < shed {
 			continue
 		}
-		on := fl.outlets[fl.rnd.IntN(len(fl.outlets))]
-		on.running++
+		runner := fl.outlets[fl.rnd.IntN(len(fl.outlets))]
+		runner.running++
 		if try > 0 {
-			on.repeats++
+			runner.repeats++
 		}
 		for range 1 + fl.rnd.IntN(2) {
-			fl.call(on, try > 0, shed)
+			fl.call(runner, try > 0, shed)
 		}
 		return
 	}
 }
 
 // call is a call for B from the VM on which a run of A is.
-func (fl *fleet) call(on *outletOf, again bool, shed float64) {
+func (fl *fleet) call(runner *testOutlet, repeated bool, shed float64) {
 	at := len(fl.b.requests) - 1
 	fl.b.requests[at]++
-	on.b.Request()
-	on.b.Charge(on.repeats / on.running)
-	if again {
+	runner.b.Request()
+	runner.b.Charge(runner.repeats / runner.running)
+	if repeated {
 		fl.b.repeats[at]++
 	}
 	for try := range 3 {
 		if try > 0 {
-			if !on.b.Take() {
+			if !runner.b.Take() {
 				return
 			}
 			fl.b.repeats[at]++
@@ -206,11 +206,11 @@
 		requests := max(sum(co.requests, from), sum(co.requests, from-window), sum(co.requests, from-window/2))
 		over = max(over, float64(sum(co.repeats, from))-bo.Ratio*float64(requests)-bo.Spare)
 	}
-	all, again := 0, 0
+	all, repeats := 0, 0
 	for i := shedFrom; i < shedUntil; i++ {
-		all, again = all+co.requests[i], again+co.repeats[i]
+		all, repeats = all+co.requests[i], repeats+co.repeats[i]
 	}
-	return over, float64(again) / (bo.Ratio * float64(all))
+	return over, float64(repeats) / (bo.Ratio * float64(all))
 }
 
 // TestFleet: all servers of a service shed more than half of what they get, and what
@@ -265,11 +265,11 @@
 	}
 }
 
-// TestFleetCutOff: a failure domain of five is cut off, and each side takes the other's
+// TestPartitionedFleet: a failure domain of five is cut off, and each side takes the other's
 // VMs for gone after a time. No side knows of more outlets than there are on it, yet
 // savings come from its own requests, so the sum stays within the bound for those who
 // count it wrongly for some seconds.
-func TestFleetCutOff(t *testing.T) {
+func TestPartitionedFleet(t *testing.T) {
 	fl := newFleet(295, 630, false)
 	for tick := range 50 * ticksPerSecond {
 		if tick == 20*ticksPerSecond {
--- a/internal/path/shed/shed.go
+++ b/internal/path/shed/shed.go
@@ -10,19 +10,19 @@
 
 // The measures of a throttle.
 const (
-	// surplus is how many requests are offered for each that is taken. The load
+	// offersPerAccept is how many requests are offered for each that is taken. The load
 	// answered: when all servers of a service but one are gone, every outlet
 	// offers it all it has, and refusing takes the one inlet more time than
 	// serving. At 2, refusals cost at most as many messages as answers do, and
 	// room that becomes free is found within a window.
-	surplus = 2
-	// window is the time after which an outcome counts half.
-	window = 500 * time.Millisecond
-	// spare is how many requests a window are offered whatever the outcomes, so
+	offersPerAccept = 2
+	// halfLife is the time after which an outcome counts half.
+	halfLife = 500 * time.Millisecond
+	// minOffers is how many requests a window are offered whatever the outcomes, so
 	// that room is found after everything was refused.
-	spare = 6
-	// Ranks is how many priorities are told apart.
-	Ranks = 4
+	minOffers = 6
+	// Priorities is how many priorities are told apart.
+	Priorities = 4
 )
 
 // Throttle counts, for each priority, the requests of a service and those that
@@ -31,7 +31,7 @@
 // An urgent request says nothing of the less urgent ones, but what was refused
 // to an urgent one is not offered to them either.
 type Throttle struct {
-	ranks [Ranks]counter
+	counters [Priorities]counter
 }
 
 // counter holds decaying sums; all fields change together by compare-and-swap of
@@ -41,44 +41,44 @@
 }
 
 const (
-	unit    = 16
-	maxSum  = 1<<20 - 1
-	timeOf  = 8 // milliseconds of one tick
-	timeMax = 1<<24 - 1
+	fixedOne = 16
+	maxSum   = 1<<20 - 1
+	tickMs   = 8 // milliseconds of one tick
+	tickMask = 1<<24 - 1
 )
 
-func (co *counter) read(now time.Time) (asked, taken float64, tick uint64) {
-	tick = uint64(steady.Millis(now)/timeOf) & timeMax
+func (co *counter) read(now time.Time) (requests, accepts float64, tick uint64) {
+	tick = uint64(steady.Millis(now)/tickMs) & tickMask
 	pk := co.packed.Load()
-	age := (tick - pk&timeMax) & timeMax
-	if age > timeMax/2 {
+	age := (tick - pk&tickMask) & tickMask
+	if age > tickMask/2 {
 		// Another request has written a later time.
 		age = 0
 	}
-	fade := math.Exp2(-float64(age) * timeOf / float64(window.Milliseconds()))
-	return float64(pk>>44) / unit * fade, float64(pk>>24&maxSum) / unit * fade, tick
+	decay := math.Exp2(-float64(age) * tickMs / float64(halfLife.Milliseconds()))
+	return float64(pk>>44) / fixedOne * decay, float64(pk>>24&maxSum) / fixedOne * decay, tick
 }
 
-func (co *counter) add(now time.Time, asked, taken float64) {
+func (co *counter) add(now time.Time, requests, accepts float64) {
 	for {
 		old := co.packed.Load()
-		as, ta, tick := co.read(now)
-		next := pack(as+asked)<<44 | pack(ta+taken)<<24 | tick
+		req, acc, tick := co.read(now)
+		next := toFixed(req+requests)<<44 | toFixed(acc+accepts)<<24 | tick
 		if co.packed.CompareAndSwap(old, next) {
 			return
 		}
 	}
 }
 
-func pack(v float64) uint64 { return min(uint64(v*unit), maxSum) }
+func toFixed(v float64) uint64 { return min(uint64(v*fixedOne), maxSum) }
 
 // Offer reports whether a request of a priority should be offered; draw is a
 // random number from 0 to 1.
 func (th *Throttle) Offer(priority int, now time.Time, draw float64) bool {
-	co := &th.ranks[rank(priority)]
-	asked, taken, _ := co.read(now)
-	over := asked - surplus*taken - spare
-	if over <= 0 || draw >= over/(asked+1) {
+	co := &th.counters[priorityIndex(priority)]
+	requests, accepts, _ := co.read(now)
+	excess := requests - offersPerAccept*accepts - minOffers
+	if excess <= 0 || draw >= excess/(requests+1) {
 		return true
 	}
 	co.add(now, 1, 0)
@@ -86,12 +86,12 @@
 }
 
 // Done notes whether a request that was offered was taken.
-func (th *Throttle) Done(priority int, now time.Time, taken bool) {
+func (th *Throttle) Done(priority int, now time.Time, accepted bool) {
 	n := 0.0
-	if taken {
+	if accepted {
 		n = 1
 	}
-	th.ranks[rank(priority)].add(now, 1, n)
+	th.counters[priorityIndex(priority)].add(now, 1, n)
 }
 
-func rank(priority int) int { return min(max(priority, 0), Ranks-1) }
+func priorityIndex(priority int) int { return min(max(priority, 0), Priorities-1) }
--- a/internal/path/shed/shed_test.go
+++ b/internal/path/shed/shed_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// play sends rate requests a second for some seconds to a server that takes room
+// simulate sends rate requests a second for some seconds to a server that takes room
 // of them a second, and returns what was offered and taken in the last second.
-func play(th *Throttle, start time.Time, rate, room, seconds int) (offered, taken int) {
+func simulate(th *Throttle, start time.Time, rate, room, seconds int) (offered, taken int) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for s := range seconds {
 		offered, taken = 0, 0
@@ -38,7 +38,7 @@
 		{100, 100, 100, 100}, {100, 60, 100, 60}, {400, 40, 110, 38}, {1000, 20, 70, 18}, {1000, 0, 10, 0},
 	} {
 		var th Throttle
-		offered, taken := play(&th, start, tc.rate, tc.room, 10)
+		offered, taken := simulate(&th, start, tc.rate, tc.room, 10)
 		t.Logf("%d a second with room for %d: %d offered, %d taken", tc.rate, tc.room, offered, taken)
 		if offered > tc.most || taken < tc.least {
 			t.Errorf("%d a second with room for %d: %d offered, bound %d; %d taken, bound %d", tc.rate, tc.room, offered, tc.most, taken, tc.least)
@@ -46,13 +46,13 @@
 	}
 }
 
-// TestRoomComesBack: the servers return after an outage in which everything was
+// TestRecovery: the servers return after an outage in which everything was
 // refused. All requests are offered again within three seconds.
-func TestRoomComesBack(t *testing.T) {
+func TestRecovery(t *testing.T) {
 	var th Throttle
 	start := time.Unix(1000, 0)
-	play(&th, start, 300, 0, 10)
-	offered, taken := play(&th, start.Add(10*time.Second), 300, 300, 4)
+	simulate(&th, start, 300, 0, 10)
+	offered, taken := simulate(&th, start.Add(10*time.Second), 300, 300, 4)
 	if offered < 300 || taken < 300 {
 		t.Errorf("%d offered and %d taken of 300 in the fourth second", offered, taken)
 	}
