--- a/internal/path/again/again_test.go
+++ b/internal/path/again/again_test.go
@@ -16,7 +16,7 @@
 // for it. A caller that comes back is known by what it asks for and when it stops
 // waiting.
 func TestElapsed(t *testing.T) {
-	type came struct {
+	type arrival struct {
 		at   time.Duration
 		url  string
 		left time.Duration
@@ -27,14 +27,14 @@
 	}
 	for _, tc := range []struct {
 		name  string
-		tries []came
+		tries []arrival
 	}{
-		{"a patient and a hasty one", []came{{0, "/a", 2500 * ms, 0, true}, {200 * ms, "/b", 2100 * ms, 0, true}}},
-		{"comes back", []came{{0, "/a", 2500 * ms, 0, true}, {200 * ms, "/a", 2298 * ms, 200 * ms, true}, {500 * ms, "/a", 2003 * ms, 500 * ms, true}}},
-		{"another caller asks for the same", []came{{0, "/a", 2500 * ms, 0, true}, {200 * ms, "/a", 2500 * ms, 0, true}}},
-		{"was answered", []came{{0, "/a", 2500 * ms, 0, false}, {200 * ms, "/a", 2300 * ms, 0, true}}},
-		{"does not say how long it waits", []came{{0, "/a", 0, 0, true}, {200 * ms, "/a", 0, 0, true}}},
-		{"another place of the same", []came{{0, "/a?x=1", 2500 * ms, 0, true}, {200 * ms, "/a?x=2", 2300 * ms, 0, true}}},
+		{"a patient and a hasty one", []arrival{{0, "/a", 2500 * ms, 0, true}, {200 * ms, "/b", 2100 * ms, 0, true}}},
+		{"comes back", []arrival{{0, "/a", 2500 * ms, 0, true}, {200 * ms, "/a", 2298 * ms, 200 * ms, true}, {500 * ms, "/a", 2003 * ms, 500 * ms, true}}},
+		{"another caller asks for the same", []arrival{{0, "/a", 2500 * ms, 0, true}, {200 * ms, "/a", 2500 * ms, 0, true}}},
+		{"was answered", []arrival{{0, "/a", 2500 * ms, 0, false}, {200 * ms, "/a", 2300 * ms, 0, true}}},
+		{"does not say how long it waits", []arrival{{0, "/a", 0, 0, true}, {200 * ms, "/a", 0, 0, true}}},
+		{"another place of the same", []arrival{{0, "/a?x=1", 2500 * ms, 0, true}, {200 * ms, "/a?x=2", 2300 * ms, 0, true}}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			var tk Memory
@@ -63,8 +63,8 @@
 	for _, tc := range []struct {
 		name string
 		// advised are refused in each second, back come back 400 ms later.
-		told, back []int
-		want       bool
+		advised, retried []int
+		want             bool
 	}{
 		{"nothing known", nil, nil, false},
 		{"few", []int{5, 0, 0}, []int{0, 0, 0}, false},
@@ -80,16 +80,16 @@
 			var tk Memory
 			var rs Route
 			n := 0
-			for i, told := range tc.told {
+			for i, advised := range tc.advised {
 				began := time.Now()
-				var back []func()
-				for j := range told {
+				var retries []func()
+				for j := range advised {
 					n++
 					url := fmt.Sprint("/", n)
 					tr, _ := tk.Came(httptest.NewRequest("GET", url, nil), began, time.Second, &rs)
 					tk.Failed(tr, began, true, &rs)
-					if j < tc.back[i] {
-						back = append(back, func() {
+					if j < tc.retried[i] {
+						retries = append(retries, func() {
 							now := time.Now()
 							if _, further := tk.Came(httptest.NewRequest("GET", url, nil), now, time.Second-now.Sub(began), &rs); !further {
 								t.Errorf("%s: a caller that came back is not known", tc.name)
@@ -101,7 +101,7 @@
 					t.Errorf("%s: final at once", tc.name)
 				}
 				time.Sleep(400 * ms)
-				for _, fn := range back {
+				for _, fn := range retries {
 					fn()
 				}
 				time.Sleep(600 * ms)
@@ -113,7 +113,7 @@
 	}
 }
 
-func BenchmarkCame(b *testing.B) {
+func BenchmarkArrived(b *testing.B) {
 	var tk Memory
 	var rs Route
 	r := httptest.NewRequest("GET", "/splits/12345?page=3", nil)
--- a/internal/path/limit/limit_test.go
+++ b/internal/path/limit/limit_test.go
@@ -193,7 +193,7 @@
 	acquireN(t, lm, "lookup", 1)
 }
 
-func BenchmarkGate(b *testing.B) {
+func BenchmarkLimiter(b *testing.B) {
 	lm := New()
 	lm.Configure(100, classes)
 	b.ReportAllocs()
--- a/internal/path/limit/load_test.go
+++ b/internal/path/limit/load_test.go
@@ -76,7 +76,7 @@
 
 // simulateCaller is a caller with all its tries at one request, who comes back at the times drawn
 // from back.
-func simulateCaller(lm *Gate, fl *flow, work time.Duration, back *rand.Rand) (took time.Duration, ok bool) {
+func simulateCaller(lm *Gate, fl *flow, work time.Duration, rnd *rand.Rand) (took time.Duration, ok bool) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), fl.deadline)
 	defer cancel()
@@ -89,7 +89,7 @@
 			sl.Leave()
 			return time.Since(began), true
 		}
-		time.Sleep(fl.retryDelay/2 + time.Duration(back.Int64N(int64(fl.retryDelay)+1)))
+		time.Sleep(fl.retryDelay/2 + time.Duration(rnd.Int64N(int64(fl.retryDelay)+1)))
 	}
 	return 0, false
 }
--- a/internal/path/pick/cut_test.go
+++ b/internal/path/pick/cut_test.go
@@ -12,9 +12,9 @@
 // out for its failures is still tried.
 func TestPartition(t *testing.T) {
 	now := time.Now()
-	first := func(int) int { return 0 }
+	zero := func(int) int { return 0 }
 	const (
-		well = iota
+		healthy = iota
 		failing
 		unreachable
 	)
@@ -23,16 +23,16 @@
 		// subset and far are the states of two servers, weak says that the far one is
 		// behind a border that is known to be cut.
 		near, far int
-		weak      bool
+		cutOff    bool
 		// full says that the near one had no room for the request.
 		full bool
 		want string
 	}{
-		{"both well", well, well, false, false, "near"},
-		{"near one full", well, well, false, true, "far"},
-		{"near one full, the far one out of reach", well, unreachable, false, true, ""},
-		{"near one full, the far one behind a cut", well, well, true, true, ""},
-		{"near one gone, the far one behind a cut", unreachable, well, true, false, "far"},
+		{"both well", healthy, healthy, false, false, "near"},
+		{"near one full", healthy, healthy, false, true, "far"},
+		{"near one full, the far one out of reach", healthy, unreachable, false, true, ""},
+		{"near one full, the far one behind a cut", healthy, healthy, true, true, ""},
+		{"near one gone, the far one behind a cut", unreachable, healthy, true, false, "far"},
 		{"near one failing, the far one out of reach", failing, unreachable, false, false, "near"},
 		{"both out of reach", unreachable, unreachable, false, false, ""},
 		{"both failing", failing, failing, false, false, "near"},
@@ -40,7 +40,7 @@
 		near, far := NewEndpoint(Endpoint{VM: "near", Slots: 4}), NewEndpoint(Endpoint{VM: "far", Slots: 4})
 		gp := &Group{all: []*Endpoint{near, far}, spill: true, meanUse: &utilization{}}
 		gp.tiers = []tier{{reachable: newPool([]*Endpoint{near}, "o")}, {reachable: newPool([]*Endpoint{far}, "o")}}
-		if tc.weak {
+		if tc.cutOff {
 			gp.tiers[1] = tier{suspect: newPool([]*Endpoint{far}, "o")}
 		}
 		for ep, state := range map[*Endpoint]int{near: tc.near, far: tc.far} {
@@ -57,7 +57,7 @@
 			tried.Add(near)
 		}
 		got := ""
-		if ep := gp.Pick(now, Want{Size: 1000, Reached: tc.full}, &tried, first); ep != nil {
+		if ep := gp.Pick(now, Want{Size: 1000, Reached: tc.full}, &tried, zero); ep != nil {
 			got = ep.VM
 		}
 		if got != tc.want {
--- a/internal/path/pick/pick_test.go
+++ b/internal/path/pick/pick_test.go
@@ -21,7 +21,7 @@
 	}
 	var busy Tried
 	busy.Add(near)
-	first := func(int) int { return 0 }
+	zero := func(int) int { return 0 }
 	for _, tc := range []struct {
 		name  string
 		cr    Want
@@ -39,7 +39,7 @@
 		if tc.out {
 			near.live.ejected.Store(steady.Nanos(now.Add(time.Second)))
 		}
-		if got := gp.Pick(now, tc.cr, &tc.tried, first); got != tc.want {
+		if got := gp.Pick(now, tc.cr, &tc.tried, zero); got != tc.want {
 			t.Errorf("%s goes to %+v, want %+v", tc.name, got, tc.want)
 		}
 	}
--- a/internal/path/retry/budget_test.go
+++ b/internal/path/retry/budget_test.go
@@ -22,12 +22,12 @@
 	if retries > requests/5 || retries < requests/10 {
 		t.Errorf("%d retries of %d requests", retries, requests)
 	}
-	quiet := New(bo, 1)
+	idle := New(bo, 1)
 	for range requests {
-		quiet.Request()
+		idle.Request()
 	}
 	burst := 0
-	for quiet.Take() {
+	for idle.Take() {
 		burst++
 	}
 	if burst > 20 {
--- a/internal/path/shed/shed_test.go
+++ b/internal/path/shed/shed_test.go
@@ -8,10 +8,10 @@
 
 // simulate sends rate requests a second for some seconds to a server that takes room
 // of them a second, and returns what was offered and taken in the last second.
-func simulate(th *Throttle, start time.Time, rate, room, seconds int) (offered, taken int) {
+func simulate(th *Throttle, start time.Time, rate, capacity, seconds int) (offered, accepted int) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for s := range seconds {
-		offered, taken = 0, 0
+		offered, accepted = 0, 0
 		for i := range rate {
 			now := start.Add(time.Duration(s)*time.Second + time.Duration(i)*time.Second/time.Duration(rate))
 			if !th.Offer(1, now, rnd.Float64()) {
@@ -19,14 +19,14 @@
 			}
 			offered++
 			// The room is spread evenly over the second.
-			ok := taken < room*(i+1)/rate
+			ok := accepted < capacity*(i+1)/rate
 			if ok {
-				taken++
+				accepted++
 			}
 			th.Done(1, now, ok)
 		}
 	}
-	return offered, taken
+	return offered, accepted
 }
 
 // TestOverload: a service can take a tenth of what comes. Without a throttle each
@@ -34,14 +34,14 @@
 // are offered little more than two, and lose nothing.
 func TestOverload(t *testing.T) {
 	start := time.Unix(1000, 0)
-	for _, tc := range []struct{ rate, room, most, least int }{
+	for _, tc := range []struct{ rate, capacity, most, least int }{
 		{100, 100, 100, 100}, {100, 60, 100, 60}, {400, 40, 110, 38}, {1000, 20, 70, 18}, {1000, 0, 10, 0},
 	} {
 		var th Throttle
-		offered, taken := simulate(&th, start, tc.rate, tc.room, 10)
-		t.Logf("%d a second with room for %d: %d offered, %d taken", tc.rate, tc.room, offered, taken)
-		if offered > tc.most || taken < tc.least {
-			t.Errorf("%d a second with room for %d: %d offered, bound %d; %d taken, bound %d", tc.rate, tc.room, offered, tc.most, taken, tc.least)
+		offered, accepted := simulate(&th, start, tc.rate, tc.capacity, 10)
+		t.Logf("%d a second with room for %d: %d offered, %d taken", tc.rate, tc.capacity, offered, accepted)
+		if offered > tc.most || accepted < tc.least {
+			t.Errorf("%d a second with room for %d: %d offered, bound %d; %d taken, bound %d", tc.rate, tc.capacity, offered, tc.most, accepted, tc.least)
 		}
 	}
 }
@@ -52,9 +52,9 @@
 	var th Throttle
 	start := time.Unix(1000, 0)
 	simulate(&th, start, 300, 0, 10)
-	offered, taken := simulate(&th, start.Add(10*time.Second), 300, 300, 4)
-	if offered < 300 || taken < 300 {
-		t.Errorf("%d offered and %d taken of 300 in the fourth second", offered, taken)
+	offered, accepted := simulate(&th, start.Add(10*time.Second), 300, 300, 4)
+	if offered < 300 || accepted < 300 {
+		t.Errorf("%d offered and %d taken of 300 in the fourth second", offered, accepted)
 	}
 }
 
