--- a/internal/path/again/again.go
+++ b/internal/path/again/again.go
@@ -9,39 +9,37 @@
 )
 
 const (
-	// sets and ways bound the failed tries that are remembered: as many as an outlet
-	// refuses in a few seconds of overload. Tries that fall into one place have ways
-	// there, so that none of a wave is lost.
+	// sets and ways are the dimensions of the set-associative table of failed tries. It holds as
+	// many as an outlet refuses within a few seconds of overload. Tries that map to the same set
+	// share its ways, so that a burst of failures does not overwrite entries that are still needed.
 	sets = 1 << 8
 	ways = 8
-	// deadlineTolerance is by how much the moment may differ at which a caller stops waiting,
-	// as its two tries tell it: several times the way to the callers.
+	// deadlineTolerance is the largest difference between the deadlines of two tries of the same
+	// request: several times the network latency to the callers.
 	deadlineTolerance = 25 * time.Millisecond
 )
 
-// Memory holds failed tries. The zero value is empty. Its methods may be called from
-// any goroutine.
+// Tracker remembers failed tries. The zero value is empty. Its methods are safe for concurrent use.
 //
-// The time that a caller gives does not tell by itself how long it has been at its
-// request, since callers of one route differ in patience. But a caller that comes
-// back asks for the same, and stops waiting at the same moment as before.
+// The timeout that a caller sends does not show how long the caller has been trying, since callers
+// of one route use different timeouts. But a retry is for the same request and has the same
+// deadline as the try before it.
 type Memory struct {
 	tries [sets][ways]atomic.Pointer[Try]
 }
 
-// Try is a caller's try at a request.
+// Try is one try of a caller at a request.
 type Try struct {
-	// First is when the first try came, until when its caller stops waiting.
+	// FirstAt is when the first try arrived, deadline when the caller stops waiting.
 	First    time.Time
 	deadline time.Time
 	key      uint64
-	// failedAt is when this try was given up on.
+	// failedAt is when the try failed.
 	failedAt time.Time
 }
 
-// Came returns the try of a request that came at a moment, whose caller waits for as
-// long as left from then on, 0 where it does not say. It reports whether it is a
-// further one, and takes that into the account of its route.
+// Arrived returns the try of a request that arrived at now and whose caller waits for timeout, 0 if
+// unknown. It reports whether the request is a retry, and if so counts it for its route.
 func (tk *Memory) Came(r *http.Request, now time.Time, timeout time.Duration, rs *Route) (tr *Try, further bool) {
 	tr = &Try{First: now}
 	if timeout <= 0 {
@@ -61,13 +59,12 @@
 	return tr, false
 }
 
-// same reports whether two tries are of one caller and request.
+// same reports whether two tries are from the same caller for the same request.
 func (tr *Try) same(other *Try) bool {
 	return tr.key == other.key && tr.deadline.Sub(other.deadline).Abs() <= deadlineTolerance
 }
 
-// Failed remembers a try that was given up on now. Told says that its caller was told
-// to come back.
+// Failed records that a try failed at now. retryAdvised is set if the caller was told to retry.
 func (tk *Memory) Failed(tr *Try, now time.Time, retryAdvised bool, rs *Route) {
 	if tr.deadline.IsZero() {
 		return
@@ -80,8 +77,8 @@
 	}
 }
 
-// entry returns where a try is put: in place of the one whose caller stops waiting
-// first, which is over already as a rule.
+// entry returns the entry to overwrite with a try: one whose deadline has passed, otherwise the one
+// with the earliest deadline.
 func (tk *Memory) entry(key uint64, now time.Time) *atomic.Pointer[Try] {
 	var best *atomic.Pointer[Try]
 	var deadline time.Time
@@ -98,12 +95,12 @@
 	return best
 }
 
-// key names what a request asks for.
+// key returns a hash of the method, host and URI of a request.
 func key(r *http.Request) uint64 {
 	var di xxhash.Digest
 	di.Reset()
 	for _, text := range [...]string{r.Method, r.Host, r.RequestURI} {
-		// Writing to a digest does not fail.
+		// Writing to a digest cannot fail.
 		_, _ = di.WriteString(text)
 		_, _ = di.WriteString("\x00")
 	}
--- a/internal/path/again/again_test.go
+++ b/internal/path/again/again_test.go
@@ -10,18 +10,16 @@
 
 const ms = time.Millisecond
 
-// TestElapsed: callers of one route wait for 2.1 to 2.5 s, each for a time of its own.
-// Who waits for less was taken to have come back after a refusal: seven in ten new
-// requests got less of their objective than there was, and were refused or served late
-// for it. A caller that comes back is known by what it asks for and when it stops
-// waiting.
+// TestElapsed checks how retries are detected. Callers of one route use timeouts between 2.1 and
+// 2.5 s. The caller with the shorter timeout was taken to be retrying, so seven in ten new requests
+// were given less time than their objective, and were refused or answered late for it. A retry is
+// detected by the request itself and its deadline.
 func TestElapsed(t *testing.T) {
 	type arrival struct {
 		at   time.Duration
 		url  string
 		left time.Duration
-		// elapsed is what must be found, refused whether this try is given up on at
-		// once.
+		// elapsed is the expected time since the first try, refused whether this try fails at once.
 		elapsed time.Duration
 		refused bool
 	}
@@ -29,12 +27,12 @@
 		name  string
 		tries []arrival
 	}{
-		{"a patient and a hasty one", []arrival{{0, "/a", 2500 * ms, 0, true}, {200 * ms, "/b", 2100 * ms, 0, true}}},
-		{"comes back", []arrival{{0, "/a", 2500 * ms, 0, true}, {200 * ms, "/a", 2298 * ms, 200 * ms, true}, {500 * ms, "/a", 2003 * ms, 500 * ms, true}}},
-		{"another caller asks for the same", []arrival{{0, "/a", 2500 * ms, 0, true}, {200 * ms, "/a", 2500 * ms, 0, true}}},
-		{"was answered", []arrival{{0, "/a", 2500 * ms, 0, false}, {200 * ms, "/a", 2300 * ms, 0, true}}},
-		{"does not say how long it waits", []arrival{{0, "/a", 0, 0, true}, {200 * ms, "/a", 0, 0, true}}},
-		{"another place of the same", []arrival{{0, "/a?x=1", 2500 * ms, 0, true}, {200 * ms, "/a?x=2", 2300 * ms, 0, true}}},
+		{"two callers with different timeouts", []arrival{{0, "/a", 2500 * ms, 0, true}, {200 * ms, "/b", 2100 * ms, 0, true}}},
+		{"a retry", []arrival{{0, "/a", 2500 * ms, 0, true}, {200 * ms, "/a", 2298 * ms, 200 * ms, true}, {500 * ms, "/a", 2003 * ms, 500 * ms, true}}},
+		{"the same request of another caller", []arrival{{0, "/a", 2500 * ms, 0, true}, {200 * ms, "/a", 2500 * ms, 0, true}}},
+		{"the same request after an answer", []arrival{{0, "/a", 2500 * ms, 0, false}, {200 * ms, "/a", 2300 * ms, 0, true}}},
+		{"no timeout given", []arrival{{0, "/a", 0, 0, true}, {200 * ms, "/a", 0, 0, true}}},
+		{"another URI with the same deadline", []arrival{{0, "/a?x=1", 2500 * ms, 0, true}, {200 * ms, "/a?x=2", 2300 * ms, 0, true}}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			var tk Memory
@@ -45,7 +43,7 @@
 				now := time.Now()
 				tr, further := tk.Came(httptest.NewRequest("GET", ca.url, nil), now, ca.left, &rs)
 				if got := now.Sub(tr.First); got != ca.elapsed || further != (ca.elapsed > 0) {
-					t.Errorf("%s: try %d has been at it for %v (further %t), want %v", tc.name, i, got, further, ca.elapsed)
+					t.Errorf("%s: try %d is %v after the first (further %t), want %v", tc.name, i, got, further, ca.elapsed)
 				}
 				if ca.refused {
 					tk.Failed(tr, now.Add(ms), true, &rs)
@@ -55,26 +53,27 @@
 	}
 }
 
-// TestFinal: a backend server makes calls and does not repeat one that was refused,
-// while callers mostly come back. Which is which is learned from a few refusals; a
-// wave of them whose callers are still on their way back says nothing yet, and a
-// change of habit shows.
+// TestFinal checks how the callers of a route are classified. Backend servers do not retry a
+// refused call, while external callers mostly do. A few refusals must suffice to tell them apart; a
+// burst of refusals whose callers have not had time to retry must not count yet; and a change in
+// behavior must show.
 func TestFinal(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// advised are refused in each second, back come back 400 ms later.
+		// advised is the number of callers refused in each second, retried how many of them retry
+		// 400 ms later.
 		advised, retried []int
 		want             bool
 	}{
-		{"nothing known", nil, nil, false},
-		{"few", []int{5, 0, 0}, []int{0, 0, 0}, false},
+		{"no refusals", nil, nil, false},
+		{"too few refusals", []int{5, 0, 0}, []int{0, 0, 0}, false},
 		{"calls", []int{8, 0, 0}, []int{0, 0, 0}, true},
 		{"calls, one a second", []int{1, 1, 1, 1, 1, 1, 1, 1, 1}, []int{0, 0, 0, 0, 0, 0, 0, 0, 0}, true},
 		{"callers", []int{20, 0, 0}, []int{17, 0, 0}, false},
 		{"half of the callers", []int{20, 0, 0}, []int{10, 0, 0}, false},
-		{"a wave on its way", []int{100}, []int{100}, false},
-		{"callers from now on", []int{30, 0, 0, 200, 0, 0}, []int{0, 0, 0, 150, 0, 0}, false},
-		{"calls from now on", []int{200, 0, 0, 200, 200, 0, 0}, []int{200, 0, 0, 0, 0, 0, 0}, true},
+		{"a burst that has not been retried yet", []int{100}, []int{100}, false},
+		{"calls, then callers", []int{30, 0, 0, 200, 0, 0}, []int{0, 0, 0, 150, 0, 0}, false},
+		{"callers, then calls", []int{200, 0, 0, 200, 200, 0, 0}, []int{200, 0, 0, 0, 0, 0, 0}, true},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			var tk Memory
@@ -92,13 +91,13 @@
 						retries = append(retries, func() {
 							now := time.Now()
 							if _, further := tk.Came(httptest.NewRequest("GET", url, nil), now, time.Second-now.Sub(began), &rs); !further {
-								t.Errorf("%s: a caller that came back is not known", tc.name)
+								t.Errorf("%s: a retry was not detected", tc.name)
 							}
 						})
 					}
 				}
 				if got := rs.Came(time.Now(), false, true); i == 0 && got {
-					t.Errorf("%s: final at once", tc.name)
+					t.Errorf("%s: final in the first period", tc.name)
 				}
 				time.Sleep(400 * ms)
 				for _, fn := range retries {
--- a/internal/path/again/doc.go
+++ b/internal/path/again/doc.go
@@ -1,3 +1,3 @@
-// Package again recognises requests whose callers come back after a failed try, and
-// learns of which routes they do.
+// Package again detects that a caller retries a request after a failed try, and learns on which
+// routes callers do so.
 package again
--- a/internal/path/again/route.go
+++ b/internal/path/again/route.go
@@ -6,41 +6,40 @@
 )
 
 const (
-	// period is the time over which those that were told to come back are counted
-	// together. What an epoch tells is used once the next one is over too: by then who
-	// comes back has done so.
+	// period is the interval over which callers advised to retry are counted together. The counts
+	// of a period are used only after the following period has ended: by then, callers that retry
+	// have done so.
 	period = time.Second
-	// minAdvised is how many must have been told before anything is concluded.
+	// minAdvised is the number of advised callers required for a conclusion.
 	minAdvised = 6
-	// finalDivisor is the part of them that comes back, as one in so many, below which callers
-	// of a route are taken not to come back.
+	// Callers of a route are taken not to retry if less than one in finalDivisor of them does.
 	finalDivisor = 4
-	// idleDivisor is the part of a route's requests, as one in so many, that may come while
-	// the own backend server runs nothing though it made them: one whose caller has
-	// left may still run there.
+	// A route is taken to be called by the VM's own backend server only if less than one in
+	// idleDivisor of its requests arrives while that server runs nothing. Some do, because a
+	// request whose caller has left may still be running there.
 	idleDivisor = 20
-	// maxCount bounds what is remembered, so that a change of habit shows within as many.
+	// maxCount bounds the counts, so that a change in behavior shows after as many requests.
 	maxCount = 64
 )
 
-// Route learns whether the callers of a route come back when they are told to.
-// Backend servers that make calls mostly do not: to refuse a call is final, and the
-// work done for its parent is lost with it. The zero value takes it that they do.
+// RetryStats learns whether the callers of a route retry when advised to. Backend servers that make
+// calls mostly do not: a refused call fails for good, and the work done for its parent request is
+// lost. With the zero value, callers are assumed to retry.
 type Route struct {
 	mu sync.Mutex
-	// current, last and old are the counts of the present epoch, of the one before it and
-	// of all older ones.
+	// current, previous and older are the counts of the current period, of the one before it and of
+	// all earlier ones.
 	current, previous, older count
 	periodStart              time.Time
-	// arrivals counts the requests of the route, alone those that came while the VM's own
+	// arrivals counts the requests of the route, idleArrivals those that arrived while the VM's own
 	// backend server ran nothing.
 	arrivals, idleArrivals int
 }
 
-// count is how many were told to come back and how many did.
+// count is the number of callers that were advised to retry and that did.
 type count struct{ advised, retried int }
 
-// advised counts a caller that was told to come back.
+// countAdvised counts a caller that was advised to retry.
 func (rs *Route) countAdvised(now time.Time) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -48,7 +47,7 @@
 	rs.current.advised++
 }
 
-// retried counts a caller that came back after it was told so at a moment.
+// countRetried counts a caller that retried after it was advised to at advisedAt.
 func (rs *Route) countRetried(advisedAt time.Time) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -63,7 +62,7 @@
 	}
 }
 
-// advance begins a new epoch if it is time; rs.mu is held.
+// advance starts a new period if the current one has ended. rs.mu must be held.
 func (rs *Route) advance(now time.Time) {
 	for range 2 {
 		if now.Sub(rs.periodStart) < period {
@@ -83,13 +82,13 @@
 	}
 }
 
-// Came counts a request and reports whether its caller will not come back if it is
-// refused. Short says that the caller stops waiting no later than the operators do,
-// busy that the VM's own backend server runs something.
+// CountArrival counts a request and reports whether its caller is expected not to retry after a
+// refusal. shortTimeout is set if the caller's timeout does not exceed the configured one,
+// serverBusy if the VM's own backend server is running requests.
 //
-// As long as nothing is known of refusals, a request is taken for a call of the VM's
-// own backend server where its caller has no time to come back, and where hardly any of
-// the route came while that server ran nothing.
+// As long as too few refusals are known, a request is taken for a call of the VM's own backend
+// server if its caller has no time left to retry, and if hardly any request of the route arrived
+// while that server ran nothing.
 func (rs *Route) Came(now time.Time, shortTimeout, serverBusy bool) bool {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
--- a/internal/path/lapse/doc.go
+++ b/internal/path/lapse/doc.go
@@ -1,3 +1,3 @@
-// Package lapse tells how long a message was under way between two processes
-// whose clocks do not agree.
+// Package lapse measures the delay of messages between two processes whose clocks are not
+// synchronized.
 package lapse
--- a/internal/path/lapse/lapse.go
+++ b/internal/path/lapse/lapse.go
@@ -8,43 +8,43 @@
 	"time"
 )
 
-// The window over which the shortest way is known.
+// The bounds of what a tracker remembers.
 const (
-	// window is how long the shortest way seen counts, at most. It is longer than
-	// a receiver is late as a rule, and short for a sender whose VM was
-	// suspended: its steady clock stood still meanwhile, and all its requests
-	// seem late until the window is over.
+	// window is how long the shortest observed transit time counts, at most. It is longer than the
+	// usual stall of a receiver. It is short enough for a sender whose VM was suspended: the
+	// sender's monotonic clock stood still meanwhile, so all its requests seem late until the
+	// window has passed.
 	window = 4 * time.Second
-	// maxPeers bounds the senders that are remembered; beyond it all are
-	// forgotten and learned anew.
+	// maxPeers bounds the senders that are remembered. When it is reached, all are dropped and
+	// learned again.
 	maxPeers = 4096
 )
 
-// Tracker knows, for each sender, the difference of the clocks together with the
-// shortest way. The zero value is ready for use.
+// Tracker records, for each sender, the clock difference including the shortest transit time. The
+// zero value is ready for use.
 //
-// A request says how much time it has, from when it was sent. If it then lies
-// unread, because the receiver was frozen, or had too much to do, that time has
-// passed unnoticed: a backend server would run what nobody waits for. What is
-// longer than the shortest way lately is such a time.
+// A request carries its timeout, counted from when it was sent. While it then waits to be read,
+// because the receiver is frozen or overloaded, time passes that the receiver does not notice, and
+// a backend server would run a request that nobody waits for. The transit time in excess of the
+// shortest recent one is taken as that delay.
 type Tracker struct {
 	mu    sync.Mutex
 	peers map[string]*peer
 }
 
-// peer holds the shortest difference of the present and the last half window.
+// peer holds the smallest clock difference of the current and the previous half window.
 type peer struct {
 	current, previous time.Duration
 	windowStart       time.Time
 }
 
-// Excess takes a message from the sender that was sent at the sender's steady
-// clock sent, and returns how much longer than the shortest way it took.
+// Excess records a message that was sent when the sender's monotonic clock showed sent, and returns
+// by how much its transit time exceeds the shortest one.
 func (tr *Tracker) Excess(sender string, sent time.Duration, now time.Time) time.Duration {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	pe := tr.peers[sender]
-	// Only differences of the result are used, so any fixed moment will do.
+	// Only differences between results are used, so any fixed reference works.
 	diff := now.Sub(epoch) - sent
 	if pe == nil {
 		tr.add(sender, &peer{current: diff, previous: diff, windowStart: now})
@@ -64,20 +64,20 @@
 	tr.peers[sender] = pe
 }
 
-// epoch is where the steady clock of this process is counted from.
+// epoch is the origin of this process's monotonic clock.
 var epoch = time.Now()
 
-// processID names this process among others, also those that had its address
-// before.
+// processID distinguishes this process from others, including earlier ones at the same address.
 var processID = strconv.FormatUint(rand.Uint64()>>24, 36)
 
-// Stamp returns the text that says when a message is sent.
+// Stamp returns the time stamp of a message sent at now: the process and its monotonic clock in
+// milliseconds, joined by a slash.
 func Stamp(now time.Time) string {
 	return processID + "/" + strconv.FormatInt(now.Sub(epoch).Milliseconds(), 10)
 }
 
-// Late reads a stamp that came at now and returns how much longer than the
-// shortest way the message took; 0 for a stamp that cannot be read.
+// ExcessOf parses the stamp of a message received at now and returns by how much its transit time
+// exceeds the shortest one, or 0 if the stamp is invalid.
 func (tr *Tracker) Late(stamp string, now time.Time) time.Duration {
 	sender, text, _ := strings.Cut(stamp, "/")
 	ms, err := strconv.ParseInt(text, 10, 64)
--- a/internal/path/lapse/lapse_test.go
+++ b/internal/path/lapse/lapse_test.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// TestExcess: the receiver was frozen for three seconds, or a packet was lost on
-// the way. Only the message that waited is taken as late, whatever the clocks of
-// the two say, and the next one is not.
+// TestExcess delays messages, as if the receiver were frozen for three seconds or a packet were
+// lost. Only the delayed message must be late, not the next one, whatever the clock difference of
+// the two processes.
 func TestExcess(t *testing.T) {
 	const ms = time.Millisecond
 	type message struct{ sent, came, want time.Duration }
 	for name, list := range map[string][]message{
 		"steady":                   {{0, 5 * ms, 0}, {100 * ms, 105 * ms, 0}, {200 * ms, 205 * ms, 0}},
-		"one waited":               {{0, 5 * ms, 0}, {100 * ms, 3105 * ms, 3000 * ms}, {3200 * ms, 3205 * ms, 0}},
-		"the first one":            {{0, 3005 * ms, 0}, {3100 * ms, 3105 * ms, 0}, {3200 * ms, 3300 * ms, 95 * ms}},
+		"one delayed":              {{0, 5 * ms, 0}, {100 * ms, 3105 * ms, 3000 * ms}, {3200 * ms, 3205 * ms, 0}},
+		"first delayed":            {{0, 3005 * ms, 0}, {3100 * ms, 3105 * ms, 0}, {3200 * ms, 3300 * ms, 95 * ms}},
 		"the sender was suspended": {{0, 5 * ms, 0}, {100 * ms, 3105 * ms, 3000 * ms}, {200 * ms, 3205 * ms, 3000 * ms}, {4300 * ms, 7305 * ms, 0}},
 	} {
 		for _, shift := range []time.Duration{0, time.Hour, -time.Hour} {
 			var tr Tracker
 			for i, ms := range list {
 				if got := tr.Excess("a", ms.sent+shift, epoch.Add(ms.came)); got != ms.want {
-					t.Errorf("%s, clocks apart by %s, message %d: %s, want %s", name, shift, i, got, ms.want)
+					t.Errorf("%s, clock difference %s, message %d: excess %s, want %s", name, shift, i, got, ms.want)
 				}
 			}
 		}
 	}
 }
 
-// TestBound: many senders leave a bounded number of entries.
+// TestBound checks that the number of remembered senders is bounded.
 func TestBound(t *testing.T) {
 	var tr Tracker
 	for i := range 3 * maxPeers {
--- a/internal/path/limit/doc.go
+++ b/internal/path/limit/doc.go
@@ -1,4 +1,4 @@
-// Package limit admits requests to a backend server: exact slots, a share of
-// them for each class, and a short queue for each class that refuses at once
-// what it cannot serve in time.
+// Package limit is the admission control of an inlet. It limits how many requests a backend server
+// runs at once, reserves a share of the slots for each class, and queues requests for a free slot.
+// A request that cannot be served in time is refused at once instead of being queued.
 package limit
--- a/internal/path/limit/late_test.go
+++ b/internal/path/limit/late_test.go
@@ -9,19 +9,20 @@
 	"github.com/flamingomast/flamingomast/internal/path/result"
 )
 
-// TestTooLateInQueue: all slots are held for longer than usual, and a call waits for
-// one until its deadline. Its outlet gave up at that same moment and could only say
-// that the call may have run. The gate refuses it while that can still be heard, and
-// once it would take longer than what is left; one without a deadline waits on.
+// TestTooLateInQueue checks when a call that waits for a slot is refused if all slots are held for
+// longer than usual. If it were still queued at its deadline, its outlet would time out at the same
+// moment and could only report that the call may have run. It must be refused early enough for the
+// refusal to arrive in time, and as soon as the time left is shorter than the expected service
+// time. A call without a deadline keeps waiting.
 func TestTooLateInQueue(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
 		held, deadline time.Duration
 		want           time.Duration
 	}{
-		{"as long as it takes", 80 * ms, 500 * ms, 420 * ms},
-		{"takes no time", 2 * ms, 500 * ms, 475 * ms},
-		{"no deadline", 80 * ms, 0, 0},
+		{"refused one service time before the deadline", 80 * ms, 500 * ms, 420 * ms},
+		{"refused in time for the refusal to arrive", 2 * ms, 500 * ms, 475 * ms},
+		{"waits without a deadline", 80 * ms, 0, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -46,7 +47,7 @@
 				took := time.Since(began)
 				if tc.deadline == 0 {
 					if rf != nil || took != time.Minute {
-						t.Errorf("refused with %+v after %s", rf, took)
+						t.Errorf("refused with %+v after %s, want a slot after 1m", rf, took)
 					}
 					sl.Leave()
 					return
@@ -55,7 +56,7 @@
 					t.Errorf("refused with %+v after %s, want %s after %s", rf, took, result.ReasonTooLate, tc.want)
 				}
 				if ctx.Err() != nil {
-					t.Error("the deadline had passed by then")
+					t.Error("the refusal came after the deadline")
 				}
 			})
 		})
--- a/internal/path/limit/limit.go
+++ b/internal/path/limit/limit.go
@@ -9,16 +9,16 @@
 	"github.com/flamingomast/flamingomast/internal/path/result"
 )
 
-// Class is a kind of request with a share of the slots.
+// Class is a group of requests with a reserved share of the slots.
 type Class struct {
 	Name string
-	// Share is the percentage of the slots that is always its own.
+	// Share is the percentage of the slots that is reserved for the class.
 	Share int
-	// Queue is how many of its requests may wait.
+	// Queue is how many requests of the class may wait.
 	Queue int
 }
 
-// Gate admits requests. Its methods may be called from any goroutine.
+// Limiter admits requests to a backend server. Its methods are safe for concurrent use.
 type Gate struct {
 	mu       sync.Mutex
 	slots    int
@@ -27,61 +27,61 @@
 	draining bool
 	classes  map[string]*class
 	order    []*class
-	// serviceTime is the weighted mean time for which a slot is held, kinds the same for
-	// each kind of request.
+	// service is the average time a slot is held, serviceByKind the same by kind of request.
 	service       movingAverage
 	serviceByKind serviceTimes
 	ranker        ranker
-	// runningByPriority counts the requests that run by priority, without calls.
+	// runningByPriority counts the running requests without calls.
 	runningByPriority [result.Ranks - 1]int
-	// repeats is how many of those that run are repeats.
+	// repeats is the expected number of running requests that are repeats, the sum of
+	// Request.Repeat.
 	repeats float64
 	idle    chan struct{}
 }
 
 type class struct {
 	Class
-	reserved int // slots that are always its own
+	reserved int // slots reserved for the class
 	running  int
 	queue    []*waiter
-	// grants counts the slots that were handed to those who wait.
+	// grants counts the slots given to queued requests.
 	grants int
 }
 
-// Request is what the gate goes by.
+// Request describes a request to be admitted.
 type Request struct {
-	// Class names the class whose slots it takes.
+	// Class is the name of the class whose slots the request uses.
 	Class string
-	// Kind names requests that hold a slot for a similar time.
+	// Kind groups requests with similar service times.
 	Kind string
-	// Priority ranks it among those of its class that wait: 0 goes first.
+	// Priority orders the queued requests of a class, 0 first.
 	Priority int
-	// Objective is what is left of the time within which an answer has its full
-	// worth; 0 where none is declared.
+	// Objective is the time left to answer the request in time, 0 if no objective is declared.
 	Objective time.Duration
-	// Final says that its caller cannot come back after a refusal.
+	// Final is set if the caller does not retry after a refusal. That is the case for calls:
+	// requests that a backend server makes while it runs another one.
 	Final bool
-	// Repeat is how likely it has been sent to a backend server before, 0 to 1.
+	// Repeat is the probability, 0 to 1, that a backend server received the request before.
 	Repeat float64
 }
 
-// Work is what a backend server is doing.
+// Activity describes the running requests of a backend server.
 type Work struct {
-	// Running is how many requests run.
+	// Running is the number of running requests.
 	Running int
-	// Priority is the one that most of them have.
+	// Priority is the most frequent one among them.
 	Priority int
-	// Repeats is the part of them that are repeats, 0 to 1.
+	// Repeats is the fraction of them that are repeats, 0 to 1.
 	Repeats float64
 }
 
-// New returns a gate without slots; Configure gives it some.
+// New returns a limiter without slots; Configure sets them.
 func New() *Gate {
 	return &Gate{classes: map[string]*class{}, serviceByKind: serviceTimes{}}
 }
 
-// Configure sets the slots and classes. Requests that run or wait stay as they
-// are; a class that is no longer declared goes on without a share.
+// Configure sets the slots and classes. Running and queued requests are unaffected. A class that is
+// no longer declared continues without a reserved share.
 func (lm *Gate) Configure(slots int, classes []Class) {
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
@@ -100,7 +100,7 @@
 	lm.grantSlots()
 }
 
-// class returns the class of a name and makes it if need be; lm.mu is held.
+// class returns the class of the given name, creating it if needed. lm.mu must be held.
 func (lm *Gate) class(name string) *class {
 	cl := lm.classes[name]
 	if cl == nil {
@@ -111,7 +111,7 @@
 	return cl
 }
 
-// Ticket is a slot that a request holds.
+// Slot is a slot held by a request.
 type Ticket struct {
 	lm         *Gate
 	cl         *class
@@ -120,9 +120,9 @@
 	released   bool
 }
 
-// Enter waits for a slot. It returns a ticket, or the refusal of a request
-// that has certainly not run. A request that could not be served before its
-// deadline is refused at once, not when the deadline comes.
+// Acquire waits for a slot. It returns the slot, or a refusal if the request has certainly not run.
+// A request that cannot be served before its deadline is refused immediately rather than when the
+// deadline passes.
 func (lm *Gate) Enter(ctx context.Context, rq Request) (*Ticket, *result.Refusal) {
 	lm.mu.Lock()
 	if lm.draining {
@@ -151,8 +151,8 @@
 	return lm.wait(ctx, cl, wt)
 }
 
-// expectedServiceTime returns for how long a request of a kind is expected to hold a slot;
-// lm.mu is held.
+// expectedServiceTime returns the average service time of a kind, or of all requests if the kind
+// has no samples. lm.mu must be held.
 func (lm *Gate) expectedServiceTime(kind string) time.Duration {
 	if d := lm.serviceByKind.expected(kind); d > 0 {
 		return d
@@ -164,9 +164,9 @@
 	return &result.Refusal{Outcome: result.NotRun, Reason: reason, RetryAfter: retryAfter}
 }
 
-// mayRun reports whether a request of the class gets a slot now. A class below
-// its own share goes first; above it, a class takes what is idle as long as
-// nobody waits for it. lm.mu is held.
+// mayRun reports whether a request of the class can run immediately. A class below its reserved
+// share gets any free slot; above it, a class may borrow free slots as long as no request is
+// queued. lm.mu must be held.
 func (lm *Gate) mayRun(cl *class) bool {
 	if lm.running >= lm.slots {
 		return false
@@ -181,8 +181,8 @@
 	return &Ticket{lm: lm, cl: cl, rq: rq, acquiredAt: time.Now()}
 }
 
-// countRunning counts a request that runs, or with n below zero one that has ended; lm.mu is
-// held.
+// countRunning adds a started request to the counts, or removes a finished one if n is negative.
+// lm.mu must be held.
 func (lm *Gate) countRunning(rq *Request, n int) {
 	lm.repeats += float64(n) * rq.Repeat
 	if !rq.Final {
@@ -190,8 +190,8 @@
 	}
 }
 
-// refuseLate refuses a request whose turn would come too late if it waited at a place
-// of its class's queue; lm.mu is held.
+// refuseLate returns a refusal if the queue of the class is full, or if a request at position pos
+// would get its slot too late; otherwise nil. lm.mu must be held.
 func (lm *Gate) refuseLate(ctx context.Context, cl *class, wt *waiter, pos int) *result.Refusal {
 	wait := lm.expectedWait(cl, wt, pos)
 	last := pos >= len(cl.queue)
@@ -204,13 +204,12 @@
 	return nil
 }
 
-// expectedWait estimates when a slot would come to a request at a place of its
-// class's queue, from the time for which those before it will hold theirs; lm.mu is
-// held.
+// expectedWait estimates how long a request at position pos of its class's queue waits for a slot,
+// based on the service times of the requests ahead of it. lm.mu must be held.
 func (lm *Gate) expectedWait(cl *class, wt *waiter, pos int) time.Duration {
 	slots, sum := lm.slots, lm.service.value+cl.serviceTimeAhead(wt, pos)
 	if cl.reserved > 0 {
-		// Its own slots serve its own queue first.
+		// Reserved slots serve the queue of their own class first.
 		slots = cl.reserved
 	} else {
 		sum += lm.service.value * time.Duration(lm.waiting-len(cl.queue))
@@ -236,8 +235,8 @@
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
 	if wt.granted {
-		// Granted and given up at the same moment counts as granted; the
-		// caller sees its ended context next and leaves the slot.
+		// A slot granted at the moment the context ended still counts as granted. The caller
+		// notices the ended context next and releases the slot.
 		return &Ticket{lm: lm, cl: cl, rq: wt.Request, acquiredAt: time.Now()}, nil
 	}
 	retryAfter := lm.expectedWait(cl, wt, len(cl.queue))
@@ -257,10 +256,9 @@
 	return nil, refuse(result.ReasonFull, retryAfter)
 }
 
-// evict refuses the last of a full queue for one that goes before it, as long as
-// there is one that is not the only one of its priority. Without
-// that, calls of backend servers were refused behind a queue of less urgent
-// requests, and the work of their callers was lost. lm.mu is held.
+// evict refuses the victim of a full queue to make room for a request ranked ahead of it. Without
+// this, calls of backend servers were refused when the queue was full of less urgent requests, and
+// the work already done for their parent requests was lost. lm.mu must be held.
 func (lm *Gate) evict(cl *class) {
 	victim := cl.victim()
 	cl.remove(victim)
@@ -269,10 +267,10 @@
 	close(victim.ready)
 }
 
-// Since returns when the slot was given.
+// AcquiredAt returns when the slot was acquired.
 func (sl *Ticket) Since() time.Time { return sl.acquiredAt }
 
-// Leave gives the slot back; it does so once. It is not safe for concurrent use.
+// Release returns the slot. Further calls have no effect. It is not safe for concurrent use.
 func (sl *Ticket) Leave() {
 	if sl.released {
 		return
@@ -295,9 +293,8 @@
 	}
 }
 
-// grantSlots gives free slots to those who wait: classes below their own share
-// first, the one farthest below leading, then the others by their use.
-// lm.mu is held.
+// grantSlots gives free slots to queued requests. The class with the lowest utilization goes first,
+// so classes below their reserved share go before those that borrow. lm.mu must be held.
 func (lm *Gate) grantSlots() {
 	for lm.running < lm.slots && lm.waiting > 0 {
 		cl := lm.nextClass()
@@ -328,7 +325,8 @@
 	return best
 }
 
-// utilization is the part of its own slots that a class uses; above 1 it borrows.
+// utilization returns the ratio of running requests to reserved slots. At 1 or above, the class
+// borrows its next slot; a class without reserved slots starts at 1.
 func (cl *class) utilization() float64 {
 	if cl.reserved == 0 {
 		return 1 + float64(cl.running)
@@ -336,8 +334,8 @@
 	return float64(cl.running) / float64(cl.reserved)
 }
 
-// Drain refuses all new requests from now on and those that wait. It returns
-// how many run and a channel that is closed once none does.
+// Drain refuses all queued and new requests. It returns how many requests are running and a channel
+// that is closed when none is left.
 func (lm *Gate) Drain() (running int, idle <-chan struct{}) {
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
@@ -361,21 +359,21 @@
 	return lm.running, ch
 }
 
-// Open admits requests again after a Drain, for another backend server.
+// Resume admits requests again after Drain, for another backend server.
 func (lm *Gate) Open() {
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
 	lm.draining = false
 }
 
-// Draining reports whether all new requests are refused.
+// Draining reports whether all requests are refused because of Drain.
 func (lm *Gate) Draining() bool {
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
 	return lm.draining
 }
 
-// Work returns what the backend server is doing.
+// Activity returns what the backend server is running.
 func (lm *Gate) Work() Work {
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
@@ -391,8 +389,8 @@
 	return ac
 }
 
-// Load returns how many requests run and wait, the slots, and what waits are to be
-// expected.
+// Load returns the numbers of running and queued requests, the slots, and the expected waits by
+// rank.
 func (lm *Gate) Load() result.Load {
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
--- a/internal/path/limit/limit_test.go
+++ b/internal/path/limit/limit_test.go
@@ -15,8 +15,8 @@
 
 var classes = []Class{{Name: "confirm", Share: 50, Queue: 4}, {Name: "lookup", Share: 25, Queue: 2}}
 
-// TestSlotLimit: whatever comes and goes, never do more requests run than there are
-// slots, none is granted a slot that is not free, and none is forgotten.
+// TestSlotLimit checks that, for any sequence of arrivals, no more requests run at once than there
+// are slots, every call of Acquire returns, and nothing is left running or queued after Drain.
 func TestSlotLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type job struct {
@@ -61,14 +61,14 @@
 			_, idle := lm.Drain()
 			<-idle
 			if n := running.Load(); n != 0 {
-				t.Errorf("idle with %d running", n)
+				t.Errorf("idle channel closed with %d running", n)
 			}
 			wg.Wait()
 			if most.Load() > int64(slots) || done.Load() != int64(len(jobs)) {
-				t.Errorf("%d ran at once in %d slots; %d of %d came back", most.Load(), slots, done.Load(), len(jobs))
+				t.Errorf("%d ran at once in %d slots; %d of %d requests were admitted or refused", most.Load(), slots, done.Load(), len(jobs))
 			}
 			if ld := lm.Load(); ld.Running != 0 || ld.Waiting != 0 {
-				t.Errorf("left over: %+v", ld)
+				t.Errorf("load after Drain: %+v, want none running or waiting", ld)
 			}
 		})
 	})
@@ -88,9 +88,9 @@
 	return slots
 }
 
-// TestShare: one class has borrowed all slots. Of those that wait, the class
-// below its share gets each slot that becomes free, until it has its share and
-// both use theirs alike; the class declared first then goes first.
+// TestShare lets one class borrow all slots. The queued requests of a class below its reserved
+// share must get each slot that is released until that class is at its share. At equal utilization,
+// the class declared first goes first.
 func TestShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lm := New()
@@ -127,13 +127,13 @@
 	})
 }
 
-// TestUnmeetableDeadline: a request that cannot be served before its deadline is refused
-// at once, and told when to come back by the rate at which slots become free.
+// TestUnmeetableDeadline checks that a request that cannot be served before its deadline is refused
+// at once, and that its Retry-After matches the rate at which slots are released.
 func TestUnmeetableDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lm := New()
 		lm.Configure(1, classes)
-		// Slots are held for two seconds each.
+		// Each slot is held for 2 s.
 		for range 50 {
 			sl := acquireN(t, lm, "lookup", 1)[0]
 			time.Sleep(2 * time.Second)
@@ -145,16 +145,16 @@
 		began := time.Now()
 		_, rf := lm.Enter(ctx, Request{Class: "lookup"})
 		if took := time.Since(began); rf == nil || rf.Reason != result.ReasonTooLate || took != 0 {
-			t.Errorf("refused with %+v after %s", rf, took)
+			t.Errorf("refused with %+v after %s, want deadline-too-near at once", rf, took)
 		}
 		if rf.RetryAfter < 1500*time.Millisecond || rf.RetryAfter > 4*time.Second {
-			t.Errorf("told to come back in %s, where a slot becomes free every 2 s", rf.RetryAfter)
+			t.Errorf("RetryAfter is %s, where a slot is released every 2 s", rf.RetryAfter)
 		}
 	})
 }
 
-// TestFull: the queue of a class is as long as declared, and the others are not
-// touched by it.
+// TestFull checks that the queue of a class is limited to its declared length, without affecting
+// the queues of other classes.
 func TestFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lm := New()
@@ -167,7 +167,7 @@
 		}
 		synctest.Wait()
 		if _, rf := lm.Enter(t.Context(), Request{Class: "lookup"}); rf == nil || rf.Reason != result.ReasonFull {
-			t.Errorf("the third that waits: %+v", rf)
+			t.Errorf("the third queued request: %+v, want slots-full", rf)
 		}
 		go func() { _, _ = lm.Enter(ctx, Request{Class: "confirm"}) }()
 		synctest.Wait()
@@ -177,8 +177,8 @@
 	})
 }
 
-// TestReconfigured: slots shrink below what runs. Nothing that runs is ended,
-// and nothing new begins until enough has ended.
+// TestReconfigured reduces the slots below the number of running requests. None of them is ended,
+// and no request is admitted until enough of them have finished.
 func TestReconfigured(t *testing.T) {
 	lm := New()
 	lm.Configure(4, classes)
@@ -186,7 +186,7 @@
 	lm.Configure(1, nil)
 	for i, sl := range held {
 		if _, rf := lm.Enter(t.Context(), Request{Class: "lookup"}); rf == nil {
-			t.Fatalf("entered with %d running in 1 slot", len(held)-i)
+			t.Fatalf("admitted with %d running in 1 slot", len(held)-i)
 		}
 		sl.Leave()
 	}
@@ -206,11 +206,11 @@
 	})
 }
 
-// TestMaxWait: nine slots are held for 160 ms each, so one comes free every 18
-// ms. Of a lookup that is wanted in 400 ms nine may wait, of a confirmation in
-// 500 ms thirteen; of those whose objective has passed five, which a burst leaves, and of
-// calls, which cannot come back, as many as the queue holds: what waits longer is late,
-// and a refusal at once lets it be served elsewhere.
+// TestMaxWait checks how many requests may queue, depending on their objective. Nine slots are held
+// for 160 ms each, so one is released every 18 ms. Of lookups with an objective of 400 ms nine may
+// queue, of confirmations with 500 ms thirteen. Of requests that are already late, as left by a
+// burst, five may queue. Calls do not retry, so they may fill the queue. Any request that waited
+// longer would be late, whereas a refusal at once lets another server answer it.
 func TestMaxWait(t *testing.T) {
 	for name, tc := range map[string]struct {
 		rq   Request
@@ -220,7 +220,7 @@
 		"confirmation": {Request{Priority: 1, Objective: 500 * time.Millisecond}, 13},
 		"late":         {Request{Priority: 1, Objective: time.Millisecond}, 5},
 		"call":         {Request{Priority: 2, Objective: 120 * time.Millisecond, Final: true}, 16},
-		"not said":     {Request{}, 16},
+		"no objective": {Request{}, 16},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			lm := New()
@@ -253,10 +253,10 @@
 	}
 }
 
-// TestEvicted: a queue is full of requests of little urgency when an urgent one
-// comes. A call of a backend server was refused then, and the work of the request
-// that it was made for was lost. The last in the queue is refused in its place, at
-// once; one that is no more urgent than those that wait displaces nobody.
+// TestEvicted sends an urgent request to a class whose queue is full of less urgent ones. Calls of
+// backend servers were refused in this case, and the work done for their parent requests was lost.
+// Now the last queued request is refused in its place at once. A request that is no more urgent
+// than the queued ones evicts none.
 func TestEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lm := New()
@@ -282,11 +282,11 @@
 		enter("lookup", 2)
 		enter("call", 0)
 		if got := <-ends; got.name != "lookup" || got.rf == nil || got.rf.Reason != result.ReasonFull || got.rf.Outcome != result.NotRun {
-			t.Errorf("%s ended with %+v; want the last lookup refused as full", got.name, got.rf)
+			t.Errorf("%s ended with %+v; want the lookup refused with slots-full", got.name, got.rf)
 		}
 		enter("another", 2)
 		if got := <-ends; got.name != "another" || got.rf == nil {
-			t.Errorf("%s ended with %+v; want the newcomer refused", got.name, got.rf)
+			t.Errorf("%s ended with %+v; want the new request refused", got.name, got.rf)
 		}
 		held[0].Leave()
 		for _, want := range []string{"call", "document"} {
@@ -295,14 +295,14 @@
 			}
 		}
 		if ld := lm.Load(); ld.Running != 0 || ld.Waiting != 0 {
-			t.Errorf("left over: %+v", ld)
+			t.Errorf("load after all requests: %+v, want none running or waiting", ld)
 		}
 	})
 }
 
-// TestNoStarvation: urgent calls keep a server busy for good, and documents of the
-// least urgency come now and then. They got nothing at all; one slot in some goes
-// to who has waited longest.
+// TestNoStarvation keeps a server busy with urgent calls while document requests of the lowest
+// priority arrive now and then. Documents were never served; now a fixed fraction of the slots goes
+// to the request that has waited longest.
 func TestNoStarvation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lm := New()
--- a/internal/path/limit/load_test.go
+++ b/internal/path/limit/load_test.go
@@ -13,27 +13,26 @@
 
 const ms = time.Millisecond
 
-// flow is requests of one kind that come to a gate.
+// flow describes the requests of one kind that a limiter receives.
 type flow struct {
 	name string
-	// rate is how many come in a second, work for how long one holds a slot in the
-	// mean.
+	// rate is the number of requests per second, serviceTime their mean service time.
 	rate        float64
 	serviceTime time.Duration
 	priority    int
 	objective   time.Duration
 	deadline    time.Duration
-	// callRank says that they do not come back after a refusal, tries how often the
-	// others try, each back time after the last.
+	// final is set if they do not retry after a refusal. Otherwise tries is the number of tries,
+	// with a mean pause of retryDelay between them.
 	final      bool
 	tries      int
 	retryDelay time.Duration
 }
 
-// tally is what became of the requests of a flow, as shares of all.
+// tally is the outcome of the requests of a flow, as fractions of all.
 type tally struct{ inTime, late, lost float64 }
 
-// simulate sends flows to a gate of six slots for 20 s of virtual time.
+// simulate sends flows to a limiter of six slots for 20 s of virtual time.
 func simulate(flows []flow) map[string]tally {
 	lm := New()
 	lm.Configure(6, []Class{{Name: "default", Queue: 16}})
@@ -74,8 +73,7 @@
 	return shares
 }
 
-// simulateCaller is a caller with all its tries at one request, who comes back at the times drawn
-// from back.
+// simulateCaller sends one request, with all its tries. rnd varies the pauses between tries.
 func simulateCaller(lm *Gate, fl *flow, work time.Duration, rnd *rand.Rand) (took time.Duration, ok bool) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), fl.deadline)
@@ -94,9 +92,9 @@
 	return 0, false
 }
 
-// TestLoads replays loads at one server of six slots, whose callers come back after a
-// refusal. Under each, as much as the slots allow must be in time, and nothing lost that
-// others have worked for.
+// TestLoads simulates loads on one server of six slots, with callers that retry after a refusal.
+// Under each load, as many requests must meet their objective as the slots allow, and no calls may
+// be lost for whose parent requests other servers have done work.
 func TestLoads(t *testing.T) {
 	lookups := flow{name: "lookups", serviceTime: 120 * ms, priority: 2, objective: 400 * ms, deadline: 1200 * ms, tries: 3, retryDelay: 300 * ms}
 	records := flow{name: "records", serviceTime: 160 * ms, priority: 1, objective: 500 * ms, deadline: 1500 * ms, tries: 3, retryDelay: 300 * ms}
@@ -111,16 +109,16 @@
 	for _, tc := range []struct {
 		name  string
 		flows []flow
-		// meetsObjective and lost bound the shares of flows from below and above.
+		// inTime holds lower bounds for the fraction in time, lost upper bounds for the fraction
+		// lost.
 		inTime, lost map[string]float64
 	}{
 		{
 			"three quarters of the slots", []flow{at(lookups, 37)},
 			map[string]float64{"lookups": 0.99}, nil,
 		},
-		// Were those first that are due first, late ones would keep out those that can
-		// still be in time, until all are late: 0.13 in time of one third more than
-		// there is room for, 0.04 of twice as many.
+		// With earliest-deadline-first order, late requests would delay those that can still be in
+		// time until all are late. The fraction in time was 0.13 at 1.3 times the slots, 0.04 at twice.
 		{
 			"lookups for 1.3 times the slots", []flow{at(lookups, 65)},
 			map[string]float64{"lookups": 0.68}, nil,
@@ -129,15 +127,14 @@
 			"lookups for twice the slots", []flow{at(lookups, 100)},
 			map[string]float64{"lookups": 0.42}, nil,
 		},
-		// Were calls to wait as long as their objective leaves, half of them would be
-		// refused where records have the slots, and with each the work of its parent
-		// be lost.
+		// If the wait of calls were limited by their objective, half of them would be refused while
+		// records hold the slots, and the work of their parent requests would be lost.
 		{
 			"calls beside records for 1.1 times the slots", []flow{at(calls, 60), at(records, 30)},
 			map[string]float64{"records": 0.75, "calls": 0.92}, map[string]float64{"calls": 0.005},
 		},
-		// Were calls always first, those of lookups would keep out lists that are worth
-		// more for the time of a slot.
+		// If calls always came first, the calls of lookups would displace list requests, which are
+		// worth more per unit of slot time.
 		{
 			"calls beside lists for 1.3 times the slots", []flow{at(long, 75), at(lists, 75)},
 			map[string]float64{"lists": 0.85}, nil,
--- a/internal/path/limit/queue.go
+++ b/internal/path/limit/queue.go
@@ -10,15 +10,15 @@
 	"github.com/flamingomast/flamingomast/internal/path/result"
 )
 
-// waiter is a request that waits for a slot.
+// waiter is a request queued for a slot.
 type waiter struct {
 	Request
-	// serviceTime is for how long it is expected to hold a slot.
+	// serviceTime is how long the request is expected to hold a slot.
 	serviceTime time.Duration
-	// rank is its place among others, lower ones first.
+	// rank orders the queue, lower ones first.
 	rank  float64
 	since time.Time
-	// due is when its answer must come to be in time, zero where nothing is declared.
+	// due is when the objective ends, zero if none is declared.
 	due      time.Time
 	ready    chan struct{}
 	granted  bool
@@ -34,29 +34,30 @@
 }
 
 const (
-	// maxWaitShare is the part of the time left to a request before it must begin within
-	// which its turn must be expected to come. What is refused at once can still be
-	// served in time elsewhere or a little later; what waits and is then too late has
-	// cost its caller the time and the server a slot.
+	// maxWaitShare is the longest expected wait with which a request is queued, as a share of the
+	// time left until it must start to meet its objective. A request refused at once can still be
+	// served in time by another server or on a retry. One that waits and then misses its objective
+	// has cost its caller that time and the server a slot.
 	maxWaitShare = 0.8
-	// lateMaxWait is how long a request may wait that cannot be in time any more.
-	// Slots are given to such ones only while no other waits, so it is long enough to
-	// outlast a burst and not longer: behind a lasting load its turn never comes.
+	// lateMaxWait is how long a request that can no longer meet its objective may wait. Such
+	// requests get a slot only while no other one waits. The limit is long enough to outlast a
+	// burst, but no longer, since under sustained overload they would never get a slot.
 	lateMaxWait = 100 * time.Millisecond
-	// padding is how many times its mean time a request is taken to hold a slot where
-	// it must be in time: of those begun with less than that left, many are late.
+	// padding is the factor by which the expected service time is increased when checking whether
+	// the objective can be met. Many of the requests that start with less time than that are late.
 	padding = 1.25
 )
 
-// paddedTime returns for how long the request holds a slot at most, as a rule.
+// paddedTime returns an upper estimate of the service time.
 func (wt *waiter) paddedTime() time.Duration { return time.Duration(padding * float64(wt.serviceTime)) }
 
-// meetsObjective reports whether an answer can come in time if the request begins at a moment.
+// meetsObjective reports whether the request, started at start, is expected to finish before it is
+// due.
 func (wt *waiter) meetsObjective(start time.Time) bool {
 	return wt.due.IsZero() || !start.Add(wt.paddedTime()).After(wt.due)
 }
 
-// maxExpectedWait returns how long the turn of the request may be expected to take.
+// maxExpectedWait returns the longest expected wait with which the request is queued.
 func (wt *waiter) maxExpectedWait() time.Duration {
 	if wt.Final || wt.due.IsZero() {
 		return math.MaxInt64
@@ -64,7 +65,7 @@
 	return max(lateMaxWait, time.Duration(maxWaitShare*float64(wt.Objective-wt.paddedTime())))
 }
 
-// queueTimeout returns after which time the request is refused if its turn has not come.
+// queueTimeout returns how long the request may stay in the queue before it is refused.
 func (wt *waiter) queueTimeout() time.Duration {
 	if wt.Final || wt.due.IsZero() {
 		return math.MaxInt64
@@ -72,15 +73,15 @@
 	return max(0, wt.Objective-wt.serviceTime) + lateMaxWait
 }
 
-// refusalLatency is the time in which a refusal reaches the outlet that waits for it: a hop
-// between failure domains, and the turn of two daemons on a sixth of a core.
+// refusalLatency is the time a refusal needs to reach the waiting outlet: a network hop between
+// failure domains, and the scheduling delay of two daemons on a sixth of a core.
 const refusalLatency = 25 * time.Millisecond
 
-// timeToLatestStart returns after which time the request could not be answered any more
-// before its deadline, if it has one. A request that waited until its deadline was
-// given up on by its outlet at the same moment, which could not know then whether it
-// had run: callers were told 504, after which they may not repeat what may run only
-// once. Begun with less time than it takes, it would use a slot for nothing.
+// timeToLatestStart returns the time after which the request can no longer be answered before its
+// deadline. If a request stayed queued until the deadline itself, its outlet would time out at the
+// same moment without knowing whether the request had run. The caller would get a 504, after which
+// it must not retry a request that may run only once. A request started with less time than it
+// needs would only waste a slot.
 func (wt *waiter) timeToLatestStart(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -89,21 +90,22 @@
 	return time.Until(deadline) - max(wt.serviceTime, refusalLatency)
 }
 
-// position returns where a request stands among those of its class that wait: by rank, and
-// by when the answer is due.
+// position returns the index at which a request is inserted into the queue of its class, which is
+// ordered by rank and then by due time.
 func (cl *class) position(wt *waiter) int {
 	pos, _ := slices.BinarySearchFunc(cl.queue, wt, func(a, b *waiter) int {
-		// Those that are equal keep the order in which they came.
+		// Equal requests stay in order of arrival.
 		return cmp.Or(cmp.Compare(a.rank, b.rank), a.due.Compare(b.due), -1)
 	})
 	return pos
 }
 
-// preferred reports whether a request gets its slot before those that are late already.
+// preferred reports whether the request goes ahead of those that can no longer meet their
+// objective.
 func (wt *waiter) preferred(now time.Time) bool { return wt.Final || wt.meetsObjective(now) }
 
-// serviceTimeAhead returns for how long those hold a slot that go before a request at a place of
-// the queue.
+// serviceTimeAhead returns the total service time of the queued requests that are served before a
+// request at position pos.
 func (cl *class) serviceTimeAhead(wt *waiter, pos int) (sum time.Duration) {
 	now := time.Now()
 	preferred := wt.preferred(now)
@@ -115,8 +117,8 @@
 	return sum
 }
 
-// addWaits adds to each rank of result.Load.Waits for how long those that go before it
-// will hold a slot; final is the rank of calls.
+// addWaits adds, for each rank of result.Load.Waits, the service time of the queued requests that
+// are served before a request of that rank. callRank is the rank of calls.
 func (cl *class) addWaits(waits *[result.Ranks]time.Duration, callRank float64, now time.Time) {
 	for _, wt := range cl.queue {
 		if !wt.preferred(now) {
@@ -133,13 +135,13 @@
 	}
 }
 
-// oldestFirstEvery is how many slots go to the first in the queue before one goes to
-// the one that has waited longest. Without it, documents get nothing at servers that
-// urgent lookups and calls keep busy.
+// oldestFirstEvery is how often a slot goes to the request that has waited longest instead of the
+// first one in the queue. Without it, document requests starve at servers kept busy by urgent
+// lookups and calls.
 const oldestFirstEvery = 16
 
-// next returns the waiter that gets the next slot: the first that can be in time, and
-// one that is late only where there is none.
+// next returns the waiter that gets the next slot: the first preferred one, otherwise the first in
+// the queue. Every oldestFirstEvery-th slot goes to the one that has waited longest.
 func (cl *class) next(now time.Time) *waiter {
 	cl.grants++
 	if cl.grants%oldestFirstEvery == 0 {
@@ -153,8 +155,8 @@
 	return cl.queue[0]
 }
 
-// victim returns the waiter that gives way in a full queue: the last one that is not
-// the only one of its priority.
+// victim returns the waiter to evict from a full queue: the last one that is not the only one of
+// its priority, otherwise the last one.
 func (cl *class) victim() *waiter {
 	for _, wt := range slices.Backward(cl.queue) {
 		if !cl.onlyOfPriority(wt) {
@@ -164,7 +166,7 @@
 	return cl.queue[len(cl.queue)-1]
 }
 
-// onlyOfPriority reports whether a waiter is the only one of its priority.
+// onlyOfPriority reports whether no other waiter in the queue has the same priority.
 func (cl *class) onlyOfPriority(wt *waiter) bool {
 	return !slices.ContainsFunc(cl.queue, func(other *waiter) bool { return other != wt && other.Priority == wt.Priority })
 }
--- a/internal/path/limit/rank.go
+++ b/internal/path/limit/rank.go
@@ -6,16 +6,17 @@
 	"github.com/flamingomast/flamingomast/internal/path/result"
 )
 
-// ranker tells which requests are worth most for the time of a slot, where calls of
-// backend servers compete with requests of callers. The zero value knows nothing.
+// ranker orders waiting requests by their value per unit of slot time, so that calls made by
+// backend servers and requests of external callers can compete for the same slots. The zero value
+// has no samples.
 type ranker struct {
-	// serviceByPriority has for how long requests of each priority hold a slot, without calls.
+	// serviceByPriority is the average service time by priority, without calls.
 	serviceByPriority [result.Ranks - 1]movingAverage
-	// callRank is the rank of the last call.
+	// callRank is the rank of the most recently queued call.
 	callRank float64
 }
 
-// priorityIndex returns the index of a priority.
+// priorityIndex clamps a priority to an index of the arrays by priority.
 func priorityIndex(priority int) int { return min(max(priority, 0), result.Ranks-2) }
 
 func (rk *ranker) add(rq *Request, serviceTime time.Duration) {
@@ -24,18 +25,20 @@
 	}
 }
 
-// valueDensity is what a request of a priority is worth for the time of its slot, in units
-// that only compare: each priority is taken to be worth twice as much as the next one.
+// valueDensity returns the value of a request per unit of slot time. Only the ratio of two
+// densities is meaningful. Each priority is worth twice as much as the next one.
 func valueDensity(priority int, serviceTime time.Duration) float64 {
 	return 1 / (float64(uint(1)<<priorityIndex(priority)) * max(1, float64(serviceTime)))
 }
 
-// rank returns the place of a request among others: its priority, lower ones first.
+// rank returns the position of a request relative to others, lower ones first. It is the priority,
+// except for calls.
 //
-// A call has the priority of the request that it is made for, and takes less time than
-// that as a rule, so it may go before more urgent requests, as long as it is worth more
-// for the time of its slot than they are. Behind them, its parent's work would be lost
-// for little; always before them, calls of lookups would keep out lists that are worth more.
+// A call has the priority of the request that it is made for, and usually a shorter service time.
+// It goes ahead of more urgent requests as long as its value density is higher than theirs. If
+// calls always came after them, the work already done for the parent request would be lost to save
+// a short call. If calls always came first, the calls of lookups would displace list requests,
+// which are worth more per unit of slot time.
 func (rk *ranker) rank(rq *Request, serviceTime time.Duration) float64 {
 	if !rq.Final {
 		return float64(rq.Priority)
--- a/internal/path/pick/cost_test.go
+++ b/internal/path/pick/cost_test.go
@@ -9,10 +9,10 @@
 
 const ms = time.Millisecond
 
-// TestSlowness: of two servers the slow one has run calls of 30 ms, which take it 48, and
-// the fast one records of 160 ms, which take it 112. By the mean time for which they
-// hold a slot, all outlets took the slow one for the fast one and filled it: 1,547 of
-// 2,600 refusals in 13 s were its. A record must go to the fast one.
+// TestSlowness compares a slow server that has run calls, typically 30 ms, in 48 ms, with a fast
+// one that has run record requests, typically 160 ms, in 112 ms. Judged by mean service time alone,
+// all outlets took the slow server for the fast one and overloaded it: it gave 1,547 of 2,600
+// refusals within 13 s. The fast server must have the lower cost.
 func TestSlowness(t *testing.T) {
 	now := time.Now()
 	slow, fast := NewEndpoint(Endpoint{VM: "slow", Slots: 6}), NewEndpoint(Endpoint{VM: "fast", Slots: 6})
@@ -35,9 +35,9 @@
 	}
 }
 
-// TestWait: what a request waits for depends on who else waits. A call goes before the
-// records that fill a server's queue, and what this outlet has sent since the server
-// last told counts as well; with age the load that is typical takes its place.
+// TestWait checks the expected wait by rank. A call goes ahead of the record requests that fill a
+// server's queue, and requests sent by this outlet since the last report count as well. As the
+// report ages, the typical load replaces it.
 func TestWait(t *testing.T) {
 	gp := &Group{meanUse: &utilization{}}
 	full := result.Load{Running: 6, Waiting: 8, Slots: 6, Waits: [result.Ranks]time.Duration{20 * ms, 20 * ms, 200 * ms, 210 * ms}}
@@ -51,11 +51,11 @@
 	}{
 		{"a call at a full server", full, 0, 0, 0, 20 * ms},
 		{"a record at a full server", full, 2, 0, 0, 200 * ms},
-		{"behind three that were sent since", full, 2, 3, 0, 250 * ms},
-		{"room", result.Load{Running: 3, Slots: 6}, 2, 0, 0, 0},
-		{"room for those sent since", result.Load{Running: 3, Slots: 6}, 2, 2, 0, 0},
-		{"no more room", result.Load{Running: 3, Slots: 6}, 2, 4, 0, 100 * ms / 3},
-		{"told a second ago, not typical", full, 2, 0, time.Second, 0},
+		{"a record behind three sent since the report", full, 2, 3, 0, 250 * ms},
+		{"free slots", result.Load{Running: 3, Slots: 6}, 2, 0, 0, 0},
+		{"free slots for those sent since the report", result.Load{Running: 3, Slots: 6}, 2, 2, 0, 0},
+		{"no free slots left", result.Load{Running: 3, Slots: 6}, 2, 4, 0, 100 * ms / 3},
+		{"report of a second ago, replaced by a typical load of 0", full, 2, 0, time.Second, 0},
 	} {
 		ep := NewEndpoint(Endpoint{VM: "a", Slots: 6})
 		now := time.Now()
@@ -66,21 +66,21 @@
 		now = now.Add(tc.age)
 		got := time.Duration(ep.wait(now, tc.rank, ep.load(now, 0), float64(100*ms)))
 		if (got - tc.want).Abs() > 2*ms {
-			t.Errorf("%s waits %v, want %v", tc.name, got, tc.want)
+			t.Errorf("%s: expected wait %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestUnmeasuredServer: a server that nothing is known of is taken to be like the others, and to
-// be slower while it says that it is cold; one that has not answered for long is tried
-// again, however slow it was.
+// TestUnmeasuredServer checks that a server without measurements is assumed to be as fast as the
+// others, and slower while it reports itself cold, and that a slow server that has not responded
+// for long is tried again.
 func TestUnmeasuredServer(t *testing.T) {
 	now := time.Now()
 	if got := NewEndpoint(Endpoint{Slots: 6}).serviceTime(now, 100*ms); got != 100*ms {
-		t.Errorf("an unknown server is expected to take %v", got)
+		t.Errorf("an unmeasured server is expected to take %v, want 100 ms", got)
 	}
 	if got := NewEndpoint(Endpoint{Slots: 6, ColdUntil: now.Add(time.Second)}).serviceTime(now, 100*ms); got != coldSlowdown*100*ms {
-		t.Errorf("a cold server is expected to take %v", got)
+		t.Errorf("a cold server is expected to take %v, want coldSlowdown times 100 ms", got)
 	}
 	ep := NewEndpoint(Endpoint{Slots: 6})
 	ep.Begin(now)
--- a/internal/path/pick/cut_test.go
+++ b/internal/path/pick/cut_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// TestPartition: a failure domain is cut off from the others, and its own servers are full or
-// gone. Each request hung 400 ms on servers behind the cut, twice, before it was refused:
-// 222 of 700 tries in 5 s, and the calls among them held the slots of their parents. It
-// is refused at once where the answer is known; where it is not, a server that was left
-// out for its failures is still tried.
+// TestPartition cuts off a failure domain whose own servers are full or gone. Each request was sent
+// to unreachable servers twice and hung there for 400 ms each time before it was refused: 222 of
+// 700 tries within 5 s. The calls among them held the slots of their parent requests. A request
+// must be refused at once if a reachable server has already refused it. Otherwise an ejected server
+// is still tried.
 func TestPartition(t *testing.T) {
 	now := time.Now()
 	zero := func(int) int { return 0 }
@@ -20,21 +20,21 @@
 	)
 	for _, tc := range []struct {
 		name string
-		// subset and far are the states of two servers, weak says that the far one is
-		// behind a border that is known to be cut.
+		// near and far are the states of two servers. cutOff is set if the far one is in a failure
+		// domain known to be cut off.
 		near, far int
 		cutOff    bool
-		// full says that the near one had no room for the request.
+		// full is set if the near one has refused the request for lack of capacity.
 		full bool
 		want string
 	}{
-		{"both well", healthy, healthy, false, false, "near"},
+		{"both healthy", healthy, healthy, false, false, "near"},
 		{"near one full", healthy, healthy, false, true, "far"},
-		{"near one full, the far one out of reach", healthy, unreachable, false, true, ""},
-		{"near one full, the far one behind a cut", healthy, healthy, true, true, ""},
-		{"near one gone, the far one behind a cut", unreachable, healthy, true, false, "far"},
-		{"near one failing, the far one out of reach", failing, unreachable, false, false, "near"},
-		{"both out of reach", unreachable, unreachable, false, false, ""},
+		{"near one full, the far one unreachable", healthy, unreachable, false, true, ""},
+		{"near one full, the far one cut off", healthy, healthy, true, true, ""},
+		{"near one unreachable, the far one cut off", unreachable, healthy, true, false, "far"},
+		{"near one failing, the far one unreachable", failing, unreachable, false, false, "near"},
+		{"both unreachable", unreachable, unreachable, false, false, ""},
 		{"both failing", failing, failing, false, false, "near"},
 	} {
 		near, far := NewEndpoint(Endpoint{VM: "near", Slots: 4}), NewEndpoint(Endpoint{VM: "far", Slots: 4})
@@ -61,13 +61,13 @@
 			got = ep.VM
 		}
 		if got != tc.want {
-			t.Errorf("%s: goes to %q, want %q", tc.name, got, tc.want)
+			t.Errorf("%s: sent to %q, want %q", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestReinstate: a server that could not be reached takes requests again once a connection
-// was made, and counts as one that may be tried.
+// TestReinstate checks that an unreachable server gets no requests, and gets them again after a
+// connection was made.
 func TestReinstate(t *testing.T) {
 	now := time.Now()
 	ep := NewEndpoint(Endpoint{VM: "a", Slots: 4})
@@ -77,10 +77,10 @@
 	var tried Tried
 	pick := func() *Endpoint { return gp.Pick(now, Want{}, &tried, func(int) int { return 0 }) }
 	if got := pick(); got != nil {
-		t.Errorf("picked %s, which cannot be reached", got.VM)
+		t.Errorf("picked %s, which is unreachable", got.VM)
 	}
 	ep.Return()
 	if got := pick(); got != ep {
-		t.Errorf("picked %v once it can be reached", got)
+		t.Errorf("picked %v after the ejection ended, want the reinstated server", got)
 	}
 }
--- a/internal/path/pick/doc.go
+++ b/internal/path/pick/doc.go
@@ -1,4 +1,3 @@
-// Package pick chooses the backend server for a request: by the rules first,
-// then by failure domain, room and what recent outcomes tell. It takes no lock
-// and allocates nothing on the path of a request.
+// Package pick selects the backend server for a request. The configured rules come first, then
+// failure domains, load and recent outcomes. Selection takes no lock and does not allocate.
 package pick
--- a/internal/path/pick/endpoint.go
+++ b/internal/path/pick/endpoint.go
@@ -9,72 +9,74 @@
 	"github.com/flamingomast/flamingomast/internal/plat/steady"
 )
 
-// The times and shares that picking goes by.
+// The parameters of the load estimate, ejection and slow start.
 const (
-	// loadReportTTL is how long a reported load counts; it fades over that time.
+	// loadReportTTL is the age at which a load report is ignored. Its weight declines linearly
+	// until then.
 	loadReportTTL = time.Second
-	// slownessDecay is the time without an answer after which a server is taken to be twice as
-	// fast as it was, so that one whose last answers were slow is tried again.
+	// slownessDecay is the time without a response after which a server is assumed to be twice as
+	// fast as measured, so that a server whose last responses were slow is tried again.
 	slownessDecay = 5 * time.Second
-	// unresponsiveAfter is how long a server with requests may answer nothing before
-	// others are preferred to it. A frozen process accepts connections and
-	// requests; only its lack of answers shows it.
+	// unresponsiveAfter is how long a server with running requests may send no response before
+	// others are preferred. A frozen process still accepts connections and requests and can be
+	// detected only by its missing responses.
 	unresponsiveAfter = time.Second
-	// minEject and maxEject bound how long a failing server is left out.
+	// minEject and maxEject bound how long a failing server is ejected.
 	minEject = time.Second
 	maxEject = 30 * time.Second
-	// shedEjection is how long a server that shed a request is left out.
+	// shedEjection is how long a server that shed a request is ejected.
 	shedEjection = 500 * time.Millisecond
-	// ejectFailureRate is the share of failures, in 1/one, above which a server is
-	// left out; one outcome weighs 1/8.
+	// ejectFailureRate is the failure rate above which a server is ejected, as a fixed-point number
+	// in units of 1/fixedOne. Each outcome has a weight of 1/8.
 	fixedOne         = 1 << 16
 	ejectFailureRate = fixedOne * 6 / 10
-	// minSlowStartShare is the least part of its share that a new server gets.
+	// minSlowStartShare is the minimum share of its regular requests that a new server gets.
 	minSlowStartShare = 0.05
-	// coldSlowdown is how many times as long a server takes that says it is cold.
+	// coldSlowdown is the factor by which a server that reports itself cold is assumed to be
+	// slower.
 	coldSlowdown = 2
-	// defaultServiceTime is the time for which servers are taken to hold a slot while
-	// none of them has answered.
+	// defaultServiceTime is the assumed service time until a server has responded.
 	defaultServiceTime = 100 * time.Millisecond
 )
 
-// Endpoint is a backend server as one outlet sees it. Its counters are shared
-// by all tables that hold it.
+// Endpoint is a backend server as seen by one outlet. All tables that contain it share its
+// counters.
 type Endpoint struct {
 	VM, Domain, Inlet string
-	// Process names the process of the VM's daemon.
+	// Process is the name of the process of the VM's daemon.
 	Process string
 	Slots   int
-	// Since is when it began to serve, SlowStart for how long its share grows.
+	// Since is when the server began to serve, SlowStart how long its share of requests grows
+	// afterwards.
 	Since     time.Time
 	SlowStart time.Duration
-	// ColdUntil is until when it is slow after its start.
+	// ColdUntil is when the server stops being slow after its start.
 	ColdUntil time.Time
-	// Suspect marks one that may be out of reach.
+	// Suspect is set if the server may be unreachable.
 	Suspect bool
-	// Software is the version of its software, empty where it does not tell.
+	// Software is the version of the server's software, empty if it reports none.
 	Software string
 
 	live *liveState
 }
 
-// live is what changes with each request.
+// liveState holds the counters that are updated with each request.
 type liveState struct {
 	running         atomic.Int32
-	reported        atomic.Uint64 // load, mean service in ms and time in ms: 16, 16 and 32 bits
+	reported        atomic.Uint64 // load, mean service time in ms, time in ms: 16, 16 and 32 bits
 	runningAtReport atomic.Int32  // running at the time of the report
-	lastResponse    atomic.Int64  // time of the last answer, or of the first request since idle
-	failureRate     atomic.Int32  // weighted share of failures, in 1/one
-	ejected         atomic.Int64  // until when it is left out
-	ejections       atomic.Int32  // how often in a row it was left out
-	unreachable     atomic.Bool   // no connection can be made, which is tried again beside requests
-	slowness        atomic.Uint64 // bits of the time of its answers against typical ones, 0 for unknown
-	measurements    atomic.Int32  // how many answers made it
-	reportedWaits   atomic.Uint64 // reported waits in ms by rank, 16 bits each
-	linkFreeAt      atomic.Int64  // when the VM's link will have sent what waits
+	lastResponse    atomic.Int64  // time of the last response, or of the first request since idle
+	failureRate     atomic.Int32  // weighted failure rate, in units of 1/fixedOne
+	ejected         atomic.Int64  // time until which the server is ejected
+	ejections       atomic.Int32  // consecutive ejections
+	unreachable     atomic.Bool   // connecting failed; the server is probed separately from requests
+	slowness        atomic.Uint64 // float64 bits of service time/typical service time, 0 if unknown
+	measurements    atomic.Int32  // number of responses in slowness
+	reportedWaits   atomic.Uint64 // reported waits by rank in ms, 16 bits each
+	linkFreeAt      atomic.Int64  // time at which the VM's link will have sent its backlog
 }
 
-// NewEndpoint returns an endpoint without a past.
+// NewEndpoint returns an endpoint with new counters.
 func NewEndpoint(ep Endpoint) *Endpoint {
 	ep.live = &liveState{}
 	return &ep
@@ -86,34 +88,34 @@
 	return &next
 }
 
-// Running returns how many requests this outlet has there.
+// Running returns how many requests of this outlet the server is running.
 func (ep *Endpoint) Running() int { return int(ep.live.running.Load()) }
 
-// Begin counts a request as sent.
+// Begin records that a request was sent.
 func (ep *Endpoint) Begin(now time.Time) {
 	if ep.live.running.Add(1) == 1 {
 		ep.live.lastResponse.Store(steady.Nanos(now))
 	}
 }
 
-// Verdict is what an attempt tells of the server.
+// Verdict is what an attempt says about the server.
 type Verdict int
 
 // The verdicts.
 const (
-	// Good is an answer.
+	// Success is a response.
 	Good Verdict = iota
-	// Busy is a refusal for want of room, which is no fault.
+	// Busy is a refusal for lack of capacity, which does not count as a failure.
 	Busy
-	// Shed is a refusal by the server itself, whose slots may look free.
+	// Shed is a refusal by the backend server itself, which may have free slots.
 	Shed
-	// Bad is a failure, or an answer that the server failed.
+	// Failure is a failed attempt, or a response that reports a server error.
 	Bad
 	// Unreachable means that no connection could be made.
 	Unreachable
 )
 
-// End counts a request as ended.
+// End records that a request ended.
 func (ep *Endpoint) End(now time.Time, vd Verdict, gp *Group) {
 	ep.live.running.Add(-1)
 	if vd != Unreachable {
@@ -122,12 +124,12 @@
 	}
 	switch vd {
 	case Unreachable:
-		// No connection: the daemon or its VM is gone, and no request was lost
-		// to find out. It is left out at once.
+		// The daemon or its VM is gone. Since no request was lost to find out, the server is
+		// ejected at once, whatever its failure rate.
 		ep.eject(now)
 		ep.live.unreachable.Store(true)
 	case Shed:
-		// It has few requests and would draw more and more of them.
+		// A server that sheds has few running requests, so it would attract more and more.
 		ep.recordOutcome(fixedOne)
 		if gp.mayEject(ep, now) {
 			ep.live.ejected.Store(steady.Nanos(now.Add(shedEjection)))
@@ -143,24 +145,23 @@
 	}
 }
 
-// The measure of a server's speed.
+// The parameters of slowness.
 const (
-	// slownessWeight is how many answers make it. With few, the one of equal servers that
-	// was lucky draws more than its share.
+	// slownessWeight is the number of responses that slowness averages. With fewer, chance would
+	// give one of several equal servers more than its share of the requests.
 	slownessWeight = 32
-	// initialWeight is how many answers a server is taken to have given as the others do
-	// before its first one. Without it, one that is slow by chance with its first
-	// answer gets nothing for seconds.
+	// initialWeight is the number of typical responses that a server is assumed to have given
+	// before its first one. Without it, a server whose first response is slow by chance gets no
+	// requests for seconds.
 	initialWeight = 4
-	// maxSlowness bounds what one answer counts: one of a long tail says little of the
-	// server.
+	// maxSlowness caps the ratio of a single response: an outlier says little about the server.
 	maxSlowness = 4
 )
 
-// Measured takes the time for which an answer held a slot, and what is typical of its
-// route over all servers. A mean time of the server alone would tell what it was asked
-// rather than how fast it is: one that has run short calls looks faster than another
-// that has run long records, and draws what all outlets send.
+// RecordServiceTime records for how long a request held a slot, relative to what is typical for its
+// route over all servers. A plain mean service time would reflect the kind of requests a server has
+// run rather than its speed: one that has run short calls would look faster than one that has run
+// long record requests, and attract the requests of all outlets.
 func (ep *Endpoint) Measured(serviceTime, typical time.Duration) {
 	if serviceTime <= 0 || typical <= 0 {
 		return
@@ -174,9 +175,9 @@
 	ep.live.slowness.Store(math.Float64bits(old + (ratio-old)/n))
 }
 
-// serviceTime returns for how long a request that takes others as long as typical is
-// expected to hold a slot. A server of which nothing is known is taken to be like the
-// others; were it taken to be slow, it would never show.
+// serviceTime returns how long a request is expected to hold a slot here if typical is the mean for
+// its route. A server without measurements is assumed to be as fast as the others. If it were
+// assumed to be slow, it would never be measured.
 func (ep *Endpoint) serviceTime(now time.Time, typical time.Duration) time.Duration {
 	slowness := math.Float64frombits(ep.live.slowness.Load())
 	if slowness == 0 {
@@ -189,7 +190,7 @@
 	return time.Duration(float64(typical) * slowness / (1 + idle))
 }
 
-// recordOutcome adds an outcome to the share of failures and returns it.
+// recordOutcome adds an outcome to the failure rate and returns the new rate.
 func (ep *Endpoint) recordOutcome(outcome int32) int32 {
 	for {
 		old := ep.live.failureRate.Load()
@@ -204,27 +205,26 @@
 	ejections := ep.live.ejections.Add(1)
 	duration := min(minEject<<min(ejections-1, 6), maxEject)
 	ep.live.ejected.Store(steady.Nanos(now.Add(duration)))
-	// Once it is back, a few failures leave it out again.
+	// After the ejection, a few more failures suffice to eject the server again.
 	ep.live.failureRate.Store(ejectFailureRate * 3 / 4)
 }
 
-// Out reports whether the server is left out for its failures.
+// Ejected reports whether the server is ejected.
 func (ep *Endpoint) Out(now time.Time) bool { return ep.live.ejected.Load() > steady.Nanos(now) }
 
-// KeepOut prolongs the time for which an unreachable server is left out.
+// EjectAgain prolongs the ejection of an unreachable server.
 func (ep *Endpoint) KeepOut(now time.Time) { ep.live.ejected.Store(steady.Nanos(now.Add(minEject))) }
 
-// Return ends the time for which an unreachable server is left out, once a
-// connection was made again.
+// Reinstate ends the ejection of an unreachable server after a connection was made.
 func (ep *Endpoint) Return() {
 	ep.live.unreachable.Store(false)
 	ep.live.ejected.Store(0)
 }
 
-// failureRate returns the weighted share of failures.
+// failureRate returns the weighted failure rate, 0 to 1.
 func (ep *Endpoint) failureRate() float64 { return float64(ep.live.failureRate.Load()) / fixedOne }
 
-// SetLoad takes the load that an inlet reported.
+// SetLoad records the load reported by an inlet.
 func (ep *Endpoint) SetLoad(ld result.Load, now time.Time, gp *Group) {
 	gp.meanUse.add(ld)
 	ep.live.linkFreeAt.Store(steady.Nanos(now.Add(ld.Backlog)))
@@ -239,11 +239,11 @@
 	ep.live.reported.Store(load<<48 | service<<32 | uint64(uint32(steady.Millis(now))))
 }
 
-// load estimates the requests at the server: those of this outlet for certain,
-// those of others as last reported. With age the report gives way to what is
-// typical of the service's servers. Were it to fade to nothing, an outlet of many
-// servers, which hears of each once a second, would pass by one that has room
-// for those of which it knows nothing.
+// load estimates the number of requests at the server: the current number of this outlet's own,
+// plus the others as last reported. As the report ages, the estimate moves to the mean load of the
+// service's servers. If it declined to zero instead, an outlet of many servers, which gets a report
+// from each once a second, would prefer servers with outdated reports to those known to have free
+// slots.
 func (ep *Endpoint) load(now time.Time, meanUse float64) float64 {
 	own := float64(ep.live.running.Load())
 	expected := meanUse * float64(ep.Slots)
@@ -260,34 +260,34 @@
 	return max(own, (float64(rep>>48)+ownDelta)*(1-faded)+expected*faded)
 }
 
-// Believed returns the load that is believed of the server and how old the last
-// report is, for the log.
+// EstimatedLoad returns the estimated load of the server and the age of its last report, for the
+// log.
 func (ep *Endpoint) Believed(now time.Time) (load float64, age time.Duration) {
 	rep := ep.live.reported.Load()
 	return ep.load(now, 0), time.Duration(uint32(steady.Millis(now))-uint32(rep)) * time.Millisecond
 }
 
-// skipInSlowStart reports whether a new server is to be passed over this time, so that
-// its share grows over its slow start.
+// skipInSlowStart reports whether a new server is passed over this time. It decides at random, so
+// that the server's share of requests grows over its slow start.
 func (ep *Endpoint) skipInSlowStart(now time.Time, rnd Random) bool {
 	age := now.Sub(ep.Since)
 	if ep.SlowStart <= 0 || age >= ep.SlowStart {
 		return false
 	}
-	// It has the fewest requests and wins nearly whenever it is compared, so its
-	// chance rises with the square of its age.
+	// A new server has the fewest requests and wins most comparisons, so its chance rises with the
+	// square of its age.
 	share := float64(age) / float64(ep.SlowStart)
 	return float64(rnd(shareResolution)) >= max(minSlowStartShare, share*share)*shareResolution
 }
 
-// shareResolution is how finely a share is drawn.
+// shareResolution is the number of steps in which a share is drawn at random.
 const shareResolution = 1000
 
-// cost is the time after which an answer is expected, were the request sent
-// here: the wait for a slot, and the time for which it is held. Servers of one
-// service differ in speed by more than two, so their free slots do not tell
-// which of them answers first. A server that fails part of its requests is
-// taken to need them again, and one that is nearly full to slow down.
+// cost estimates the time until the response if the request is sent here: the wait for a slot, plus
+// the service time. Servers of one service differ in speed by a factor of more than two, so free
+// slots alone do not show which one responds first. The cost increases with the failure rate, since
+// failed requests have to be sent again, and with the load, since servers slow down when nearly
+// full.
 func (ep *Endpoint) cost(now time.Time, cr *Want, meanUse float64) time.Duration {
 	slots := float64(max(1, ep.Slots))
 	load := ep.load(now, meanUse)
@@ -301,8 +301,8 @@
 	return time.Duration(cost)
 }
 
-// wait estimates the wait for a slot: what the inlet said last, and what this outlet
-// has sent since then. With age that gives way to what the load tells.
+// wait estimates the wait for a slot: what the inlet last reported for the rank, plus the requests
+// sent by this outlet since. As the report ages, the estimate moves to one derived from the load.
 func (ep *Endpoint) wait(now time.Time, rank int, load, serviceTime float64) float64 {
 	slots := float64(max(1, ep.Slots))
 	byLoad := max(0, load+1-slots) * serviceTime / slots
@@ -322,8 +322,8 @@
 	return (reported+excess*serviceTime/slots)*(1-faded) + byLoad*faded
 }
 
-// linkWait returns how long the VM's link has to send before it is free for an
-// answer of size bytes. Small answers go before the others.
+// linkWait returns how long the VM's link is busy before it can send a response of size bytes.
+// Small responses are sent ahead of the others.
 func (ep *Endpoint) linkWait(now time.Time, size int64) time.Duration {
 	if !Large(size) {
 		return 0
@@ -331,24 +331,22 @@
 	return max(0, time.Duration(ep.live.linkFreeAt.Load()-steady.Nanos(now)))
 }
 
-// Large reports whether an answer that is expected to have size bytes is large, so
-// that it waits for links.
+// Large reports whether a response with an expected size of size bytes counts as large, so that it
+// waits for links.
 func Large(size int64) bool { return size > largeResponse }
 
 const (
-	// largeResponse is the size above which an answer waits for the link, in bytes:
-	// what inlets take for a small one, and its head.
+	// largeResponse is the size in bytes, including the header, above which a response waits for
+	// the link. Inlets treat responses up to this size as small.
 	largeResponse = 10 << 10
-	// fullSlowdown is the part by which a server with all slots in use is taken
-	// to be slower than an idle one. It also spreads requests over servers of
-	// equal speed.
+	// fullSlowdown is by how much a server with all slots in use is assumed to be slower than an
+	// idle one. It also spreads requests over servers of equal speed.
 	fullSlowdown = 0.5
-	// waitWeight is how many times its length a wait counts: others come before
-	// it is over, and an inlet that expects a long one refuses.
+	// waitWeight is the factor by which a wait counts more than service time: other requests arrive
+	// before it is over, and an inlet that expects a long wait refuses.
 	waitWeight = 3
-	// failureWeight is how many times its cost a server counts besides that fails
-	// everything.
+	// failureWeight is the factor of the cost added for a failure rate of 1.
 	failureWeight = 4
-	// unresponsiveCost ranks a server that seems stuck behind all others.
+	// unresponsiveCost ranks a server that appears unresponsive behind all others.
 	unresponsiveCost = 100 * time.Second
 )
--- a/internal/path/pick/pick.go
+++ b/internal/path/pick/pick.go
@@ -11,55 +11,54 @@
 	"github.com/flamingomast/flamingomast/internal/roll/canary"
 )
 
-// Table is what a request is routed by: one version of the configuration and
-// the backend servers that it allows. It never changes; a request keeps one
-// for its whole life.
+// Table holds the data used to route a request: one version of the configuration and the backend
+// servers that it allows. It is immutable, and a request uses the same table until it ends.
 type Table struct {
 	Snap *snap.Snapshot
-	// Outlets is how many live daemons there are, each of which has an outlet.
+	// Outlets is the number of live daemons, each of which runs an outlet.
 	Outlets int
-	// Next is when the table has to be built anew though nothing else changes, the zero
-	// time for never.
+	// RebuildAt is when the table must be rebuilt even if nothing else changes, zero for never.
 	Next   time.Time
-	groups []*Group // by the index of the service
+	groups []*Group // indexed by snap.Service.Index
 }
 
-// Group has the backend servers of one service.
+// Group holds the backend servers of one service.
 type Group struct {
 	tiers []tier
 	all   []*Endpoint
 	spill bool
 	// meanUse is shared by all tables.
 	meanUse *utilization
-	// target has the servers of a version that is being rolled out, and rollout says which
-	// part of the requests they get; nil for none.
+	// target holds the servers of the version being rolled out, and rollout determines the share of
+	// requests that they get; nil if there is none.
 	target  *Group
 	rollout *canary.Rollout
-	// idle has the servers that take no requests because of their version.
+	// idle holds the servers that get no requests because of their software version.
 	idle []*Endpoint
 }
 
-// tier has the servers of failure domains that are equally preferred. Those
-// that may be out of reach stand behind the others.
+// tier holds the servers of equally preferred failure domains. Servers that may be unreachable are
+// kept apart and rank behind the others.
 type tier struct {
 	reachable, suspect pool
 }
 
-// pool is a list of servers of which the first near are used as long as one of
-// them takes requests.
+// pool is a list of servers, of which only the first subset ones are used as long as one of them is
+// available.
 type pool struct {
 	list   []*Endpoint
 	subset int
 }
 
-// subsetSize is how many servers of a pool an outlet uses. One that uses all
-// of a large failure domain hears of each so seldom that its reports say nothing by then,
-// and keeps a connection to each. With as many it hears of each in time, and some full
-// ones still leave others.
+// subsetSize is the number of servers of a pool that an outlet uses. An outlet that used all
+// servers of a large failure domain would get a load report from each so rarely that it is
+// outdated, and would keep a connection to each. With eight, reports are recent enough, and there
+// are other servers left if some are full.
 const subsetSize = 8
 
-// newPool returns the pool of an outlet: the servers in an order of its own, so
-// that outlets spread over servers, and one server more or less changes one place.
+// newPool returns the pool of an outlet. The servers are ordered by rendezvous hashing with the
+// outlet's name, so that outlets spread over the servers, and adding or removing a server changes
+// at most one of the subset.
 func newPool(list []*Endpoint, self string) pool {
 	if len(list) > subsetSize {
 		score := make(map[*Endpoint]uint64, len(list))
@@ -71,17 +70,16 @@
 	return pool{list: list, subset: min(subsetSize, len(list))}
 }
 
-// Group returns the servers of a service of the table's own snapshot.
+// Group returns the servers of a service, which must be from the table's own snapshot.
 func (tb *Table) Group(sv *snap.Service) *Group { return tb.groups[sv.Index] }
 
-// Len returns how many backend servers the group has.
+// Len returns the number of backend servers in the group.
 func (gp *Group) Len() int { return len(gp.all) }
 
-// mayEject reports whether a server may be left out for its failures. At least
-// half stay in use, and it must fail much more often than the others: when most
-// fail alike, the cause is rather the requests or something that all servers
-// share, such as a service that they call, and leaving out some would only load
-// the rest.
+// mayEject reports whether a failing server may be ejected. At least half of the servers stay in
+// use, and the server must fail much more often than the others. If most servers fail alike, the
+// likely cause is the requests or something that the servers share, such as a service that they
+// call, and ejecting some would only put more load on the rest.
 func (gp *Group) mayEject(candidate *Endpoint, now time.Time) bool {
 	ejected, others, sum := 0, 0, 0.0
 	for _, ep := range gp.all {
@@ -101,17 +99,17 @@
 	return others == ejected || candidate.failureRate() > outlierFactor*sum/float64(others-ejected)
 }
 
-// outlierFactor is how many times the others' mean share of failures a server must
-// have to be left out.
+// outlierFactor is how many times the mean failure rate of the others a server must have to be
+// ejected.
 const outlierFactor = 2
 
-// Tried holds the servers that a request has been sent to.
+// Tried holds the servers that a request has been sent to. Beyond eight, none is added.
 type Tried struct {
 	list [8]*Endpoint
 	n    int
 }
 
-// Add notes a server as tried.
+// Add marks a server as tried.
 func (tr *Tried) Add(ep *Endpoint) {
 	if tr.n < len(tr.list) {
 		tr.list[tr.n] = ep
@@ -128,46 +126,47 @@
 	return false
 }
 
-// Random returns a number from 0 to n-1.
+// Random returns a random number in [0, n).
 type Random func(n int) int
 
-// The price of a failure domain's border, which is paid by the byte, put as
-// time: a request waits so much rather than cross it.
+// The cost of sending a request to another failure domain, expressed as the additional wait at a
+// closer server that is accepted instead. Traffic between failure domains is charged by the byte.
 const (
-	// crossDomainLatency is what the way there and back takes.
+	// crossDomainLatency is the additional network round trip.
 	crossDomainLatency = 3 * time.Millisecond
-	// crossDomainPerByte is for each byte of the answer. At it, a request for a
-	// small answer rather waits a little, and one for a large answer stays in its
-	// failure domain as long as any server there takes it. When all failure domains are
-	// busy, nobody gains by crossing.
+	// crossDomainPerByte is the cost per byte of the response. At this value, a request with a
+	// small response accepts a short additional wait, and one with a large response stays in its
+	// failure domain as long as any server there accepts it. If all failure domains are busy,
+	// crossing gains nothing.
 	crossDomainPerByte = 30 * time.Microsecond
-	// crossDomainServiceShare is the part of the time for which a slot is held that is added,
-	// so that requests stay as long as there is room, whatever the speed of the
-	// servers there.
+	// crossDomainServiceShare is the fraction of the expected service time that is added, so that
+	// requests stay while there are free slots, regardless of how fast the servers there are.
 	crossDomainServiceShare = 0.5
 )
 
-// Want is what a request asks of a server.
+// Criteria describes a request for the selection of its server.
 type Want struct {
-	// Size is how many bytes its answer is expected to have.
+	// Size is the expected size of the response in bytes.
 	Size int64
-	// Stay keeps a large answer in the failure domain as long as a server there is
-	// alive. It is for narrow links: those behind the border are as busy, so that
-	// a large answer which finds no room here takes it from others there.
+	// StayInDomain keeps a request with a large response in the failure domain as long as a server
+	// there is alive. It is set where links are narrow: those of the other failure domains are
+	// equally busy, so a large response that finds no capacity here would take it from others
+	// there.
 	Stay bool
-	// Rank is the request's among those that wait, Held for how long those of its
-	// route hold a slot as a rule.
+	// Rank is the request's rank in the queue of an inlet (result.Rank), ServiceTime how long
+	// requests of its route usually hold a slot.
 	Rank int
 	Held time.Duration
-	// Reached says that a server within reach had no room for it. It is not sent to one
-	// that may be out of reach then: the answer that there is no room is known.
+	// FoundFull is set if a reachable server has refused the request for lack of capacity. The
+	// request is then not sent to a server that may be unreachable: it already has a definite
+	// answer, the refusal.
 	Reached bool
 }
 
-// Pick returns the server for a request, or nil when the group has none that was
-// not tried. Each tier stands for the best of some drawn at random. The cheapest one
-// wins, where a server behind more borders costs more. Where the rules do not let requests spill,
-// only the first tier with a server counts.
+// Pick returns the server for a request, or nil if the group has no suitable server left. It
+// samples each tier at random, takes the cheapest server of the sample, and adds a cost for each
+// more preferred tier that is passed over. The cheapest server over all tiers wins. If the
+// configuration does not let requests spill over, only the first tier with a server is used.
 func (gp *Group) Pick(now time.Time, cr Want, tried *Tried, rnd Random) *Endpoint {
 	if cr.Held <= 0 {
 		cr.Held = defaultServiceTime
@@ -202,7 +201,7 @@
 	return gp.lastResort(now, tried, rnd)
 }
 
-// hasAvailable reports whether a server of the tier is within reach and not left out.
+// hasAvailable reports whether the tier has a reachable server that is not ejected.
 func (tr *tier) hasAvailable(now time.Time) bool {
 	for _, ep := range tr.reachable.list {
 		if !ep.Out(now) {
@@ -212,16 +211,16 @@
 	return false
 }
 
-// suspectCost ranks servers that may be out of reach behind those that are not.
+// suspectCost ranks servers that may be unreachable behind the others.
 const suspectCost = 10 * time.Second
 
-// sampleSize is how many servers of a list are compared. With two, a list of which
-// one in ten has room would rarely show it; with all, every outlet would send to
-// the one that reported last.
+// sampleSize is how many servers of a list are compared. With two, a list in which one server in
+// ten has free slots would rarely offer it. If all were compared, every outlet would send to the
+// server that reported last.
 const sampleSize = 5
 
-// cheapest returns the server of a pool that costs least among some drawn, and its
-// cost.
+// cheapest returns the cheapest of a sample of the pool's servers, and its cost. It samples the
+// servers outside the subset only if none within it is available.
 func (pl *pool) cheapest(now time.Time, cr *Want, meanUse float64, tried *Tried, rnd Random) (*Endpoint, time.Duration) {
 	if len(pl.list) == 0 {
 		return nil, 0
@@ -243,13 +242,14 @@
 	return best, bestCost
 }
 
-// costNoise is the most, in percent, that is added to a cost by chance. Without it
-// a server whose time is measured one millisecond longer than the others' would
-// get nothing as long as they have room, and its measure would never change.
+// costNoise is the maximum random increase of a cost, in percent. Without it, a server measured as
+// one millisecond slower than the others would get no requests while they have free slots, and so
+// its measurement would never be updated.
 const costNoise = 15
 
-// sample takes servers that were neither tried nor left out, beginning at a random
-// one, and returns how many. One in its slow start is passed over for others.
+// sample collects servers that are neither tried nor ejected, starting at a random one, and returns
+// how many there are. A server passed over because of its slow start is used only if there is no
+// other.
 func sample(sampled *[sampleSize]*Endpoint, list []*Endpoint, now time.Time, tried *Tried, rnd Random) int {
 	start := rnd(len(list))
 	n := 0
@@ -274,10 +274,10 @@
 	return n
 }
 
-// lastResort returns a server that is left out, when there is no other: an
-// attempt may succeed, and a refusal without one certainly helps nobody. One that no
-// connection can be made to is tried beside requests: each that went there would hang,
-// and the slot of its parent with it.
+// lastResort returns an ejected server if there is no other: an attempt may succeed, while a
+// refusal certainly does not help. Ejected servers that cannot be connected to are excluded and
+// probed separately. A request sent there would hang and keep the slot of its parent request
+// occupied.
 func (gp *Group) lastResort(now time.Time, tried *Tried, rnd Random) *Endpoint {
 	if len(gp.all) == 0 {
 		return nil
--- a/internal/path/pick/pick_test.go
+++ b/internal/path/pick/pick_test.go
@@ -7,10 +7,10 @@
 	"github.com/flamingomast/flamingomast/internal/plat/steady"
 )
 
-// TestStayInDomain: the links of a failure domain are full of documents. A document that
-// found no room there was sent across the border, where the links are as full and
-// each costs more than it is worth. It is refused instead, as long as a server of
-// the failure domain is alive; small requests go where there is room.
+// TestStayInDomain checks large responses while the links of a failure domain are full. A document
+// request that found no capacity there was sent to another failure domain, where the links are
+// equally full and each transfer costs more than it is worth. It must be refused instead, as long
+// as a server of the failure domain is alive. Small requests go where there is capacity.
 func TestStayInDomain(t *testing.T) {
 	now := time.Now()
 	near := NewEndpoint(Endpoint{VM: "near", Slots: 4})
@@ -30,9 +30,9 @@
 		want  *Endpoint
 	}{
 		{"a document", Want{Size: 90_000, Stay: true}, Tried{}, false, near},
-		{"a document without room", Want{Size: 90_000, Stay: true}, busy, false, nil},
-		{"a document over wide links without room", Want{Size: 90_000}, busy, false, far},
-		{"a lookup without room", Want{Size: 1000, Stay: true}, busy, false, far},
+		{"a document without capacity", Want{Size: 90_000, Stay: true}, busy, false, nil},
+		{"a document over wide links without capacity", Want{Size: 90_000}, busy, false, far},
+		{"a lookup without capacity", Want{Size: 1000, Stay: true}, busy, false, far},
 		{"a document, the server is dead", Want{Size: 90_000, Stay: true}, Tried{}, true, far},
 	} {
 		near.live.ejected.Store(0)
@@ -40,13 +40,13 @@
 			near.live.ejected.Store(steady.Nanos(now.Add(time.Second)))
 		}
 		if got := gp.Pick(now, tc.cr, &tc.tried, zero); got != tc.want {
-			t.Errorf("%s goes to %+v, want %+v", tc.name, got, tc.want)
+			t.Errorf("%s is sent to %+v, want %+v", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestSubsets: 60 outlets use eight of 23 servers each. All servers must be used, and
-// one server more or less must change one place of an outlet at most.
+// TestSubsets lets 60 outlets choose a subset of eight of 23 servers each. All servers must be
+// used, and adding or removing one server must change at most one place of a subset.
 func TestSubsets(t *testing.T) {
 	servers := func(without int) (list []*Endpoint) {
 		for i := range 23 {
@@ -77,7 +77,7 @@
 	}
 	for vm, n := range used {
 		if n < 10 || n > 34 {
-			t.Errorf("server %s is used by %d outlets of 60; 21 are the mean", vm, n)
+			t.Errorf("server %s is used by %d outlets of 60; the mean is 21", vm, n)
 		}
 	}
 	if len(used) != 23 {
@@ -85,7 +85,7 @@
 	}
 }
 
-// TestLinkWait: a document goes where the link is free, a lookup does not care.
+// TestLinkWait checks that a document waits for a busy link, and a lookup does not.
 func TestLinkWait(t *testing.T) {
 	now := time.Now()
 	ep := NewEndpoint(Endpoint{VM: "a", Slots: 4})
--- a/internal/path/pick/process.go
+++ b/internal/path/pick/process.go
@@ -2,7 +2,7 @@
 
 import "github.com/flamingomast/flamingomast/internal/mesh/member"
 
-// Process returns the text that names the process of a record's owner. An
-// inlet compares it with its own: a request that was meant for a former
-// process, or for another VM that had the same address, is refused as not run.
+// Process returns the name of the process that owns a record. An inlet compares it with its own
+// name and refuses a request meant for a previous process, or for another VM that had the same
+// address, as not run.
 func Process(rc *member.Record) string { return rc.Process() }
--- a/internal/path/pick/table.go
+++ b/internal/path/pick/table.go
@@ -13,21 +13,21 @@
 	"github.com/flamingomast/flamingomast/internal/roll/canary"
 )
 
-// Fleet is what a table is built from besides the configuration.
+// Fleet is the state from which a table is built, apart from the configuration.
 type Fleet struct {
 	Members *member.View
 	Cut     *board.CutSet
-	// Self is the outlet's VM.
+	// Self is the VM of the outlet.
 	Self     string
 	Rollouts *canary.View
-	// Admission decides which versions of a service's software take requests; nil admits
-	// all that no rollout excludes.
+	// Admission decides which software versions of a service get requests. If it is nil, all do
+	// that no rollout excludes.
 	Admission *canary.Admission
 	Now       time.Time
 }
 
-// Build returns the table for a snapshot and a fleet. Endpoints that prev knows keep their
-// counters, as long as the same start of them serves.
+// Build returns the table for a snapshot and the state of the fleet. Endpoints that are already in
+// prev keep their counters, unless the backend server has restarted.
 func Build(sn *snap.Snapshot, fl Fleet, prev *Table) *Table {
 	known, meanUses := map[string]*Endpoint{}, map[string]*utilization{}
 	if prev != nil {
@@ -63,8 +63,8 @@
 	return tb
 }
 
-// inInventory reports whether the inventory has the server where it says that it is;
-// those of an announced service are in no inventory.
+// inInventory reports whether the inventory lists the server with the service and failure domain
+// that it claims. Servers of announced services are not in the inventory and always pass.
 func inInventory(sn *snap.Snapshot, sv *snap.Service, rc *member.Record) bool {
 	if sv.Announced {
 		return true
@@ -73,6 +73,8 @@
 	return declared && vm.Service == rc.Service && vm.Domain == rc.Domain
 }
 
+// endpointFor returns the endpoint for a record, with the counters of known if it is the same start
+// of the server.
 func endpointFor(rc *member.Record, sv *snap.Service, known *Endpoint) *Endpoint {
 	slots := rc.Slots
 	if slots <= 0 {
@@ -82,16 +84,16 @@
 		VM: rc.VM, Domain: rc.Domain, Inlet: rc.Inlet, Process: Process(rc), Slots: slots,
 		Since: rc.Since, SlowStart: time.Duration(sv.SlowStart), ColdUntil: rc.ColdUntil, Software: rc.Software,
 	}
-	// A server that starts anew has nothing of what is known of the one before: its
-	// speed and load are its own, and it was not the one that failed.
+	// A restarted server does not inherit the counters of its predecessor, whose speed, load and
+	// failures say nothing about it.
 	if known != nil && known.Process == ep.Process && known.Since.Equal(ep.Since) {
 		return known.WithFields(ep)
 	}
 	return NewEndpoint(ep)
 }
 
-// group returns the servers of a service by the versions of their software, and when that
-// changes by itself.
+// group divides the servers of a service by the cohort of their software version, and returns when
+// the cohorts change next without any other event.
 func (fl *Fleet) group(sv *snap.Service, list []*Endpoint, meanUse *utilization) (*Group, time.Time) {
 	ro := fl.Rollouts.Of(sv.Name)
 	counts := map[string]int{}
@@ -128,8 +130,8 @@
 	return gp, next
 }
 
-// firstServers returns the first n servers in an order that all outlets share and that takes
-// the failure domains in turn, and the others.
+// firstServers returns the first n servers and the rest, in an order that is the same at all
+// outlets and alternates between failure domains.
 func firstServers(list []*Endpoint, n int) (used, rest []*Endpoint) {
 	slices.SortFunc(list, func(a, b *Endpoint) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(a.VM), xxhash.Sum64String(b.VM)), cmp.Compare(a.VM, b.VM))
@@ -145,7 +147,7 @@
 	return list[:n], list[n:]
 }
 
-// newGroup returns a group of servers by how much their failure domains are preferred.
+// newGroup returns a group of servers, in tiers of equally preferred failure domains.
 func newGroup(sv *snap.Service, list []*Endpoint, self string, meanUse *utilization) *Group {
 	byDomain := map[string][]*Endpoint{}
 	for _, ep := range list {
@@ -171,7 +173,7 @@
 	return gp
 }
 
-// each calls yield for each server of the group, also those that take no requests.
+// each yields all servers of the group, including those that get no requests.
 func (gp *Group) each(yield func(*Endpoint) bool) {
 	lists := [][]*Endpoint{gp.all, gp.idle}
 	if gp.target != nil {
@@ -186,8 +188,8 @@
 	}
 }
 
-// For returns the servers for a request, which draws a number from 0 to 1: those of the
-// version that is being rolled out for its share of the requests, else those of before.
+// ForRequest returns the servers for a request, given a random number in [0, 1): those of the
+// version being rolled out for its share of the requests, otherwise those of the previous version.
 func (gp *Group) For(now time.Time, draw float64) *Group {
 	if gp.target == nil {
 		return gp
@@ -198,5 +200,5 @@
 	return gp
 }
 
-// Rollout returns the rollout that the group's requests take part in, nil for none.
+// Rollout returns the rollout that the group's requests take part in, or nil.
 func (gp *Group) Rollout() *canary.Rollout { return gp.rollout }
--- a/internal/path/pick/utilization.go
+++ b/internal/path/pick/utilization.go
@@ -7,17 +7,17 @@
 	"github.com/flamingomast/flamingomast/internal/path/result"
 )
 
-// utilization is the mean part of their slots that the servers of a service use, as far
-// as their inlets have told this outlet. The zero value knows nothing.
+// utilization is the average ratio of running and waiting requests to slots over the servers of a
+// service, as reported to this outlet by their inlets. The zero value is 0.
 type utilization struct {
 	bits atomic.Uint64 // of a float64
 }
 
-// utilizationWeight is how many reports make the mean: those of some seconds at an
-// outlet of many servers.
+// utilizationWeight is the weight of the average: at an outlet of many servers, as many reports
+// arrive within a few seconds.
 const utilizationWeight = 32
 
-// add takes a report. Of two at the same moment one may be lost.
+// add records a report. Of two concurrent reports, one may be lost.
 func (ut *utilization) add(ld result.Load) {
 	if ld.Slots <= 0 {
 		return
--- a/internal/path/retry/budget.go
+++ b/internal/path/retry/budget.go
@@ -5,57 +5,56 @@
 	"sync/atomic"
 )
 
-// Bound is what operators allow of repeats at one service, summed over all
-// outlets, in any window of some seconds.
+// Bound limits the repeats at one service, summed over all outlets, in any window of a few seconds.
+// A repeat is a retry by an outlet, or a call made by a backend server while it runs a repeat.
 type Bound struct {
-	// Ratio is how many repeats there may be for each request.
+	// Ratio is the number of repeats allowed per request.
 	Ratio float64
-	// Spare is how many more there may be in a window, however few requests come.
+	// Spare is the number of additional repeats allowed per window, however few requests there are.
 	Spare float64
 }
 
-// Default is the bound where operators set none. Repeats then add less than a fifth to
-// the load of a service that fails, which servers that run at four fifths can take;
-// the spare lets each of a dozen outlets repeat the four requests or so that a broken
-// connection leaves behind.
+// Default is the bound if operators set none. With it, repeats add less than a fifth to the load of
+// a failing service, which servers at 80% load can take. The spare lets each of a dozen outlets
+// retry the four or so requests lost with a broken connection.
 var Default = Bound{Ratio: 0.2, Spare: 50}
 
-// unit is one repeat in the numbers of a budget.
+// unit is one repeat in the fixed-point numbers of a budget.
 const unit = 1000
 
-// The parts of a bound that budgets use.
+// The parameters of budgets.
 const (
-	// usedShare is the part of the ratio that is spent. The rest covers that requests
-	// are counted here a little later than callers send them, and that an outlet of a
-	// very large fleet saves up one repeat though its part of the spare is less.
+	// usedShare is the fraction of the ratio that is used. The remainder allows for requests that
+	// are counted here slightly later than callers send them, and for outlets of very large fleets,
+	// which may save up one whole repeat even if their part of the spare is less.
 	usedShare = 0.95
-	// initialDivisor is the part of what may be saved up that a budget starts with.
+	// initialDivisor is the part of the maximum balance, as one in so many, that a budget starts
+	// with.
 	initialDivisor = 3
-	// maxDebt is how many repeats that could not be refused are remembered, so
-	// that a wave of them does not forbid retries long after it has passed.
+	// maxDebt is the maximum number of repeats by which the balance may be negative, so that a
+	// burst of repeats that could not be refused does not prevent retries long after it.
 	maxDebt = 10
 )
 
-// Budget bounds the repeats of one service at one outlet. Each request adds to it,
-// and what is not used is saved up to the outlet's part of the spare. So in any
-// window all outlets together repeat no more than the ratio of their requests and
-// the spare, however the requests are spread over them: one that has many requests
-// may repeat many.
+// Budget limits the repeats of one service at one outlet. Each request adds to its balance, which
+// is capped at the outlet's part of the spare. So in any window all outlets together send no more
+// repeats than the ratio of their requests plus the spare, however the requests are distributed
+// over them: an outlet with many requests may send many repeats.
 //
-// A budget starts with a third of what it may save up, one repeat at least, so that the
-// first requests may be repeated as well. The next ones pay that back: a fleet that
-// restarts within a window would have its spare twice otherwise.
+// A budget starts with a third of its maximum balance, but at least one repeat, so that the first
+// requests can be retried too. The following requests pay this credit back. Otherwise, a fleet that
+// restarts within a window would have twice its spare.
 //
-// The zero value allows none; New and Limit say how many.
+// The zero value allows no repeats; New and SetBound set how many.
 type Budget struct {
 	balance atomic.Int64
-	// maxBalance is what may be saved, perRequest what a request adds.
+	// maxBalance is the cap of the balance, perRequest what a request adds to it.
 	maxBalance, perRequest atomic.Int64
-	// initialCredit is what was given at the start and is not paid back yet.
+	// initialCredit is what remains to be paid back of the initial balance.
 	initialCredit atomic.Int64
 }
 
-// New returns a budget of one of several outlets.
+// New returns the budget of one of the given number of outlets.
 func New(bo Bound, outlets int) *Budget {
 	var bu Budget
 	bu.Limit(bo, outlets)
@@ -66,11 +65,11 @@
 	return &bu
 }
 
-// Limit sets what is allowed to an outlet that is one of several. Too low a number of
-// outlets, as one knows it that lost its links, does little harm: savings come from its
-// own requests alone, and are cut down with the next, higher number.
+// SetBound sets the bound and the number of outlets that share it. An outlet that lost its
+// connections and counts too few outlets does little harm: its balance grows with its own requests
+// only, and is capped again with the next, higher number.
 func (bu *Budget) Limit(bo Bound, outlets int) {
-	// One that may not save a whole repeat could never send one.
+	// An outlet with a maximum balance of less than one repeat could never send one.
 	share := math.Max(1, bo.Spare/float64(max(1, outlets)))
 	if bo.Ratio <= 0 {
 		share = 0
@@ -80,7 +79,7 @@
 	bu.add(0)
 }
 
-// Request adds what a new request brings.
+// AddRequest adds the allowance of a new request.
 func (bu *Budget) Request() {
 	n := bu.perRequest.Load()
 	if bu.initialCredit.Load() > 0 && bu.initialCredit.Add(-n) >= 0 {
@@ -89,12 +88,12 @@
 	bu.add(n)
 }
 
-// Charge takes part of a repeat that cannot be refused: a call that a backend server
-// makes while it runs a request for the second time. The budget may fall below zero
-// by it, and recovers with further requests.
+// Charge takes a fraction of a repeat that cannot be refused: a call made by a backend server that
+// may be running its parent request for the second time. The balance may become negative and
+// recovers with further requests.
 func (bu *Budget) Charge(part float64) { bu.add(-int64(part * unit)) }
 
-// Take takes one repeat out of the budget, if there is one.
+// Take takes one repeat out of the budget and reports whether the balance allowed it.
 func (bu *Budget) Take() bool {
 	for {
 		old := bu.balance.Load()
--- a/internal/path/retry/budget_test.go
+++ b/internal/path/retry/budget_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestBudget: every request fails and wants to be sent again. Retries stay
-// below a fifth of the requests, and most of what is allowed is used.
+// TestBudget retries every request as often as the budget allows. Retries must stay below a fifth
+// of the requests, and use most of the allowed ratio.
 func TestBudget(t *testing.T) {
 	bo := Bound{Ratio: 0.2, Spare: 20}
 	bu := New(bo, 1)
@@ -31,13 +31,13 @@
 		burst++
 	}
 	if burst > 20 {
-		t.Errorf("a burst of %d after a quiet time, bound 20", burst)
+		t.Errorf("%d retries in a burst after a time without any, bound 20", burst)
 	}
 }
 
-// TestLimit: the number of outlets changes as members come and go. What was saved is
-// cut down with the part that each may save; none at all may be sent where the ratio
-// is 0; debts are bounded.
+// TestLimit changes the number of outlets, as when members join and leave. The balance must be cut
+// down to each outlet's part of the spare, a ratio of 0 must allow no repeats, and debts must be
+// bounded.
 func TestLimit(t *testing.T) {
 	taken := func(bu *Budget) (n int) {
 		for bu.Take() {
@@ -53,8 +53,8 @@
 	}{
 		{"alone", Bound{Ratio: 0.2, Spare: 60}, 1, 60},
 		{"twelve", Bound{Ratio: 0.2, Spare: 60}, 12, 5},
-		{"more than the spare", Bound{Ratio: 0.2, Spare: 60}, 790, 1},
-		{"not known", Bound{Ratio: 0.2, Spare: 60}, 0, 60},
+		{"more outlets than the spare", Bound{Ratio: 0.2, Spare: 60}, 790, 1},
+		{"unknown number", Bound{Ratio: 0.2, Spare: 60}, 0, 60},
 		{"forbidden", Bound{Spare: 60}, 12, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -76,12 +76,12 @@
 		debt.Request()
 	}
 	if taken(debt) == 0 {
-		t.Error("a wave of calls that were made again forbids retries after 100 requests")
+		t.Error("a burst of repeated calls prevents retries after 100 further requests")
 	}
 }
 
-// fleet is a service A whose runs call a service B, and the outlets before both, in
-// virtual time. Both services shed a part of what they get.
+// fleet simulates two services, A and B, and the outlets in front of them, in virtual time.
+// Requests run by A make calls to B. Both services shed a fraction of their requests.
 type fleet struct {
 	bo      Bound
 	rnd     *rand.Rand
@@ -94,17 +94,17 @@
 
 type testOutlet struct {
 	a, b *Budget
-	// running and repeats are the runs of the VM's own server of A, of the last moment.
+	// running and repeats count the requests recently run by the VM's own server of A.
 	running, repeats float64
 }
 
-// counts are the requests and repeats of a service by tick.
+// counts holds the numbers of requests and repeats of a service by tick.
 type counts struct{ requests, repeats []int }
 
 const (
 	ticksPerSecond = 4
 	window         = 10 * ticksPerSecond
-	// shedFrom and shedUntil are between which ticks both services shed.
+	// Both services shed requests from tick shedFrom until shedUntil.
 	shedFrom  = 15 * ticksPerSecond
 	shedUntil = 45 * ticksPerSecond
 )
@@ -142,7 +142,8 @@
 	}
 }
 
-// request is one request for A at an outlet, with its repeats and the calls of its run.
+// request simulates a request for A at an outlet, with its retries and the calls made while it
+// runs.
 func (fl *fleet) request(ou *testOutlet, shed float64) {
 	at := len(fl.a.requests) - 1
 	fl.a.requests[at]++
@@ -170,7 +171,7 @@
 	}
 }
 
-// call is a call for B from the VM on which a run of A is.
+// call simulates a call for B by the server of A on the VM of runner.
 func (fl *fleet) call(runner *testOutlet, repeated bool, shed float64) {
 	at := len(fl.b.requests) - 1
 	fl.b.requests[at]++
@@ -192,8 +193,8 @@
 	}
 }
 
-// check tells by how much a window is above the bound at most, and which part of the
-// ratio was used while both services shed.
+// check returns by how much the repeats of the worst window exceed the bound, and which fraction of
+// the ratio was used while both services shed requests.
 func (co *counts) check(bo Bound) (over float64, used float64) {
 	sum := func(list []int, from int) (n int) {
 		for i := max(0, from); i < min(len(list), from+window); i++ {
@@ -213,12 +214,12 @@
 	return over, float64(repeats) / (bo.Ratio * float64(all))
 }
 
-// TestFleet: all servers of a service shed more than half of what they get, and what
-// they run calls another service that does the same. Each outlet had retries saved up
-// for itself, which were right for nine outlets: at some hundred they added up to many
-// times what operators allow, and calls of repeated runs came on top. Now no window is
-// above the bound, whatever the size, however the requests are spread, and also where
-// all processes start again; and what the bound allows is mostly used.
+// TestFleet lets all servers of a service shed more than half of their requests, while calls of
+// those that run go to another service that does the same. With a fixed balance per outlet, chosen
+// for nine outlets, some hundred outlets together exceeded the bound many times over, and calls of
+// repeated requests were added on top. No window may exceed the bound, for any fleet size and
+// distribution of requests and even if all processes restart, and most of the allowed repeats must
+// be used.
 func TestFleet(t *testing.T) {
 	for _, size := range []struct {
 		outlets int
@@ -235,7 +236,7 @@
 						}
 						if restart && tick%(5*ticksPerSecond) == 0 {
 							for _, ou := range fl.outlets {
-								// A new process reckons with many others until it knows them.
+								// A new process assumes many outlets until it knows their number.
 								ou.a, ou.b = New(fl.bo, 1000), New(fl.bo, 1000)
 							}
 						}
@@ -257,7 +258,7 @@
 						}
 					}
 					if fl.denied == 0 {
-						t.Error("the bound never held anything back: the load is too small to show it")
+						t.Error("no retry was denied: the load is too small to test the bound")
 					}
 				})
 			}
@@ -265,10 +266,10 @@
 	}
 }
 
-// TestPartitionedFleet: a failure domain of five is cut off, and each side takes the other's
-// VMs for gone after a time. No side knows of more outlets than there are on it, yet
-// savings come from its own requests, so the sum stays within the bound for those who
-// count it wrongly for some seconds.
+// TestPartitionedFleet cuts off one failure domain of five, after which each side takes the VMs of
+// the other for gone. The outlets then count fewer outlets than there are in total. Since balances
+// grow only with an outlet's own requests, the sum must stay within the bound that applies to the
+// whole fleet.
 func TestPartitionedFleet(t *testing.T) {
 	fl := newFleet(295, 630, false)
 	for tick := range 50 * ticksPerSecond {
--- a/internal/path/retry/retry.go
+++ b/internal/path/retry/retry.go
@@ -7,16 +7,16 @@
 	"github.com/flamingomast/flamingomast/internal/path/result"
 )
 
-// MaxAttempts is how often a request is sent at most: three servers without room, and
-// three more that cannot be reached or whose kept connections break.
+// MaxAttempts is the maximum number of attempts for a request: three servers without free slots,
+// and three more that are unreachable or whose reused connections break.
 const MaxAttempts = 6
 
-// Allowed reports whether a request with this outcome may be sent again.
+// Allowed reports whether a request with the given outcome may be sent again.
 //
-// What has not run may always be. What may have run may be only where that
-// does no harm: by default requests with safe methods, RFC 9110 section 9.2.1;
-// all or none where a rule says so. An Idempotency-Key of the caller's does
-// not count, since nothing here knows that the backend server heeds it.
+// A request that has not run always may. One that may have run may only if that does no harm: by
+// default if its method is safe (RFC 9110, section 9.2.1), otherwise always or never as configured
+// for its route. An Idempotency-Key sent by the caller does not count, because it is unknown
+// whether the backend server honors it.
 func Allowed(oc result.Outcome, rp decl.Repeat, method string) bool {
 	switch oc {
 	case result.NotRun:
--- a/internal/path/shed/doc.go
+++ b/internal/path/shed/doc.go
@@ -1,3 +1,3 @@
-// Package shed decides at an outlet which requests are not even offered, when
-// the inlets refuse most of them.
+// Package shed throttles requests at an outlet before they are offered to any inlet, when the
+// inlets refuse most of them.
 package shed
--- a/internal/path/shed/shed.go
+++ b/internal/path/shed/shed.go
@@ -8,42 +8,40 @@
 	"github.com/flamingomast/flamingomast/internal/plat/steady"
 )
 
-// The measures of a throttle.
+// The parameters of a throttle.
 const (
-	// offersPerAccept is how many requests are offered for each that is taken. The load
-	// answered: when all servers of a service but one are gone, every outlet
-	// offers it all it has, and refusing takes the one inlet more time than
-	// serving. At 2, refusals cost at most as many messages as answers do, and
-	// room that becomes free is found within a window.
+	// offersPerAccept is how many requests are offered for each accepted one. When all servers of a
+	// service but one are gone, every outlet offers its whole load to that one, and refusing it
+	// takes the inlet more time than serving. At 2, refusals cost at most as many messages as
+	// responses, and capacity that becomes available is found within one half-life.
 	offersPerAccept = 2
 	// halfLife is the time after which an outcome counts half.
 	halfLife = 500 * time.Millisecond
-	// minOffers is how many requests a window are offered whatever the outcomes, so
-	// that room is found after everything was refused.
+	// minOffers is the number of requests offered per half-life regardless of outcomes, so that
+	// capacity is found after all requests were refused.
 	minOffers = 6
-	// Priorities is how many priorities are told apart.
+	// Priorities is the number of distinct priorities.
 	Priorities = 4
 )
 
-// Throttle counts, for each priority, the requests of a service and those that
-// were taken. The zero value is ready for use.
+// Throttle counts the offered and the accepted requests of a service by priority. The zero value is
+// ready for use.
 //
-// An urgent request says nothing of the less urgent ones, but what was refused
-// to an urgent one is not offered to them either.
+// Priorities are independent: a refusal of one priority does not reduce the offers of another.
 type Throttle struct {
 	counters [Priorities]counter
 }
 
-// counter holds decaying sums; all fields change together by compare-and-swap of
-// their packed form.
+// counter holds decaying sums. All fields change together, by compare-and-swap of their packed
+// form.
 type counter struct {
-	packed atomic.Uint64 // asked, taken: 20 bits each, in 1/16; time in ms/8: 24 bits
+	packed atomic.Uint64 // requests, accepts: 20 bits each, in 1/16; time in units of 8 ms: 24 bits
 }
 
 const (
 	fixedOne = 16
 	maxSum   = 1<<20 - 1
-	tickMs   = 8 // milliseconds of one tick
+	tickMs   = 8 // milliseconds per tick
 	tickMask = 1<<24 - 1
 )
 
@@ -52,7 +50,7 @@
 	pk := co.packed.Load()
 	age := (tick - pk&tickMask) & tickMask
 	if age > tickMask/2 {
-		// Another request has written a later time.
+		// A concurrent request has already written a later time.
 		age = 0
 	}
 	decay := math.Exp2(-float64(age) * tickMs / float64(halfLife.Milliseconds()))
@@ -72,8 +70,8 @@
 
 func toFixed(v float64) uint64 { return min(uint64(v*fixedOne), maxSum) }
 
-// Offer reports whether a request of a priority should be offered; draw is a
-// random number from 0 to 1.
+// Allow reports whether a request of the given priority should be offered. draw is a random number
+// in [0, 1).
 func (th *Throttle) Offer(priority int, now time.Time, draw float64) bool {
 	co := &th.counters[priorityIndex(priority)]
 	requests, accepts, _ := co.read(now)
@@ -85,7 +83,7 @@
 	return false
 }
 
-// Done notes whether a request that was offered was taken.
+// RecordOutcome records whether an offered request was accepted.
 func (th *Throttle) Done(priority int, now time.Time, accepted bool) {
 	n := 0.0
 	if accepted {
--- a/internal/path/shed/shed_test.go
+++ b/internal/path/shed/shed_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// simulate sends rate requests a second for some seconds to a server that takes room
-// of them a second, and returns what was offered and taken in the last second.
+// simulate sends rate requests per second for some seconds to a server that accepts capacity
+// requests per second, and returns how many were offered and accepted in the last second.
 func simulate(th *Throttle, start time.Time, rate, capacity, seconds int) (offered, accepted int) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for s := range seconds {
@@ -18,7 +18,7 @@
 				continue
 			}
 			offered++
-			// The room is spread evenly over the second.
+			// The capacity is distributed evenly over the second.
 			ok := accepted < capacity*(i+1)/rate
 			if ok {
 				accepted++
@@ -29,9 +29,9 @@
 	return offered, accepted
 }
 
-// TestOverload: a service can take a tenth of what comes. Without a throttle each
-// of its few servers refuses nine requests for one that it serves; with it they
-// are offered little more than two, and lose nothing.
+// TestOverload simulates services with capacity for a part of their requests only. Without a
+// throttle, a service at ten times its capacity refuses nine requests for each one that it serves.
+// With it, little more than two are offered for each, and no capacity is left unused.
 func TestOverload(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, tc := range []struct{ rate, capacity, most, least int }{
@@ -39,26 +39,26 @@
 	} {
 		var th Throttle
 		offered, accepted := simulate(&th, start, tc.rate, tc.capacity, 10)
-		t.Logf("%d a second with room for %d: %d offered, %d taken", tc.rate, tc.capacity, offered, accepted)
+		t.Logf("%d requests per second with capacity for %d: %d offered, %d accepted", tc.rate, tc.capacity, offered, accepted)
 		if offered > tc.most || accepted < tc.least {
-			t.Errorf("%d a second with room for %d: %d offered, bound %d; %d taken, bound %d", tc.rate, tc.capacity, offered, tc.most, accepted, tc.least)
+			t.Errorf("%d requests per second with capacity for %d: %d offered, bound %d; %d accepted, bound %d", tc.rate, tc.capacity, offered, tc.most, accepted, tc.least)
 		}
 	}
 }
 
-// TestRecovery: the servers return after an outage in which everything was
-// refused. All requests are offered again within three seconds.
+// TestRecovery checks that after an outage in which all requests were refused, all of them are
+// offered again within three seconds.
 func TestRecovery(t *testing.T) {
 	var th Throttle
 	start := time.Unix(1000, 0)
 	simulate(&th, start, 300, 0, 10)
 	offered, accepted := simulate(&th, start.Add(10*time.Second), 300, 300, 4)
 	if offered < 300 || accepted < 300 {
-		t.Errorf("%d offered and %d taken of 300 in the fourth second", offered, accepted)
+		t.Errorf("%d offered and %d accepted of 300 in the fourth second", offered, accepted)
 	}
 }
 
-// TestRanks: refusals of the least urgent kind hold back no other.
+// TestRanks checks that refusals at one priority do not reduce the offers of others.
 func TestRanks(t *testing.T) {
 	var th Throttle
 	now := time.Unix(1000, 0)
@@ -66,9 +66,9 @@
 		th.Done(2, now, false)
 	}
 	if th.Offer(2, now, 0.5) {
-		t.Error("the refused kind is offered")
+		t.Error("the refused priority is offered")
 	}
 	if !th.Offer(1, now, 0) || !th.Offer(100, now, 0) {
-		t.Error("other kinds are held back")
+		t.Error("other priorities are throttled")
 	}
 }
