--- a/internal/path/again/again.go
+++ b/internal/path/again/again.go
@@ -9,101 +9,98 @@
 )
 
 const (
-	// places and ways bound the failed tries that are remembered: as many as an outlet
-	// refuses in a few seconds of overload. Tries that fall into one place have ways
-	// there, so that none of a wave is lost.
-	places = 1 << 8
-	ways   = 8
-	// tolerance is by how much the moment may differ at which a caller stops waiting,
-	// as its two tries tell it: several times the way to the callers.
-	tolerance = 25 * time.Millisecond
+	// sets and ways are the dimensions of the set-associative table of failed tries. It holds as
+	// many as an outlet refuses within a few seconds of overload. Tries that map to the same set
+	// share its ways, so that a burst of failures does not overwrite entries that are still needed.
+	sets = 1 << 8
+	ways = 8
+	// deadlineTolerance is the largest difference between the deadlines of two tries of the same
+	// request: several times the network latency to the callers.
+	deadlineTolerance = 25 * time.Millisecond
 )
 
-// Memory holds failed tries. The zero value is empty. Its methods may be called from
-// any goroutine.
+// Tracker remembers failed tries. The zero value is empty. Its methods are safe for concurrent use.
 //
-// The time that a caller gives does not tell by itself how long it has been at its
-// request, since callers of one route differ in patience. But a caller that comes
-// back asks for the same, and stops waiting at the same moment as before.
+// The timeout that a caller sends does not show how long the caller has been trying, since callers
+// of one route use different timeouts. But a retry is for the same request and has the same
+// deadline as the try before it.
 type Memory struct {
-	tries [places][ways]atomic.Pointer[Try]
+	tries [sets][ways]atomic.Pointer[Try]
 }
 
-// Try is a caller's try at a request.
+// Try is one try of a caller at a request.
 type Try struct {
-	// First is when the first try came, until when its caller stops waiting.
-	First time.Time
-	until time.Time
-	key   uint64
-	// failed is when this try was given up on.
-	failed time.Time
+	// FirstAt is when the first try arrived, deadline when the caller stops waiting.
+	First    time.Time
+	deadline time.Time
+	key      uint64
+	// failedAt is when the try failed.
+	failedAt time.Time
 }
 
-// Came returns the try of a request that came at a moment, whose caller waits for as
-// long as left from then on, 0 where it does not say. It reports whether it is a
-// further one, and takes that into the account of its route.
-func (me *Memory) Came(r *http.Request, at time.Time, left time.Duration, ro *Route) (tr *Try, further bool) {
-	tr = &Try{First: at}
-	if left <= 0 {
+// Arrived returns the try of a request that arrived at now and whose caller waits for timeout, 0 if
+// unknown. It reports whether the request is a retry, and if so counts it for its route.
+func (tk *Memory) Came(r *http.Request, now time.Time, timeout time.Duration, rs *Route) (tr *Try, further bool) {
+	tr = &Try{First: now}
+	if timeout <= 0 {
 		return tr, false
 	}
-	tr.until, tr.key = at.Add(left), key(r)
+	tr.deadline, tr.key = now.Add(timeout), key(r)
 	for i := range ways {
-		place := &me.tries[tr.key%places][i]
-		old := place.Load()
-		if old == nil || !old.same(tr) || !old.failed.Before(at) || !place.CompareAndSwap(old, nil) {
+		entry := &tk.tries[tr.key%sets][i]
+		old := entry.Load()
+		if old == nil || !old.same(tr) || !old.failedAt.Before(now) || !entry.CompareAndSwap(old, nil) {
 			continue
 		}
 		tr.First = old.First
-		ro.back(old.failed)
+		rs.countRetried(old.failedAt)
 		return tr, true
 	}
 	return tr, false
 }
 
-// same reports whether two tries are of one caller and request.
+// same reports whether two tries are from the same caller for the same request.
 func (tr *Try) same(other *Try) bool {
-	return tr.key == other.key && tr.until.Sub(other.until).Abs() <= tolerance
+	return tr.key == other.key && tr.deadline.Sub(other.deadline).Abs() <= deadlineTolerance
 }
 
-// Failed remembers a try that was given up on now. Told says that its caller was told
-// to come back.
-func (me *Memory) Failed(tr *Try, now time.Time, told bool, ro *Route) {
-	if tr.until.IsZero() {
+// Failed records that a try failed at now. retryAdvised is set if the caller was told to retry.
+func (tk *Memory) Failed(tr *Try, now time.Time, retryAdvised bool, rs *Route) {
+	if tr.deadline.IsZero() {
 		return
 	}
 	next := *tr
-	next.failed = now
-	me.place(tr.key, now).Store(&next)
-	if told {
-		ro.told(now)
+	next.failedAt = now
+	tk.entry(tr.key, now).Store(&next)
+	if retryAdvised {
+		rs.countAdvised(now)
 	}
 }
 
-// place returns where a try is put: in place of the one whose caller stops waiting
-// first, which is over already as a rule.
-func (me *Memory) place(key uint64, now time.Time) *atomic.Pointer[Try] {
+// entry returns the entry to overwrite with a try: one whose deadline has passed, otherwise the one
+// with the earliest deadline.
+func (tk *Memory) entry(key uint64, now time.Time) *atomic.Pointer[Try] {
 	var best *atomic.Pointer[Try]
-	var until time.Time
+	var deadline time.Time
 	for i := range ways {
-		place := &me.tries[key%places][i]
-		old := place.Load()
-		if old == nil || old.until.Before(now) {
-			return place
+		entry := &tk.tries[key%sets][i]
+		old := entry.Load()
+		if old == nil || old.deadline.Before(now) {
+			return entry
 		}
-		if best == nil || old.until.Before(until) {
-			best, until = place, old.until
+		if best == nil || old.deadline.Before(deadline) {
+			best, deadline = entry, old.deadline
 		}
 	}
 	return best
 }
 
-// key names what a request asks for.
+// key returns a hash of the method, host and URI of a request.
 func key(r *http.Request) uint64 {
 	var di xxhash.Digest
 	di.Reset()
 	for _, text := range [...]string{r.Method, r.Host, r.RequestURI} {
-		// Writing to a digest does not fail.
+		// Writing to a digest cannot fail.
 		_, _ = di.WriteString(text)
 		_, _ = di.WriteString("\x00")
 	}
--- a/internal/path/pick/pick.go
+++ b/internal/path/pick/pick.go
@@ -11,107 +11,105 @@
 	"github.com/flamingomast/flamingomast/internal/roll/canary"
 )
 
-// Table is what a request is routed by: one version of the configuration and
-// the backend servers that it allows. It never changes; a request keeps one
-// for its whole life.
+// Table holds the data used to route a request: one version of the configuration and the backend
+// servers that it allows. It is immutable, and a request uses the same table until it ends.
 type Table struct {
 	Snap *snap.Snapshot
-	// Outlets is how many live daemons there are, each of which has an outlet.
+	// Outlets is the number of live daemons, each of which runs an outlet.
 	Outlets int
-	// Next is when the table has to be built anew though nothing else changes, the zero
-	// time for never.
+	// RebuildAt is when the table must be rebuilt even if nothing else changes, zero for never.
 	Next   time.Time
-	groups []*Group // by the index of the service
+	groups []*Group // indexed by snap.Service.Index
 }
 
-// Group has the backend servers of one service.
+// Group holds the backend servers of one service.
 type Group struct {
 	tiers []tier
 	all   []*Endpoint
 	spill bool
-	// typical is shared by all tables.
-	typical *use
-	// target has the servers of a version that is being rolled out, and rollout says which
-	// part of the requests they get; nil for none.
+	// meanUse is shared by all tables.
+	meanUse *utilization
+	// target holds the servers of the version being rolled out, and rollout determines the share of
+	// requests that they get; nil if there is none.
 	target  *Group
 	rollout *canary.Rollout
-	// idle has the servers that take no requests because of their version.
+	// idle holds the servers that get no requests because of their software version.
 	idle []*Endpoint
 }
 
-// tier has the servers of failure domains that are equally preferred. Those
-// that may be out of reach stand behind the others.
+// tier holds the servers of equally preferred failure domains. Servers that may be unreachable are
+// kept apart and rank behind the others.
 type tier struct {
-	strong, weak pool
+	reachable, suspect pool
 }
 
-// pool is a list of servers of which the first near are used as long as one of
-// them takes requests.
+// pool is a list of servers, of which only the first subset ones are used as long as one of them is
+// available.
 type pool struct {
-	list []*Endpoint
-	near int
+	list   []*Endpoint
+	subset int
 }
 
-// nearCount is how many servers of a pool an outlet uses. One that uses all
-// of a large failure domain hears of each so seldom that its reports say nothing by then,
-// and keeps a connection to each. With as many it hears of each in time, and some full
-// ones still leave others.
-const nearCount = 8
+// subsetSize is the number of servers of a pool that an outlet uses. An outlet that used all
+// servers of a large failure domain would get a load report from each so rarely that it is
+// outdated, and would keep a connection to each. With eight, reports are recent enough, and there
+// are other servers left if some are full.
+const subsetSize = 8
 
-// newPool returns the pool of an outlet: the servers in an order of its own, so
-// that outlets spread over servers, and one server more or less changes one place.
+// newPool returns the pool of an outlet. The servers are ordered by rendezvous hashing with the
+// outlet's name, so that outlets spread over the servers, and adding or removing a server changes
+// at most one of the subset.
 func newPool(list []*Endpoint, self string) pool {
-	if len(list) > nearCount {
+	if len(list) > subsetSize {
 		score := make(map[*Endpoint]uint64, len(list))
 		for _, ep := range list {
 			score[ep] = xxhash.Sum64String(self + "\x00" + ep.VM)
 		}
 		slices.SortFunc(list, func(a, b *Endpoint) int { return cmp.Compare(score[b], score[a]) })
 	}
-	return pool{list: list, near: min(nearCount, len(list))}
+	return pool{list: list, subset: min(subsetSize, len(list))}
 }
 
-// Group returns the servers of a service of the table's own snapshot.
+// Group returns the servers of a service, which must be from the table's own snapshot.
 func (tb *Table) Group(sv *snap.Service) *Group { return tb.groups[sv.Index] }
 
-// Len returns how many backend servers the group has.
+// Len returns the number of backend servers in the group.
 func (gp *Group) Len() int { return len(gp.all) }
 
-// mayEject reports whether a server may be left out for its failures. At least
-// half stay in use, and it must fail much more often than the others: when most
-// fail alike, the cause is rather the requests or something that all servers
-// share, such as a service that they call, and leaving out some would only load
-// the rest.
-func (gp *Group) mayEject(bad *Endpoint, now time.Time) bool {
-	out, others, sum := 0, 0, 0.0
+// mayEject reports whether a failing server may be ejected. At least half of the servers stay in
+// use, and the server must fail much more often than the others. If most servers fail alike, the
+// likely cause is the requests or something that the servers share, such as a service that they
+// call, and ejecting some would only put more load on the rest.
+func (gp *Group) mayEject(candidate *Endpoint, now time.Time) bool {
+	ejected, others, sum := 0, 0, 0.0
 	for _, ep := range gp.all {
-		if ep.live == bad.live {
+		if ep.live == candidate.live {
 			continue
 		}
 		others++
 		if ep.Out(now) {
-			out++
+			ejected++
 		} else {
-			sum += ep.failShareNow()
+			sum += ep.failureRate()
 		}
 	}
-	if (out+1)*2 > len(gp.all) {
+	if (ejected+1)*2 > len(gp.all) {
 		return false
 	}
-	return others == out || bad.failShareNow() > outlier*sum/float64(others-out)
+	return others == ejected || candidate.failureRate() > outlierFactor*sum/float64(others-ejected)
 }
 
-// outlier is how many times the others' mean share of failures a server must
-// have to be left out.
-const outlier = 2
+// outlierFactor is how many times the mean failure rate of the others a server must have to be
+// ejected.
+const outlierFactor = 2
 
-// Tried holds the servers that a request has been sent to.
+// Tried holds the servers that a request has been sent to. Beyond eight, none is added.
 type Tried struct {
 	list [8]*Endpoint
 	n    int
 }
 
-// Add notes a server as tried.
+// Add marks a server as tried.
 func (tr *Tried) Add(ep *Endpoint) {
 	if tr.n < len(tr.list) {
 		tr.list[tr.n] = ep
@@ -128,63 +126,64 @@
 	return false
 }
 
-// Random returns a number from 0 to n-1.
+// Random returns a random number in [0, n).
 type Random func(n int) int
 
-// The price of a failure domain's border, which is paid by the byte, put as
-// time: a request waits so much rather than cross it.
+// The cost of sending a request to another failure domain, expressed as the additional wait at a
+// closer server that is accepted instead. Traffic between failure domains is charged by the byte.
 const (
-	// borderHop is what the way there and back takes.
-	borderHop = 3 * time.Millisecond
-	// borderByte is for each byte of the answer. At it, a request for a
-	// small answer rather waits a little, and one for a large answer stays in its
-	// failure domain as long as any server there takes it. When all failure domains are
-	// busy, nobody gains by crossing.
-	borderByte = 30 * time.Microsecond
-	// borderPart is the part of the time for which a slot is held that is added,
-	// so that requests stay as long as there is room, whatever the speed of the
-	// servers there.
-	borderPart = 0.5
+	// crossDomainLatency is the additional network round trip.
+	crossDomainLatency = 3 * time.Millisecond
+	// crossDomainPerByte is the cost per byte of the response. At this value, a request with a
+	// small response accepts a short additional wait, and one with a large response stays in its
+	// failure domain as long as any server there accepts it. If all failure domains are busy,
+	// crossing gains nothing.
+	crossDomainPerByte = 30 * time.Microsecond
+	// crossDomainServiceShare is the fraction of the expected service time that is added, so that
+	// requests stay while there are free slots, regardless of how fast the servers there are.
+	crossDomainServiceShare = 0.5
 )
 
-// Want is what a request asks of a server.
+// Criteria describes a request for the selection of its server.
 type Want struct {
-	// Size is how many bytes its answer is expected to have.
+	// Size is the expected size of the response in bytes.
 	Size int64
-	// Stay keeps a large answer in the failure domain as long as a server there is
-	// alive. It is for narrow links: those behind the border are as busy, so that
-	// a large answer which finds no room here takes it from others there.
+	// StayInDomain keeps a request with a large response in the failure domain as long as a server
+	// there is alive. It is set where links are narrow: those of the other failure domains are
+	// equally busy, so a large response that finds no capacity here would take it from others
+	// there.
 	Stay bool
-	// Rank is the request's among those that wait, Held for how long those of its
-	// route hold a slot as a rule.
+	// Rank is the request's rank in the queue of an inlet (result.Rank), ServiceTime how long
+	// requests of its route usually hold a slot.
 	Rank int
 	Held time.Duration
-	// Reached says that a server within reach had no room for it. It is not sent to one
-	// that may be out of reach then: the answer that there is no room is known.
+	// FoundFull is set if a reachable server has refused the request for lack of capacity. The
+	// request is then not sent to a server that may be unreachable: it already has a definite
+	// answer, the refusal.
 	Reached bool
 }
 
-// Pick returns the server for a request, or nil when the group has none that was
-// not tried. Each tier stands for the best of some drawn at random. The cheapest one
-// wins, where a server behind more borders costs more. Where the rules do not let requests spill,
-// only the first tier with a server counts.
-func (gp *Group) Pick(now time.Time, wa Want, tried *Tried, rnd Random) *Endpoint {
-	if wa.Held <= 0 {
-		wa.Held = guessHeld
+// Pick returns the server for a request, or nil if the group has no suitable server left. It
+// samples each tier at random, takes the cheapest server of the sample, and adds a cost for each
+// more preferred tier that is passed over. The cheapest server over all tiers wins. If the
+// configuration does not let requests spill over, only the first tier with a server is used.
+func (gp *Group) Pick(now time.Time, cr Want, tried *Tried, rnd Random) *Endpoint {
+	if cr.Held <= 0 {
+		cr.Held = defaultServiceTime
 	}
 	var best *Endpoint
 	var bestCost time.Duration
 	for i := range gp.tiers {
-		for j, pl := range [2]*pool{&gp.tiers[i].strong, &gp.tiers[i].weak} {
-			if j > 0 && wa.Reached {
+		for j, pl := range [2]*pool{&gp.tiers[i].reachable, &gp.tiers[i].suspect} {
+			if j > 0 && cr.Reached {
 				break
 			}
-			ep, cost := pl.cheapest(now, &wa, gp.typical.share(), tried, rnd)
+			ep, cost := pl.cheapest(now, &cr, gp.meanUse.mean(), tried, rnd)
 			if ep == nil {
 				continue
 			}
-			border := borderHop + time.Duration(wa.Size)*borderByte + time.Duration(borderPart*float64(wa.Held))
-			cost += time.Duration(i)*border + time.Duration(j)*weakCost
+			crossDomainCost := crossDomainLatency + time.Duration(cr.Size)*crossDomainPerByte + time.Duration(crossDomainServiceShare*float64(cr.Held))
+			cost += time.Duration(i)*crossDomainCost + time.Duration(j)*suspectCost
 			if best == nil || cost < bestCost {
 				best, bestCost = ep, cost
 			}
@@ -192,19 +191,19 @@
 		if !gp.spill && best != nil {
 			return best
 		}
-		if wa.Stay && Large(wa.Size) && gp.tiers[i].takes(now) {
+		if cr.Stay && Large(cr.Size) && gp.tiers[i].hasAvailable(now) {
 			return best
 		}
 	}
-	if best != nil || wa.Reached {
+	if best != nil || cr.Reached {
 		return best
 	}
 	return gp.lastResort(now, tried, rnd)
 }
 
-// takes reports whether a server of the tier is within reach and not left out.
-func (tr *tier) takes(now time.Time) bool {
-	for _, ep := range tr.strong.list {
+// hasAvailable reports whether the tier has a reachable server that is not ejected.
+func (tr *tier) hasAvailable(now time.Time) bool {
+	for _, ep := range tr.reachable.list {
 		if !ep.Out(now) {
 			return true
 		}
@@ -212,29 +211,29 @@
 	return false
 }
 
-// weakCost ranks servers that may be out of reach behind those that are not.
-const weakCost = 10 * time.Second
+// suspectCost ranks servers that may be unreachable behind the others.
+const suspectCost = 10 * time.Second
 
-// draws is how many servers of a list are compared. With two, a list of which
-// one in ten has room would rarely show it; with all, every outlet would send to
-// the one that reported last.
-const draws = 5
+// sampleSize is how many servers of a list are compared. With two, a list in which one server in
+// ten has free slots would rarely offer it. If all were compared, every outlet would send to the
+// server that reported last.
+const sampleSize = 5
 
-// cheapest returns the server of a pool that costs least among some drawn, and its
-// cost.
-func (pl *pool) cheapest(now time.Time, wa *Want, use float64, tried *Tried, rnd Random) (*Endpoint, time.Duration) {
+// cheapest returns the cheapest of a sample of the pool's servers, and its cost. It samples the
+// servers outside the subset only if none within it is available.
+func (pl *pool) cheapest(now time.Time, cr *Want, meanUse float64, tried *Tried, rnd Random) (*Endpoint, time.Duration) {
 	if len(pl.list) == 0 {
 		return nil, 0
 	}
-	var drawn [draws]*Endpoint
-	n := draw(&drawn, pl.list[:pl.near], now, tried, rnd)
-	if n == 0 && pl.near < len(pl.list) {
-		n = draw(&drawn, pl.list[pl.near:], now, tried, rnd)
+	var sampled [sampleSize]*Endpoint
+	n := sample(&sampled, pl.list[:pl.subset], now, tried, rnd)
+	if n == 0 && pl.subset < len(pl.list) {
+		n = sample(&sampled, pl.list[pl.subset:], now, tried, rnd)
 	}
 	var best *Endpoint
 	var bestCost, bestNoisy time.Duration
-	for _, ep := range drawn[:n] {
-		cost := ep.cost(now, wa, use) + ep.linkWait(now, wa.Size)
+	for _, ep := range sampled[:n] {
+		cost := ep.cost(now, cr, meanUse) + ep.linkWait(now, cr.Size)
 		noisy := cost + cost*time.Duration(rnd(costNoise))/100
 		if best == nil || noisy < bestNoisy {
 			best, bestCost, bestNoisy = ep, cost, noisy
@@ -243,41 +242,42 @@
 	return best, bestCost
 }
 
-// costNoise is the most, in percent, that is added to a cost by chance. Without it
-// a server whose time is measured one millisecond longer than the others' would
-// get nothing as long as they have room, and its measure would never change.
+// costNoise is the maximum random increase of a cost, in percent. Without it, a server measured as
+// one millisecond slower than the others would get no requests while they have free slots, and so
+// its measurement would never be updated.
 const costNoise = 15
 
-// draw takes servers that were neither tried nor left out, beginning at a random
-// one, and returns how many. One in its slow start is passed over for others.
-func draw(drawn *[draws]*Endpoint, list []*Endpoint, now time.Time, tried *Tried, rnd Random) int {
+// sample collects servers that are neither tried nor ejected, starting at a random one, and returns
+// how many there are. A server passed over because of its slow start is used only if there is no
+// other.
+func sample(sampled *[sampleSize]*Endpoint, list []*Endpoint, now time.Time, tried *Tried, rnd Random) int {
 	start := rnd(len(list))
 	n := 0
-	var starting *Endpoint
+	var skipped *Endpoint
 	for i := range list {
 		ep := list[(start+i)%len(list)]
 		switch {
 		case ep.Out(now) || tried.has(ep):
 			continue
-		case ep.starting(now, rnd):
-			starting = ep
+		case ep.skipInSlowStart(now, rnd):
+			skipped = ep
 			continue
 		}
-		drawn[n] = ep
-		if n++; n == draws {
+		sampled[n] = ep
+		if n++; n == sampleSize {
 			break
 		}
 	}
-	if n == 0 && starting != nil {
-		drawn[0], n = starting, 1
+	if n == 0 && skipped != nil {
+		sampled[0], n = skipped, 1
 	}
 	return n
 }
 
-// lastResort returns a server that is left out, when there is no other: an
-// attempt may succeed, and a refusal without one certainly helps nobody. One that no
-// connection can be made to is tried beside requests: each that went there would hang,
-// and the slot of its parent with it.
+// lastResort returns an ejected server if there is no other: an attempt may succeed, while a
+// refusal certainly does not help. Ejected servers that cannot be connected to are excluded and
+// probed separately. A request sent there would hang and keep the slot of its parent request
+// occupied.
 func (gp *Group) lastResort(now time.Time, tried *Tried, rnd Random) *Endpoint {
 	if len(gp.all) == 0 {
 		return nil
@@ -285,7 +285,7 @@
 	start := rnd(len(gp.all))
 	for i := range gp.all {
 		ep := gp.all[(start+i)%len(gp.all)]
-		if !tried.has(ep) && !(ep.live.cut.Load() && ep.Out(now)) {
+		if !tried.has(ep) && !(ep.live.unreachable.Load() && ep.Out(now)) {
 			return ep
 		}
 	}
--- a/internal/path/shed/shed_test.go
+++ b/internal/path/shed/shed_test.go
@@ -6,59 +6,59 @@
 	"time"
 )
 
-// play sends rate requests a second for some seconds to a server that takes room
-// of them a second, and returns what was offered and taken in the last second.
-func play(th *Throttle, start time.Time, rate, room, seconds int) (offered, taken int) {
+// simulate sends rate requests per second for some seconds to a server that accepts capacity
+// requests per second, and returns how many were offered and accepted in the last second.
+func simulate(th *Throttle, start time.Time, rate, capacity, seconds int) (offered, accepted int) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for s := range seconds {
-		offered, taken = 0, 0
+		offered, accepted = 0, 0
 		for i := range rate {
 			now := start.Add(time.Duration(s)*time.Second + time.Duration(i)*time.Second/time.Duration(rate))
 			if !th.Offer(1, now, rnd.Float64()) {
 				continue
 			}
 			offered++
-			// The room is spread evenly over the second.
-			ok := taken < room*(i+1)/rate
+			// The capacity is distributed evenly over the second.
+			ok := accepted < capacity*(i+1)/rate
 			if ok {
-				taken++
+				accepted++
 			}
 			th.Done(1, now, ok)
 		}
 	}
-	return offered, taken
+	return offered, accepted
 }
 
-// TestOverload: a service can take a tenth of what comes. Without a throttle each
-// of its few servers refuses nine requests for one that it serves; with it they
-// are offered little more than two, and lose nothing.
+// TestOverload simulates services with capacity for a part of their requests only. Without a
+// throttle, a service at ten times its capacity refuses nine requests for each one that it serves.
+// With it, little more than two are offered for each, and no capacity is left unused.
 func TestOverload(t *testing.T) {
 	start := time.Unix(1000, 0)
-	for _, tc := range []struct{ rate, room, most, least int }{
+	for _, tc := range []struct{ rate, capacity, most, least int }{
 		{100, 100, 100, 100}, {100, 60, 100, 60}, {400, 40, 110, 38}, {1000, 20, 70, 18}, {1000, 0, 10, 0},
 	} {
 		var th Throttle
-		offered, taken := play(&th, start, tc.rate, tc.room, 10)
-		t.Logf("%d a second with room for %d: %d offered, %d taken", tc.rate, tc.room, offered, taken)
-		if offered > tc.most || taken < tc.least {
-			t.Errorf("%d a second with room for %d: %d offered, bound %d; %d taken, bound %d", tc.rate, tc.room, offered, tc.most, taken, tc.least)
+		offered, accepted := simulate(&th, start, tc.rate, tc.capacity, 10)
+		t.Logf("%d requests per second with capacity for %d: %d offered, %d accepted", tc.rate, tc.capacity, offered, accepted)
+		if offered > tc.most || accepted < tc.least {
+			t.Errorf("%d requests per second with capacity for %d: %d offered, bound %d; %d accepted, bound %d", tc.rate, tc.capacity, offered, tc.most, accepted, tc.least)
 		}
 	}
 }
 
-// TestRoomComesBack: the servers return after an outage in which everything was
-// refused. All requests are offered again within three seconds.
-func TestRoomComesBack(t *testing.T) {
+// TestRecovery checks that after an outage in which all requests were refused, all of them are
+// offered again within three seconds.
+func TestRecovery(t *testing.T) {
 	var th Throttle
 	start := time.Unix(1000, 0)
-	play(&th, start, 300, 0, 10)
-	offered, taken := play(&th, start.Add(10*time.Second), 300, 300, 4)
-	if offered < 300 || taken < 300 {
-		t.Errorf("%d offered and %d taken of 300 in the fourth second", offered, taken)
+	simulate(&th, start, 300, 0, 10)
+	offered, accepted := simulate(&th, start.Add(10*time.Second), 300, 300, 4)
+	if offered < 300 || accepted < 300 {
+		t.Errorf("%d offered and %d accepted of 300 in the fourth second", offered, accepted)
 	}
 }
 
-// TestRanks: refusals of the least urgent kind hold back no other.
+// TestRanks checks that refusals at one priority do not reduce the offers of others.
 func TestRanks(t *testing.T) {
 	var th Throttle
 	now := time.Unix(1000, 0)
@@ -66,9 +66,9 @@
 		th.Done(2, now, false)
 	}
 	if th.Offer(2, now, 0.5) {
-		t.Error("the refused kind is offered")
+		t.Error("the refused priority is offered")
 	}
 	if !th.Offer(1, now, 0) || !th.Offer(100, now, 0) {
-		t.Error("other kinds are held back")
+		t.Error("other priorities are throttled")
 	}
 }
