--- a/internal/path/ident/ident.go
+++ b/internal/path/ident/ident.go
@@ -23,8 +23,8 @@
 // bounds what is kept of a body that streams.
 const LeadBytes = 8 << 10
 
-// fields are what goes into a key beside the body.
-func fields(r *http.Request) [4]string {
+// keyFields are what goes into a key beside the body.
+func keyFields(r *http.Request) [4]string {
 	return [...]string{r.Method, r.Host, r.URL.RequestURI(), r.Header.Get("Authorization")}
 }
 
@@ -33,7 +33,7 @@
 func Head(r *http.Request) uint64 {
 	var di xxhash.Digest
 	di.Reset()
-	for _, text := range fields(r) {
+	for _, text := range keyFields(r) {
 		// Writing to a digest does not fail.
 		_, _ = di.WriteString(text)
 		_, _ = di.WriteString("\x00")
@@ -43,50 +43,50 @@
 
 // Of returns the key of a request whose body begins with lead; what is beyond LeadBytes
 // of it does not count.
-func Of(r *http.Request, lead []byte) Key {
+func Of(r *http.Request, prefix []byte) Key {
 	sum := sha256.New()
-	for _, text := range fields(r) {
+	for _, text := range keyFields(r) {
 		// Writing to a hash does not fail. The length tells where a field ends.
 		_ = binary.Write(sum, binary.BigEndian, uint32(len(text)))
 		_, _ = io.WriteString(sum, text)
 	}
-	_, _ = sum.Write(lead[:min(len(lead), LeadBytes)])
+	_, _ = sum.Write(prefix[:min(len(prefix), LeadBytes)])
 	return Key(binary.BigEndian.Uint64(sum.Sum(nil)))
 }
 
-// Lead reads a body and keeps its lead. It may be asked from another goroutine than
+// PrefixReader reads a body and keeps its lead. It may be asked from another goroutine than
 // the one that reads.
-type Lead struct {
+type PrefixReader struct {
 	r io.ReadCloser
 
-	mu   sync.Mutex
-	kept []byte
-	end  bool
+	mu     sync.Mutex
+	prefix []byte
+	eof    bool
 }
 
-// NewLead returns a lead of a body that has none yet.
-func NewLead(r io.ReadCloser) *Lead { return &Lead{r: r} }
+// NewPrefixReader returns a lead of a body that has none yet.
+func NewPrefixReader(r io.ReadCloser) *PrefixReader { return &PrefixReader{r: r} }
 
 // Read reads the body.
-func (le *Lead) Read(p []byte) (int, error) {
-	n, err := le.r.Read(p)
-	le.mu.Lock()
-	defer le.mu.Unlock()
-	le.kept = append(le.kept, p[:min(n, LeadBytes-len(le.kept))]...)
-	le.end = le.end || err == io.EOF
+func (pr *PrefixReader) Read(p []byte) (int, error) {
+	n, err := pr.r.Read(p)
+	pr.mu.Lock()
+	defer pr.mu.Unlock()
+	pr.prefix = append(pr.prefix, p[:min(n, LeadBytes-len(pr.prefix))]...)
+	pr.eof = pr.eof || err == io.EOF
 	return n, err
 }
 
 // Close closes the body.
-func (le *Lead) Close() error { return le.r.Close() }
+func (pr *PrefixReader) Close() error { return pr.r.Close() }
 
-// Bytes returns the lead of a body of the given length, -1 where that is not known. It
+// Prefix returns the lead of a body of the given length, -1 where that is not known. It
 // reports whether as much of the body has been read.
-func (le *Lead) Bytes(length int64) (lead []byte, whole bool) {
+func (pr *PrefixReader) Prefix(length int64) (prefix []byte, complete bool) {
 	if length == 0 {
 		return nil, true
 	}
-	le.mu.Lock()
-	defer le.mu.Unlock()
-	return le.kept, le.end || len(le.kept) == LeadBytes || int64(len(le.kept)) == length
+	pr.mu.Lock()
+	defer pr.mu.Unlock()
+	return pr.prefix, pr.eof || len(pr.prefix) == LeadBytes || int64(len(pr.prefix)) == length
 }
--- a/internal/path/ident/ident_test.go
+++ b/internal/path/ident/ident_test.go
@@ -49,15 +49,15 @@
 	}
 }
 
-// TestLead: a body that streams gives the same lead whatever the pieces in which it
+// TestPrefixReader: a body that streams gives the same lead whatever the pieces in which it
 // comes, and none before enough of it has come.
-func TestLead(t *testing.T) {
+func TestPrefixReader(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
 		size, length int64
 		read         int64
-		kept         int
-		whole        bool
+		prefix       int
+		complete     bool
 	}{
 		{"whole", 100, 100, 100, 100, true},
 		{"a part", 100, 100, 99, 99, false},
@@ -66,20 +66,20 @@
 		{"no length, at its end", 100, -1, 101, 100, true},
 		{"long", 3 * ident.LeadBytes, -1, 2 * ident.LeadBytes, ident.LeadBytes, true},
 	} {
-		le := ident.NewLead(io.NopCloser(iotest.OneByteReader(strings.NewReader(strings.Repeat("x", int(tc.size))))))
-		if _, err := io.CopyN(io.Discard, le, tc.read); err != nil && tc.read <= tc.size {
+		pr := ident.NewPrefixReader(io.NopCloser(iotest.OneByteReader(strings.NewReader(strings.Repeat("x", int(tc.size))))))
+		if _, err := io.CopyN(io.Discard, pr, tc.read); err != nil && tc.read <= tc.size {
 			t.Fatal(err)
 		}
-		lead, whole := le.Bytes(tc.length)
-		if len(lead) != tc.kept || whole != tc.whole {
-			t.Errorf("%s: %d bytes, whole %t; want %d, %t", tc.name, len(lead), whole, tc.kept, tc.whole)
+		prefix, complete := pr.Prefix(tc.length)
+		if len(prefix) != tc.prefix || complete != tc.complete {
+			t.Errorf("%s: %d bytes, whole %t; want %d, %t", tc.name, len(prefix), complete, tc.prefix, tc.complete)
 		}
 	}
 }
 
-// BenchmarkOf is the price of a key, which is paid only while some request is under
+// BenchmarkKeyOf is the price of a key, which is paid only while some request is under
 // suspicion and has the same head.
-func BenchmarkOf(b *testing.B) {
+func BenchmarkKeyOf(b *testing.B) {
 	r := httptest.NewRequest("POST", "http://booking/visits/7?day=2", nil)
 	body := make([]byte, 4<<10)
 	b.ReportAllocs()
--- a/internal/path/idle/idle.go
+++ b/internal/path/idle/idle.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, err
 	}
-	cn := &conn{Conn: nc, st: ln.st, since: time.Now()}
+	cn := &conn{Conn: nc, st: ln.st, idleSince: time.Now()}
 	ln.st.mu.Lock()
 	defer ln.st.mu.Unlock()
 	if ln.st.conns == nil {
@@ -54,7 +54,7 @@
 	case http.StateActive:
 		cn.busy = true
 	case http.StateIdle:
-		cn.busy, cn.since = false, time.Now()
+		cn.busy, cn.idleSince = false, time.Now()
 	}
 }
 
@@ -65,7 +65,7 @@
 	defer st.mu.Unlock()
 	now := time.Now()
 	for cn := range st.conns {
-		cn.end(now, age)
+		cn.closeIfIdle(now, age)
 	}
 	return len(st.conns)
 }
@@ -81,25 +81,25 @@
 	net.Conn
 	st *Set
 
-	mu    sync.Mutex
-	busy  bool
-	ended bool
-	// since is when it became idle.
-	since time.Time
+	mu      sync.Mutex
+	busy    bool
+	closing bool
+	// idleSince is when it became idle.
+	idleSince time.Time
 }
 
-// past is a deadline that ends a waiting read at once.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that ends a waiting read at once.
+var pastDeadline = time.Unix(1, 0)
 
-func (cn *conn) end(now time.Time, age time.Duration) {
+func (cn *conn) closeIfIdle(now time.Time, age time.Duration) {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
-	if cn.busy || now.Sub(cn.since) < age {
+	if cn.busy || now.Sub(cn.idleSince) < age {
 		return
 	}
-	cn.ended = true
+	cn.closing = true
 	// A connection that has failed ends by itself.
-	_ = cn.Conn.SetReadDeadline(past)
+	_ = cn.Conn.SetReadDeadline(pastDeadline)
 }
 
 // Read reads; what it brings makes the connection busy, also one that was just
@@ -112,8 +112,8 @@
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
 	cn.busy = true
-	if cn.ended {
-		cn.ended = false
+	if cn.closing {
+		cn.closing = false
 		_ = cn.Conn.SetReadDeadline(time.Time{})
 	}
 	return n, err
@@ -123,8 +123,8 @@
 func (cn *conn) SetReadDeadline(t time.Time) error {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
-	if cn.ended {
-		t = past
+	if cn.closing {
+		t = pastDeadline
 	}
 	return cn.Conn.SetReadDeadline(t)
 }
--- a/internal/path/idle/idle_test.go
+++ b/internal/path/idle/idle_test.go
@@ -74,33 +74,33 @@
 	})
 }
 
-// TestIdleEnds: a connection without a request ends, a new one only once it has
+// TestCloseIdle: a connection without a request ends, a new one only once it has
 // been idle for long enough.
-func TestIdleEnds(t *testing.T) {
+func TestCloseIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nw := memnet.New()
 		ho, _ := nw.Listen("caller:1", "")
 		st := serve(t, nw, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }))
-		used, fresh := dial(t, nw, ho), dial(t, nw, ho)
+		used, unused := dial(t, nw, ho), dial(t, nw, ho)
 		write(t, used, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 		if _, err := http.ReadResponse(bufio.NewReader(used), nil); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Second)
-		third := dial(t, nw, ho)
+		newest := dial(t, nw, ho)
 		synctest.Wait()
 		st.End(time.Second)
 		synctest.Wait()
 		if n := st.Len(); n != 1 {
 			t.Errorf("%d connections are left, want the newest", n)
 		}
-		for _, nc := range []net.Conn{used, fresh} {
+		for _, nc := range []net.Conn{used, unused} {
 			if _, err := nc.Read(make([]byte, 1)); err == nil {
 				t.Error("an idle connection goes on")
 			}
 		}
-		write(t, third, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
-		if _, err := http.ReadResponse(bufio.NewReader(third), nil); err != nil {
+		write(t, newest, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+		if _, err := http.ReadResponse(bufio.NewReader(newest), nil); err != nil {
 			t.Errorf("the newest connection: %v", err)
 		}
 	})
--- a/internal/path/inlet/broken.go
+++ b/internal/path/inlet/broken.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// crashWindow is how long after a break the other connections of a crashed server are
-	// given to be read as broken, crashSpan how long that takes on a busy VM.
-	crashWindow = 20 * time.Millisecond
-	crashSpan   = 500 * time.Millisecond
-	// crashBreaks is how many requests must have broken off together, and no other still
+	// crashSettleTime is how long after a break the other connections of a crashed server are
+	// given to be read as broken, maxCrashSpan how long that takes on a busy VM.
+	crashSettleTime = 20 * time.Millisecond
+	maxCrashSpan    = 500 * time.Millisecond
+	// minBrokenTogether is how many requests must have broken off together, and no other still
 	// run, for a server that accepts connections to be taken for crashed.
-	crashBreaks = 2
+	minBrokenTogether = 2
 	// brokenTTL is how long after a broken request the next start of the server is taken
 	// for a sign that the one before crashed.
 	brokenTTL = 10 * time.Second
@@ -20,124 +20,124 @@
 	maxBroken = 64
 )
 
-// flight is a request that a server is running.
-type flight struct {
-	of    Target
-	since time.Time
+// runningRequest is a request that a server is running.
+type runningRequest struct {
+	target    Target
+	startedAt time.Time
 }
 
-// broken is a request whose connection broke though the server accepts others.
-type broken struct {
-	id requestID
-	of Target
-	// since is when the server got it, at when its connection broke.
-	since, at time.Time
+// brokenRequest is a request whose connection broke though the server accepts others.
+type brokenRequest struct {
+	id     requestID
+	target Target
+	// startedAt is when the server got it, at when its connection broke.
+	startedAt, brokenAt time.Time
 }
 
-// sameStart reports whether two targets are one start of a backend server.
-func (tg *Target) sameStart(other *Target) bool {
+// sameInstance reports whether two targets are one start of a backend server.
+func (tg *Target) sameInstance(other *Target) bool {
 	return tg.VM == other.VM && tg.Lifetime == other.Lifetime && tg.StartedMs == other.StartedMs
 }
 
 // begin records that the server of a target runs a request, until finish.
-func (cd *crashDetector) begin(tg *Target) *flight {
-	fl := &flight{of: *tg, since: time.Now()}
+func (cd *crashDetector) begin(tg *Target) *runningRequest {
+	rr := &runningRequest{target: *tg, startedAt: time.Now()}
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
-	if cd.flights == nil {
-		cd.flights = map[*flight]bool{}
+	if cd.running == nil {
+		cd.running = map[*runningRequest]bool{}
 	}
-	cd.flights[fl] = true
-	return fl
+	cd.running[rr] = true
+	return rr
 }
 
 // finish records that a request has been answered or has failed; it may be called twice. A
 // server that answers a request which it ran when others broke off has not crashed.
-func (cd *crashDetector) finish(fl *flight, answered bool) {
+func (cd *crashDetector) finish(rr *runningRequest, answered bool) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
-	delete(cd.flights, fl)
+	delete(cd.running, rr)
 	if !answered || len(cd.broken) == 0 {
 		return
 	}
 	now := time.Now()
-	cd.broken = slices.DeleteFunc(cd.broken, func(br broken) bool {
-		return br.of.sameStart(&fl.of) && !fl.since.After(br.at) && now.Sub(br.at) > crashWindow
+	cd.broken = slices.DeleteFunc(cd.broken, func(br brokenRequest) bool {
+		return br.target.sameInstance(&rr.target) && !rr.startedAt.After(br.brokenAt) && now.Sub(br.brokenAt) > crashSettleTime
 	})
 }
 
-// interrupt records that the connection of a request broke.
-func (cd *crashDetector) interrupt(id requestID, fl *flight, now time.Time) {
+// addBroken records that the connection of a request broke.
+func (cd *crashDetector) addBroken(id requestID, rr *runningRequest, now time.Time) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
-	delete(cd.flights, fl)
-	cd.broken = append(cd.broken, broken{id: id, of: fl.of, since: fl.since, at: now})
+	delete(cd.running, rr)
+	cd.broken = append(cd.broken, brokenRequest{id: id, target: rr.target, startedAt: rr.startedAt, brokenAt: now})
 	if len(cd.broken) > maxBroken {
 		cd.broken = cd.broken[1:]
 	}
 }
 
-// judge returns the requests that a server ran when it crashed, none if it did not crash or
+// takeBrokenTogether returns the requests that a server ran when it crashed, none if it did not crash or
 // that is not known yet. Those count that broke off lately and ran together, and none if
 // the server still runs another one that ran beside them.
-func (cd *crashDetector) judge(tg *Target, now time.Time) (ids []requestID) {
+func (cd *crashDetector) takeBrokenTogether(tg *Target, now time.Time) (ids []requestID) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
-	recent := func(br broken) bool { return br.of.sameStart(tg) && now.Sub(br.at) < crashSpan }
-	first := slices.IndexFunc(cd.broken, recent)
-	if first < 0 {
+	recent := func(br brokenRequest) bool { return br.target.sameInstance(tg) && now.Sub(br.brokenAt) < maxCrashSpan }
+	oldest := slices.IndexFunc(cd.broken, recent)
+	if oldest < 0 {
 		return nil
 	}
-	from := cd.broken[first].at
-	for fl := range cd.flights {
-		if fl.of.sameStart(tg) && !fl.since.After(from) {
+	oldestAt := cd.broken[oldest].brokenAt
+	for rr := range cd.running {
+		if rr.target.sameInstance(tg) && !rr.startedAt.After(oldestAt) {
 			return nil
 		}
 	}
-	beside := func(br broken) bool { return recent(br) && !br.since.After(from) }
+	concurrent := func(br brokenRequest) bool { return recent(br) && !br.startedAt.After(oldestAt) }
 	for _, br := range cd.broken {
-		if beside(br) {
+		if concurrent(br) {
 			ids = append(ids, br.id)
 		}
 	}
-	if len(ids) < crashBreaks {
+	if len(ids) < minBrokenTogether {
 		return nil
 	}
-	cd.broken = slices.DeleteFunc(cd.broken, beside)
+	cd.broken = slices.DeleteFunc(cd.broken, concurrent)
 	return ids
 }
 
-// restarted returns the requests whose connections broke lately at another start of the
+// takeEarlierInstances returns the requests whose connections broke lately at another start of the
 // server than the present one, by that start.
-func (cd *crashDetector) restarted(tg *Target, now time.Time) map[Target][]requestID {
+func (cd *crashDetector) takeEarlierInstances(tg *Target, now time.Time) map[Target][]requestID {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
-	var ran map[Target][]requestID
-	cd.broken = slices.DeleteFunc(cd.broken, func(br broken) bool {
-		if tg.Lifetime == "" || br.of.sameStart(tg) {
+	var broken map[Target][]requestID
+	cd.broken = slices.DeleteFunc(cd.broken, func(br brokenRequest) bool {
+		if tg.Lifetime == "" || br.target.sameInstance(tg) {
 			return false
 		}
-		if now.Sub(br.at) < brokenTTL && br.of.Lifetime != "" {
-			if ran == nil {
-				ran = map[Target][]requestID{}
+		if now.Sub(br.brokenAt) < brokenTTL && br.target.Lifetime != "" {
+			if broken == nil {
+				broken = map[Target][]requestID{}
 			}
-			ran[br.of] = append(ran[br.of], br.id)
+			broken[br.target] = append(broken[br.target], br.id)
 		}
 		return true
 	})
-	return ran
+	return broken
 }
 
-// alive drops the broken requests that a server has survived.
-func (cd *crashDetector) alive(now time.Time) {
+// confirmAlive drops the broken requests that a server has survived.
+func (cd *crashDetector) confirmAlive(now time.Time) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
-	cd.broken = slices.DeleteFunc(cd.broken, func(br broken) bool { return now.Sub(br.at) > crashWindow })
+	cd.broken = slices.DeleteFunc(cd.broken, func(br brokenRequest) bool { return now.Sub(br.brokenAt) > crashSettleTime })
 }
 
-// leaves drops all broken requests, and those that a start of the server breaks later: one
+// markLeaving drops all broken requests, and those that a start of the server breaks later: one
 // that drains has not crashed.
-func (cd *crashDetector) leaves(tg *Target) {
+func (cd *crashDetector) markLeaving(tg *Target) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
 	cd.broken, cd.leaving = nil, *tg
@@ -147,37 +147,37 @@
 func (cd *crashDetector) isLeaving(tg *Target) bool {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
-	return cd.leaving.sameStart(tg)
+	return cd.leaving.sameInstance(tg)
 }
 
 // ServerHeard records that the present start of the backend server announced itself again.
-func (in *Inlet) ServerHeard() { in.crashes.alive(time.Now()) }
+func (in *Inlet) ServerHeard() { in.crashes.confirmAlive(time.Now()) }
 
 // ServerLeaves records that the backend server drains or was withdrawn.
 func (in *Inlet) ServerLeaves() {
 	if tg := in.target.Load(); tg != nil {
-		in.crashes.leaves(tg)
+		in.crashes.markLeaving(tg)
 	}
 }
 
-// interrupted records a request that broke off at a server which accepts connections.
-func (in *Inlet) interrupted(id requestID, fl *flight) {
-	tg := &fl.of
+// recordBroken records a request that broke off at a server which accepts connections.
+func (in *Inlet) recordBroken(id requestID, rr *runningRequest) {
+	tg := &rr.target
 	if in.crashes.isLeaving(tg) {
-		in.crashes.finish(fl, false)
+		in.crashes.finish(rr, false)
 		return
 	}
 	now := time.Now()
-	in.crashes.interrupt(id, fl, now)
-	in.reportRestarted(in.target.Load(), now)
-	time.AfterFunc(crashWindow, func() { in.reportCrash(tg, in.crashes.judge(tg, time.Now())) })
+	in.crashes.addBroken(id, rr, now)
+	in.reportEarlierInstances(in.target.Load(), now)
+	time.AfterFunc(crashSettleTime, func() { in.reportCrash(tg, in.crashes.takeBrokenTogether(tg, time.Now())) })
 }
 
-// reportRestarted reports crashes of earlier starts of the server than the present one. A
+// reportEarlierInstances reports crashes of earlier starts of the server than the present one. A
 // server may be back before its broken connections have been read.
-func (in *Inlet) reportRestarted(tg *Target, now time.Time) {
-	for of, ids := range in.crashes.restarted(tg, now) {
-		in.reportCrash(&of, ids)
+func (in *Inlet) reportEarlierInstances(tg *Target, now time.Time) {
+	for instance, ids := range in.crashes.takeEarlierInstances(tg, now) {
+		in.reportCrash(&instance, ids)
 	}
 }
 
@@ -187,5 +187,5 @@
 		return
 	}
 	in.logCrash(tg, len(ids))
-	in.report(ids, nameEnd(tg))
+	in.report(ids, endIDOf(tg))
 }
--- a/internal/path/inlet/crash.go
+++ b/internal/path/inlet/crash.go
@@ -23,9 +23,9 @@
 	probeTimeout = 100 * time.Millisecond
 	// probeInterval is how long the result of a probe holds.
 	probeInterval = 100 * time.Millisecond
-	// unnamedTTL is how long the crash of a server without a lifetime is remembered: the
+	// unnamedCrashTTL is how long the crash of a server without a lifetime is remembered: the
 	// next one looks like it.
-	unnamedTTL = time.Second
+	unnamedCrashTTL = time.Second
 	// abandonedTTL is how long a server may go on with a request that its outlet gave up
 	// on, maxAbandoned how many of those are kept.
 	abandonedTTL = time.Second
@@ -35,57 +35,57 @@
 // crashDetector finds out whether the backend server crashed, and what it was running.
 type crashDetector struct {
 	mu sync.Mutex
-	// of is the target that was probed last, ended the result, at when.
-	of        Target
-	ended     bool
-	at        time.Time
-	end       poison.End
-	abandoned []abandoned
-	// flights are the requests that the server is running, broken those that broke off
+	// target is the target that was probed last, ended the result, at when.
+	probed    Target
+	down      bool
+	probedAt  time.Time
+	endID     poison.End
+	abandoned []abandonedRequest
+	// running are the requests that the server is running, broken those that broke off
 	// though it accepts connections.
-	flights map[*flight]bool
-	broken  []broken
+	running map[*runningRequest]bool
+	broken  []brokenRequest
 	// leaving is the last start that said it leaves.
 	leaving Target
 }
 
-// abandoned is a request that its outlet gave up on.
-type abandoned struct {
-	id requestID
-	of Target
-	at time.Time
+// abandonedRequest is a request that its outlet gave up on.
+type abandonedRequest struct {
+	id          requestID
+	target      Target
+	abandonedAt time.Time
 }
 
 // requestID names a request in reports.
 type requestID struct {
-	head uint64
-	key  ident.Key
+	headerHash uint64
+	key        ident.Key
 }
 
 // crashed reports whether the server of a target crashed, and names the crash. It calls probe
 // where the result of the last one no longer holds; requests that failed together share one.
-func (cd *crashDetector) crashed(tg *Target, probe func() bool) (end poison.End, ended, first bool) {
+func (cd *crashDetector) crashed(tg *Target, probe func() bool) (endID poison.End, crashed, first bool) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
 	now := time.Now()
-	if cd.of.sameStart(tg) && cd.of.Addr == tg.Addr {
-		known := now.Sub(cd.at) < probeInterval
-		if cd.ended {
-			known = tg.Lifetime != "" || now.Sub(cd.at) < unnamedTTL
+	if cd.probed.sameInstance(tg) && cd.probed.Addr == tg.Addr {
+		valid := now.Sub(cd.probedAt) < probeInterval
+		if cd.down {
+			valid = tg.Lifetime != "" || now.Sub(cd.probedAt) < unnamedCrashTTL
 		}
-		if known {
-			return cd.end, cd.ended, false
+		if valid {
+			return cd.endID, cd.down, false
 		}
 	}
-	cd.of, cd.ended, cd.at = *tg, probe(), now
-	if cd.ended {
-		cd.end = nameEnd(tg)
+	cd.probed, cd.down, cd.probedAt = *tg, probe(), now
+	if cd.down {
+		cd.endID = endIDOf(tg)
 	}
-	return cd.end, cd.ended, cd.ended
+	return cd.endID, cd.down, cd.down
 }
 
-// nameEnd names the end of a target's lifetime.
-func nameEnd(tg *Target) poison.End {
+// endIDOf names the end of a target's lifetime.
+func endIDOf(tg *Target) poison.End {
 	if tg.Lifetime == "" {
 		return poison.End(rand.Uint64())
 	}
@@ -97,14 +97,14 @@
 func (cd *crashDetector) forget() {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
-	cd.of, cd.ended = Target{}, false
+	cd.probed, cd.down = Target{}, false
 }
 
 // abandon records a request that its outlet gave up on while the server was running it.
 func (cd *crashDetector) abandon(id requestID, tg *Target) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
-	cd.abandoned = append(cd.abandoned, abandoned{id: id, of: *tg, at: time.Now()})
+	cd.abandoned = append(cd.abandoned, abandonedRequest{id: id, target: *tg, abandonedAt: time.Now()})
 	if len(cd.abandoned) > maxAbandoned {
 		cd.abandoned = cd.abandoned[1:]
 	}
@@ -115,9 +115,9 @@
 func (cd *crashDetector) takeAbandoned(tg *Target) (list []requestID) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
-	for _, le := range cd.abandoned {
-		if le.of.sameStart(tg) && time.Since(le.at) < abandonedTTL {
-			list = append(list, le.id)
+	for _, ab := range cd.abandoned {
+		if ab.target.sameInstance(tg) && time.Since(ab.abandonedAt) < abandonedTTL {
+			list = append(list, ab.id)
 		}
 	}
 	cd.abandoned = nil
@@ -127,22 +127,22 @@
 // recordCrash finds out whether a request failed because its backend server crashed, and
 // reports what that server was running. A server that closes a connection by itself still
 // accepts others afterwards; one that drains did not crash.
-func (in *Inlet) recordCrash(r *http.Request, lead *ident.Lead, fl *flight, rf *result.Refusal) {
-	tg := &fl.of
+func (in *Inlet) recordCrash(r *http.Request, pr *ident.PrefixReader, rr *runningRequest, rf *result.Refusal) {
+	tg := &rr.target
 	gaveUp := rf.Reason == result.ReasonCallerGone || rf.Reason == result.ReasonDeadline
 	switch {
 	case rf.Outcome == result.MayHaveRun && gaveUp:
-		if id, ok := requestIDOf(r, lead); ok {
+		if id, ok := requestIDOf(r, pr); ok {
 			in.crashes.abandon(id, tg)
 		}
 		return
 	case rf.Outcome == result.MayHaveRun && rf.Reason != result.ReasonBroken, rf.Outcome == result.NotRun && rf.Reason != result.ReasonConnect:
 		return
 	}
-	end, ended, first := in.crashes.crashed(tg, func() bool { return in.isDown(tg) })
-	if !ended {
-		if id, ok := requestIDOf(r, lead); ok && rf.Outcome == result.MayHaveRun && !in.Gate.Draining() {
-			in.interrupted(id, fl)
+	endID, crashed, first := in.crashes.crashed(tg, func() bool { return in.isDown(tg) })
+	if !crashed {
+		if id, ok := requestIDOf(r, pr); ok && rf.Outcome == result.MayHaveRun && !in.Gate.Draining() {
+			in.recordBroken(id, rr)
 		}
 		return
 	}
@@ -154,8 +154,8 @@
 	}
 	if rf.Outcome == result.MayHaveRun {
 		rf.Reason = result.ReasonServerEnded
-		if id, ok := requestIDOf(r, lead); ok {
-			in.Log.LogAttrs(context.Background(), slog.LevelWarn, logs.EndedUnder, slog.String(logs.ID, in.id(r)),
+		if id, ok := requestIDOf(r, pr); ok {
+			in.Log.LogAttrs(context.Background(), slog.LevelWarn, logs.EndedUnder, slog.String(logs.ID, in.callerRequestID(r)),
 				slog.String(logs.Key, id.key.String()), slog.String(logs.Lifetime, tg.Lifetime))
 			ids = append(ids, id)
 		}
@@ -163,8 +163,8 @@
 	if in.Gate.Draining() {
 		return
 	}
-	in.report(ids, end)
-	rf.Ends = in.endsOf(r, lead)
+	in.report(ids, endID)
+	rf.Ends = in.endsOf(r, pr)
 }
 
 // logCrash logs that a start of the server crashed while it ran some requests.
@@ -174,33 +174,33 @@
 }
 
 // report sends reports that a server crashed while it ran requests.
-func (in *Inlet) report(ids []requestID, end poison.End) {
+func (in *Inlet) report(ids []requestID, endID poison.End) {
 	if len(ids) == 0 {
 		return
 	}
 	var list []poison.Report
 	for _, id := range ids {
-		list = append(list, poison.Report{Head: id.head, Key: id.key, End: end, At: time.Now()})
+		list = append(list, poison.Report{Head: id.headerHash, Key: id.key, End: endID, At: time.Now()})
 	}
 	in.Report(list)
 }
 
 // requestIDOf returns the ID of a request, and whether enough of its body was read for it.
-func requestIDOf(r *http.Request, lead *ident.Lead) (id requestID, ok bool) {
-	body, whole := lead.Bytes(r.ContentLength)
-	if !whole {
+func requestIDOf(r *http.Request, pr *ident.PrefixReader) (id requestID, ok bool) {
+	prefix, complete := pr.Prefix(r.ContentLength)
+	if !complete {
 		return requestID{}, false
 	}
-	return requestID{head: ident.Head(r), key: ident.Of(r, body)}, true
+	return requestID{headerHash: ident.Head(r), key: ident.Of(r, prefix)}, true
 }
 
 // endsOf returns how many servers are known to have crashed while they ran a request.
-func (in *Inlet) endsOf(r *http.Request, lead *ident.Lead) int {
+func (in *Inlet) endsOf(r *http.Request, pr *ident.PrefixReader) int {
 	vw := in.Poison()
 	if !vw.Suspects(r) {
 		return 0
 	}
-	id, ok := requestIDOf(r, lead)
+	id, ok := requestIDOf(r, pr)
 	if !ok {
 		return 0
 	}
@@ -208,12 +208,12 @@
 }
 
 // clearSuspect reports that a server answered a suspect request completely.
-func (in *Inlet) clearSuspect(r *http.Request, lead *ident.Lead) {
+func (in *Inlet) clearSuspect(r *http.Request, pr *ident.PrefixReader) {
 	vw := in.Poison()
 	if !vw.Suspects(r) {
 		return
 	}
-	if id, ok := requestIDOf(r, lead); ok {
+	if id, ok := requestIDOf(r, pr); ok {
 		if list := vw.Answered(id.key); len(list) > 0 {
 			in.Report(list)
 		}
@@ -229,14 +229,14 @@
 
 // isolate admits one suspect request at a time, so that a further crash tells which of them
 // is the cause.
-func (in *Inlet) isolate(r *http.Request) (leave func(), rf *result.Refusal) {
-	known, err := strconv.Atoi(r.Header.Get(result.EndsHeader))
-	if err != nil || known < poison.Apart {
+func (in *Inlet) isolate(r *http.Request) (release func(), rf *result.Refusal) {
+	ends, err := strconv.Atoi(r.Header.Get(result.EndsHeader))
+	if err != nil || ends < poison.Apart {
 		// None are known, or an older release sends none.
 		return func() {}, nil
 	}
-	if !in.suspect.CompareAndSwap(false, true) {
+	if !in.suspectRunning.CompareAndSwap(false, true) {
 		return nil, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonApart}
 	}
-	return func() { in.suspect.Store(false) }, nil
+	return func() { in.suspectRunning.Store(false) }, nil
 }
--- a/internal/path/inlet/crash_test.go
+++ b/internal/path/inlet/crash_test.go
@@ -17,17 +17,17 @@
 	"github.com/flamingomast/flamingomast/internal/plat/faulty"
 )
 
-// TestServerEnded: on-call engineers saw connections break and could not tell a server
+// TestServerCrash: on-call engineers saw connections break and could not tell a server
 // that ended from one that broke off an answer. One that ended takes no connection any
 // more; the log says so once, and names each request that it was running.
-func TestServerEnded(t *testing.T) {
+func TestServerCrash(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// ends is whether the server ends when it gets a request, or only closes its
+		// crashes is whether the server ends when it gets a request, or only closes its
 		// connection.
-		ends   bool
-		reason result.Reason
-		lines  int
+		crashes bool
+		reason  result.Reason
+		lines   int
 	}{
 		{"ends", true, result.ReasonServerEnded, 1},
 		{"breaks off", false, result.ReasonBroken, 0},
@@ -38,7 +38,7 @@
 			sr, err := faulty.New(func(_ net.Conn, _ int, req *http.Request) bool {
 				<-ready
 				faulty.ReadBody(req)
-				if tc.ends {
+				if tc.crashes {
 					sr.Close()
 				}
 				return false
@@ -62,7 +62,7 @@
 				r.Header.Set(result.ClassHeader, "default")
 				w := httptest.NewRecorder()
 				in.ServeHTTP(w, r)
-				if tc.ends && method == "POST" {
+				if tc.crashes && method == "POST" {
 					// The address takes no connection: this one was not run.
 					break
 				}
--- a/internal/path/inlet/inlet.go
+++ b/internal/path/inlet/inlet.go
@@ -59,26 +59,26 @@
 	target  atomic.Pointer[Target]
 	lapses  lapse.Tracker
 	crashes crashDetector
-	// suspect is set while a request runs that more than one server ended under.
-	suspect atomic.Bool
+	// suspectRunning is set while a request runs that more than one server ended under.
+	suspectRunning atomic.Bool
 	// counts has what the present start of the server did.
 	counts atomic.Pointer[tally.Counter]
-	// held is what answers take that were read and are not sent yet.
-	held proxy.Bound
+	// buffered is what answers take that were read and are not sent yet.
+	buffered proxy.Bound
 	// link is the VM's, nil for one that is not paced.
 	link *pacer.Pacer
 }
 
-// maxHeld is how many bytes of answers are held in all while they are sent: the
+// maxBuffered is how many bytes of answers are held in all while they are sent: the
 // largest ones have some 0.5 MB, and a link of 5 Mbit/s takes 3 s for them. Beyond
 // it an answer keeps its slot until it was sent.
-const maxHeld = 2 << 20
+const maxBuffered = 2 << 20
 
 // New returns an inlet without a target; op says how its backend server is
 // reached. Large answers are paced by link, which may be nil.
 func New(op proxy.Options, link *pacer.Pacer) *Inlet {
 	in := &Inlet{Gate: limit.New(), Unreachable: func(Target) {}, Poison: func() *poison.View { return nil }, Report: func([]poison.Report) {}, Log: slog.New(slog.DiscardHandler), op: op, link: link}
-	in.held.Most = maxHeld
+	in.buffered.Most = maxBuffered
 	in.counts.Store(&tally.Counter{})
 	in.fw.Store(proxy.New(op))
 	return in
@@ -111,18 +111,18 @@
 			in.counts.Store(&tally.Counter{})
 		}
 	}
-	in.reportRestarted(&tg, time.Now())
+	in.reportEarlierInstances(&tg, time.Now())
 }
 
 // ServeHTTP serves one request of an outlet.
 func (in *Inlet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
-	tg, rf := in.check(r.Header)
+	tg, rf := in.checkTarget(r.Header)
 	if rf != nil {
 		in.refuse(w, r, rf)
 		return
 	}
-	ctx, cancel := in.deadline(r, start)
+	ctx, cancel := in.withDeadline(r, start)
 	defer cancel()
 	if ctx.Err() != nil {
 		in.refuse(w, r, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonDeadline})
@@ -130,21 +130,21 @@
 	}
 	class := r.Header.Get(result.ClassHeader)
 	sr := in.Stats.For(tg.Service, class)
-	rq := rank(r.Header, class)
+	rq := parseUrgency(r.Header, class)
 	tf := in.transfer(r)
-	defer tf.end()
-	if rf := tf.expect(r, rq.Objective, in.Gate.Load()); rf != nil {
+	defer tf.release()
+	if rf := tf.reserve(r, rq.Objective, in.Gate.Load()); rf != nil {
 		sr.Outcomes.Add(rf.Outcome.String()+"/"+string(rf.Reason), 1)
 		in.refuse(w, r, rf)
 		return
 	}
-	leave, rf := in.isolate(r)
+	release, rf := in.isolate(r)
 	if rf != nil {
 		sr.Outcomes.Add(rf.Outcome.String()+"/"+string(rf.Reason), 1)
 		in.refuse(w, r, rf)
 		return
 	}
-	defer leave()
+	defer release()
 	tk, rf := in.Gate.Enter(ctx, rq)
 	sr.Queue.Record(time.Since(start))
 	if rf != nil {
@@ -157,16 +157,16 @@
 		in.refuse(w, r, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonDeadline})
 		return
 	}
-	in.forward(ctx, w, r, tg, &passage{start: start, sr: sr, tk: tk, tf: tf})
+	in.forward(ctx, w, r, tg, &admittedRequest{start: start, sr: sr, tk: tk, tf: tf})
 	sr.Latency.Record(time.Since(start))
 }
 
-// check asks for the mesh token and compares the target that the outlet means
+// checkTarget asks for the mesh token and compares the target that the outlet means
 // with this one. An address
 // may have passed to another VM, or to another process of the same VM that
 // runs another service: an outlet with an old view is told that the request
 // was not run, and goes elsewhere.
-func (in *Inlet) check(hdr http.Header) (*Target, *result.Refusal) {
+func (in *Inlet) checkTarget(hdr http.Header) (*Target, *result.Refusal) {
 	if in.Token != "" && subtle.ConstantTimeCompare([]byte(hdr.Get(result.TokenHeader)), []byte(in.Token)) != 1 {
 		return nil, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonToken}
 	}
@@ -181,8 +181,8 @@
 	return tg, nil
 }
 
-// id returns the caller's id of a request, empty where callers give none.
-func (in *Inlet) id(r *http.Request) string {
+// callerRequestID returns the caller's id of a request, empty where callers give none.
+func (in *Inlet) callerRequestID(r *http.Request) string {
 	if in.Names.Request == "" {
 		return ""
 	}
@@ -196,52 +196,52 @@
 	if rf.Outcome != result.NotRun || rf.Reason == result.ReasonShed {
 		event = logs.Failed
 	}
-	in.Log.LogAttrs(context.Background(), slog.LevelWarn, event, slog.String(logs.ID, in.id(r)),
+	in.Log.LogAttrs(context.Background(), slog.LevelWarn, event, slog.String(logs.ID, in.callerRequestID(r)),
 		slog.String(logs.Outcome, rf.Outcome.String()), slog.String(logs.Reason, string(rf.Reason)),
 		slog.String(logs.Load, load), slog.Duration("retry-after", rf.RetryAfter), rf.CauseAttr())
-	if r.ContentLength > maxUnread && r.Header.Get("Expect") == "" {
+	if r.ContentLength > maxAutoDiscard && r.Header.Get("Expect") == "" {
 		w.Header().Set("Connection", "close")
 	}
 	rf.Write(w, true)
 }
 
-// maxUnread is the size up to which net/http reads the rest of a body itself
+// maxAutoDiscard is the size up to which net/http reads the rest of a body itself
 // to keep the connection.
-const maxUnread = 256 << 10
+const maxAutoDiscard = 256 << 10
 
-// rank reads how urgent an outlet says that a request is. What cannot be read
+// parseUrgency reads how urgent an outlet says that a request is. What cannot be read
 // ranks as the least urgent.
-func rank(hdr http.Header, class string) limit.Request {
-	rq := limit.Request{Class: class, Priority: lastPriority}
+func parseUrgency(hdr http.Header, class string) limit.Request {
+	rq := limit.Request{Class: class, Priority: lowestPriority}
 	text, final := strings.CutSuffix(hdr.Get(result.UrgencyHeader), result.Final)
 	rq.Final, rq.Kind, rq.Repeat = final, hdr.Get(result.RouteHeader), result.ParseShare(hdr.Get(result.RepeatHeader))
-	prio, left, objective := strings.Cut(text, "/")
+	prio, objectiveMs, hasObjective := strings.Cut(text, "/")
 	if n, err := strconv.Atoi(prio); err == nil && n >= 0 {
-		rq.Priority = min(n, lastPriority)
+		rq.Priority = min(n, lowestPriority)
 	}
-	if ms, err := strconv.ParseInt(left, 10, 32); objective && err == nil {
+	if ms, err := strconv.ParseInt(objectiveMs, 10, 32); hasObjective && err == nil {
 		rq.Objective = time.Duration(max(1, ms)) * time.Millisecond
 	}
 	return rq
 }
 
-// lastPriority is the rank of requests without one.
-const lastPriority = 100
+// lowestPriority is the rank of requests without one.
+const lowestPriority = 100
 
-// deadline returns the context of a request. The time that it gives counts from
+// withDeadline returns the context of a request. The time that it gives counts from
 // when it was sent: one that lay unread for as long is not run any more, since
 // its caller has gone, whether that is known here yet or not.
-func (in *Inlet) deadline(r *http.Request, now time.Time) (context.Context, context.CancelFunc) {
+func (in *Inlet) withDeadline(r *http.Request, now time.Time) (context.Context, context.CancelFunc) {
 	ms, err := strconv.ParseInt(r.Header.Get(result.TimeoutMs), 10, 32)
 	if err != nil || ms <= 0 {
 		return context.WithCancel(r.Context())
 	}
-	left := time.Duration(ms)*time.Millisecond - in.lapses.Late(r.Header.Get(result.SentHeader), now)
-	return context.WithTimeout(r.Context(), left)
+	remaining := time.Duration(ms)*time.Millisecond - in.lapses.Late(r.Header.Get(result.SentHeader), now)
+	return context.WithTimeout(r.Context(), remaining)
 }
 
-// passage is a request on its way through the inlet.
-type passage struct {
+// admittedRequest is a request on its way through the inlet.
+type admittedRequest struct {
 	start time.Time
 	sr    *hist.Series
 	tk    *limit.Ticket
@@ -249,73 +249,73 @@
 }
 
 // spent returns what the request has spent here until now.
-func (pa *passage) spent(now time.Time) result.Spent {
-	return result.Spent{Wait: pa.tk.Since().Sub(pa.start), Held: now.Sub(pa.tk.Since())}
+func (ar *admittedRequest) spent(now time.Time) result.Spent {
+	return result.Spent{Wait: ar.tk.Since().Sub(ar.start), Held: now.Sub(ar.tk.Since())}
 }
 
 // forward sends an admitted request to the backend server and its answer back.
 // The slot is given back once the answer has been read: the backend server is
 // done then, while a narrow link or a slow caller may take the answer for long.
-func (in *Inlet) forward(ctx context.Context, w http.ResponseWriter, r *http.Request, tg *Target, pa *passage) {
-	sr := pa.sr
-	lead := ident.NewLead(r.Body)
-	fl := in.crashes.begin(tg)
-	defer in.crashes.finish(fl, false)
-	at := in.fw.Load().Do(in.outgoing(ctx, r, tg, lead))
+func (in *Inlet) forward(ctx context.Context, w http.ResponseWriter, r *http.Request, tg *Target, ar *admittedRequest) {
+	sr := ar.sr
+	pr := ident.NewPrefixReader(r.Body)
+	rr := in.crashes.begin(tg)
+	defer in.crashes.finish(rr, false)
+	at := in.fw.Load().Do(in.outgoing(ctx, r, tg, pr))
 	if at.Response == nil {
-		in.tallyFailure(r, ctx.Err() != nil, pa)
+		in.countFailure(r, ctx.Err() != nil, ar)
 		rf := in.failure(ctx, r, at, tg)
-		in.recordCrash(r, lead, fl, rf)
+		in.recordCrash(r, pr, rr, rf)
 		sr.Outcomes.Add(rf.Outcome.String()+"/"+string(rf.Reason), 1)
 		in.refuse(w, r, rf)
 		return
 	}
 	defer at.Response.Body.Close()
-	if rf := in.foreign(r, at.Response); rf != nil {
+	if rf := in.checkForeign(r, at.Response); rf != nil {
 		at.Discard()
 		sr.Outcomes.Add(rf.Outcome.String()+"/"+string(rf.Reason), 1)
 		in.refuse(w, r, rf)
 		return
 	}
-	if rf := in.shed(at.Response); rf != nil {
+	if rf := in.checkShed(at.Response); rf != nil {
 		sr.Outcomes.Add(rf.Outcome.String()+"/"+string(rf.Reason), 1)
 		in.refuse(w, r, rf)
 		return
 	}
 	size := max(0, at.Response.ContentLength)
-	if in.held.Take(size) {
-		defer in.held.Give(size)
-		if err := at.Hold(maxHeld); err != nil {
-			in.tallyFailure(r, false, pa)
+	if in.buffered.Take(size) {
+		defer in.buffered.Give(size)
+		if err := at.Hold(maxBuffered); err != nil {
+			in.countFailure(r, false, ar)
 			rf := in.failure(ctx, r, at, tg)
 			rf.Outcome, rf.Reason, rf.Cause = result.MayHaveRun, result.ReasonBroken, err
-			in.recordCrash(r, lead, fl, rf)
+			in.recordCrash(r, pr, rr, rf)
 			sr.Outcomes.Add(rf.Outcome.String()+"/"+string(rf.Reason), 1)
 			in.refuse(w, r, rf)
 			return
 		}
 		if size > 0 {
-			in.crashes.finish(fl, true)
-			pa.tk.Leave()
-			in.clearSuspect(r, lead)
+			in.crashes.finish(rr, true)
+			ar.tk.Leave()
+			in.clearSuspect(r, pr)
 		}
 	}
-	in.tally(r, at.Response.StatusCode >= http.StatusInternalServerError, pa.spent(time.Now()).Held, tg)
+	in.countResponse(r, at.Response.StatusCode >= http.StatusInternalServerError, ar.spent(time.Now()).Held, tg)
 	proxy.CopyHead(w, at.Response, func(hdr http.Header) {
 		hdr[result.LoadHeader] = []string{in.load().String()}
-		hdr[result.SpentHeader] = []string{pa.spent(time.Now()).String()}
+		hdr[result.SpentHeader] = []string{ar.spent(time.Now()).String()}
 	})
-	if err := proxy.Copy(w, at, pa.tf.pace(r.Context(), size)); err != nil {
+	if err := proxy.Copy(w, at, ar.tf.pace(r.Context(), size)); err != nil {
 		var ce *proxy.CopyError
 		if errors.As(err, &ce) && ce.Reading {
-			in.recordCrash(r, lead, fl, &result.Refusal{Outcome: result.MayHaveRun, Reason: result.ReasonBroken})
+			in.recordCrash(r, pr, rr, &result.Refusal{Outcome: result.MayHaveRun, Reason: result.ReasonBroken})
 		}
 		sr.Outcomes.Add(result.Ended.String()+"/"+string(result.ReasonBroken), 1)
 		panic(http.ErrAbortHandler)
 	}
 	// One that was not held has been read only now.
-	in.crashes.finish(fl, true)
-	in.clearSuspect(r, lead)
+	in.crashes.finish(rr, true)
+	in.clearSuspect(r, pr)
 	sr.Outcomes.Add(result.Answered.String(), 1)
 }
 
@@ -340,9 +340,9 @@
 	return rf
 }
 
-// shed reads the agreed way in which a backend server says that it has not
+// checkShed reads the agreed way in which a backend server says that it has not
 // begun to run a request.
-func (in *Inlet) shed(res *http.Response) *result.Refusal {
+func (in *Inlet) checkShed(res *http.Response) *result.Refusal {
 	refusing := res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests
 	switch {
 	case in.Names.Instance != "" && res.StatusCode == http.StatusMisdirectedRequest:
@@ -355,22 +355,22 @@
 	return &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonShed}
 }
 
-// foreign reports whether an answer is that of another request, or none of the
+// checkForeign reports whether an answer is that of another request, or none of the
 // backend server at all. A server that sends a second answer late puts it where
 // the next one is due: without the id that it repeats, one caller would get
 // another's answer. A refusal may lack the id; a success may not.
-func (in *Inlet) foreign(r *http.Request, res *http.Response) *result.Refusal {
+func (in *Inlet) checkForeign(r *http.Request, res *http.Response) *result.Refusal {
 	nm := &in.Names
-	good := res.StatusCode < http.StatusMultipleChoices
-	bad := false
+	success := res.StatusCode < http.StatusMultipleChoices
+	foreign := false
 	if nm.Request != "" {
 		got := res.Header.Get(nm.Request)
-		bad = got != r.Header.Get(nm.Request) && (good || got != "")
+		foreign = got != r.Header.Get(nm.Request) && (success || got != "")
 	}
-	if nm.Stamp != "" && good && res.Header.Get(nm.Stamp) == "" {
-		bad = true
+	if nm.Stamp != "" && success && res.Header.Get(nm.Stamp) == "" {
+		foreign = true
 	}
-	if !bad {
+	if !foreign {
 		return nil
 	}
 	return &result.Refusal{Outcome: result.MayHaveRun, Reason: result.ReasonForeign}
@@ -378,7 +378,7 @@
 
 // outgoing makes the request for the backend server. Of this system's headers
 // it bears only what is left of the time.
-func (in *Inlet) outgoing(ctx context.Context, r *http.Request, tg *Target, lead *ident.Lead) *http.Request {
+func (in *Inlet) outgoing(ctx context.Context, r *http.Request, tg *Target, pr *ident.PrefixReader) *http.Request {
 	out := proxy.Outgoing(ctx, r, tg.Addr, in.Names.Or().Timeout)
 	if in.Names.Instance != "" && tg.Lifetime != "" {
 		out.Header.Set(in.Names.Instance, tg.Lifetime)
@@ -391,7 +391,7 @@
 		out.TransferEncoding = []string{"chunked"}
 		fallthrough
 	default:
-		out.Body = proxy.Body(http.MaxBytesReader(nil, lead, proxy.MaxBody))
+		out.Body = proxy.Body(http.MaxBytesReader(nil, pr, proxy.MaxBody))
 	}
 	return out
 }
--- a/internal/path/inlet/tally.go
+++ b/internal/path/inlet/tally.go
@@ -11,21 +11,21 @@
 // coldFactor is how many times as long a server takes that is cold after its start.
 const coldFactor = 2
 
-// tally counts an answer of the backend server.
-func (in *Inlet) tally(r *http.Request, failed bool, held time.Duration, tg *Target) {
+// countResponse counts an answer of the backend server.
+func (in *Inlet) countResponse(r *http.Request, failed bool, serviceTime time.Duration, tg *Target) {
 	if time.Now().Before(tg.ColdUntil) {
-		held /= coldFactor
+		serviceTime /= coldFactor
 	}
-	in.counts.Load().Add(r.Header.Get(result.RouteHeader), failed, held)
+	in.counts.Load().Add(r.Header.Get(result.RouteHeader), failed, serviceTime)
 }
 
-// tallyFailure counts a request that the backend server did not answer. One whose caller
+// countFailure counts a request that the backend server did not answer. One whose caller
 // has gone or whose time is over counts by how long it took.
-func (in *Inlet) tallyFailure(r *http.Request, over bool, pa *passage) {
+func (in *Inlet) countFailure(r *http.Request, expired bool, ar *admittedRequest) {
 	if r.Context().Err() != nil {
 		return
 	}
-	in.counts.Load().Add(r.Header.Get(result.RouteHeader), !over, pa.spent(time.Now()).Held)
+	in.counts.Load().Add(r.Header.Get(result.RouteHeader), !expired, ar.spent(time.Now()).Held)
 }
 
 // Counts returns what the present start of the backend server did.
--- a/internal/path/pacer/pacer_test.go
+++ b/internal/path/pacer/pacer_test.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// wire is a link that sends what is written in its order, as a system does.
-type wire struct {
-	mu   sync.Mutex
-	free time.Time
-	rate float64
+// fifoLink is a link that sends what is written in its order, as a system does.
+type fifoLink struct {
+	mu     sync.Mutex
+	freeAt time.Time
+	rate   float64
 }
 
 // send puts n bytes on the link and returns when the last of them has left.
-func (wi *wire) send(n int) time.Time {
-	wi.mu.Lock()
-	defer wi.mu.Unlock()
-	if now := time.Now(); wi.free.Before(now) {
-		wi.free = now
+func (fl *fifoLink) send(n int) time.Time {
+	fl.mu.Lock()
+	defer fl.mu.Unlock()
+	if now := time.Now(); fl.freeAt.Before(now) {
+		fl.freeAt = now
 	}
-	n += (n/packetBytes + 1) * packetHead
-	wi.free = wi.free.Add(time.Duration(float64(n) / wi.rate * float64(time.Second)))
-	return wi.free
+	n += (n/packetPayload + 1) * packetOverhead
+	fl.freeAt = fl.freeAt.Add(time.Duration(float64(n) / fl.rate * float64(time.Second)))
+	return fl.freeAt
 }
 
 // load is large and small answers on a link of 5 Mbit/s for 20 s: 3 of 90 KB and
 // 60 of 1 KB a second, 61% of what it carries. It returns how long each waited
 // and left after it was ready.
-func load(pa *Pacer) (small, large []time.Duration) {
-	wi := &wire{rate: 5e6 / 8}
+func simulate(pa *Pacer) (small, large []time.Duration) {
+	fl := &fifoLink{rate: 5e6 / 8}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	began := time.Now()
@@ -42,17 +42,17 @@
 			left := since
 			wait := func(context.Context, int) error { return nil }
 			if pa != nil {
-				an := pa.Expect(90_000, 0)
-				defer an.End()
-				wait = an.Wait
+				rs := pa.Reserve(90_000, 0)
+				defer rs.Release()
+				wait = rs.Wait
 			}
 			for rest := 90_000; rest > 0; {
-				n := min(rest, pa.Piece())
+				n := min(rest, pa.ChunkSize())
 				if wait(context.Background(), n) != nil {
 					return
 				}
 				pa.Sent(n)
-				left = wi.send(n)
+				left = fl.send(n)
 				rest -= n
 			}
 			mu.Lock()
@@ -64,7 +64,7 @@
 		time.Sleep(16 * time.Millisecond)
 		now := time.Now()
 		pa.Sent(1000)
-		left := wi.send(1000)
+		left := fl.send(1000)
 		small = append(small, left.Sub(now))
 	}
 	wg.Wait()
@@ -79,7 +79,7 @@
 	return sum / time.Duration(len(list))
 }
 
-func most(list []time.Duration) time.Duration {
+func longest(list []time.Duration) time.Duration {
 	m := time.Duration(0)
 	for _, d := range list {
 		m = max(m, d)
@@ -87,22 +87,22 @@
 	return m
 }
 
-// TestSmallAnswersPass: on a VM with a narrow link a short lookup waited behind
+// TestSmallResponsesGoFirst: on a VM with a narrow link a short lookup waited behind
 // the documents that others download, since the system sends what was written
 // first: callers saw 295 ms in the middle for work of 64 ms. Paced, the small
 // answer waits for one piece, and the large ones are not much later.
-func TestSmallAnswersPass(t *testing.T) {
+func TestSmallResponsesGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		plainSmall, plainLarge := load(nil)
-		small, large := load(New(5e6))
-		if got := most(small); got > 16*time.Millisecond {
+		unpacedSmall, unpacedLarge := simulate(nil)
+		small, large := simulate(New(5e6))
+		if got := longest(small); got > 16*time.Millisecond {
 			t.Errorf("a small answer took up to %v", got)
 		}
-		if got, was := mean(large), mean(plainLarge); got > was*3/2 {
+		if got, was := mean(large), mean(unpacedLarge); got > was*3/2 {
 			t.Errorf("a large answer took %v in the mean, %v without pacing", got, was)
 		}
-		t.Logf("small: mean %v, most %v; without pacing %v, %v", mean(small), most(small), mean(plainSmall), most(plainSmall))
-		t.Logf("large: mean %v, most %v; without pacing %v, %v", mean(large), most(large), mean(plainLarge), most(plainLarge))
+		t.Logf("small: mean %v, most %v; without pacing %v, %v", mean(small), longest(small), mean(unpacedSmall), longest(unpacedSmall))
+		t.Logf("large: mean %v, most %v; without pacing %v, %v", mean(large), longest(large), mean(unpacedLarge), longest(unpacedLarge))
 	})
 }
 
@@ -116,10 +116,10 @@
 		var wg sync.WaitGroup
 		began := time.Now()
 		send := func(name string) {
-			an := pa.Expect(20*pa.Piece(), 0)
-			defer an.End()
+			rs := pa.Reserve(20*pa.ChunkSize(), 0)
+			defer rs.Release()
 			for range 20 {
-				if err := an.Wait(t.Context(), pa.Piece()); err != nil {
+				if err := rs.Wait(t.Context(), pa.ChunkSize()); err != nil {
 					t.Error(err)
 				}
 			}
@@ -143,19 +143,19 @@
 // to the same VM wait behind both.
 func TestReceiverRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		receiver := &wire{rate: 5e6 / 8}
+		receiver := &fifoLink{rate: 5e6 / 8}
 		var wg sync.WaitGroup
 		for i := range 2 {
 			pa := New(5e6)
 			wg.Go(func() {
 				time.Sleep(time.Duration(i) * 3 * time.Millisecond)
-				an := pa.Expect(90_000, float64(Share(5e6, i)))
-				defer an.End()
-				for rest := 90_000; rest > 0; rest -= pa.Piece() {
-					if err := an.Wait(t.Context(), pa.Piece()); err != nil {
+				rs := pa.Reserve(90_000, float64(Share(5e6, i)))
+				defer rs.Release()
+				for rest := 90_000; rest > 0; rest -= pa.ChunkSize() {
+					if err := rs.Wait(t.Context(), pa.ChunkSize()); err != nil {
 						t.Error(err)
 					}
-					receiver.send(pa.Piece())
+					receiver.send(pa.ChunkSize())
 				}
 			})
 		}
@@ -165,7 +165,7 @@
 			list = append(list, receiver.send(100).Sub(now))
 		}
 		wg.Wait()
-		if got := most(list); got > 40*time.Millisecond {
+		if got := longest(list); got > 40*time.Millisecond {
 			t.Errorf("a small answer took up to %v beside two large ones", got)
 		}
 		for others, want := range map[int]int{0: 312_500, 1: 312_500, 2: 208_333, 3: 156_250, 9: 156_250} {
@@ -183,14 +183,14 @@
 func TestBacklog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pa := New(5e6)
-		a, b := pa.Expect(90_000, 0), pa.Expect(90_000, 0)
+		a, b := pa.Reserve(90_000, 0), pa.Reserve(90_000, 0)
 		if got := pa.Backlog(); got < 310*time.Millisecond || got > 320*time.Millisecond {
 			t.Errorf("two answers of 157ms each: %v", got)
 		}
 		if err := a.Wait(t.Context(), 90_000); err != nil {
 			t.Fatal(err)
 		}
-		b.End()
+		b.Release()
 		time.Sleep(100 * time.Millisecond)
 		if got := pa.Backlog(); got < 50*time.Millisecond || got > 65*time.Millisecond {
 			t.Errorf("100ms after one was sent and the other broke off: %v", got)
@@ -198,25 +198,25 @@
 	})
 }
 
-// TestWaitEnds: a caller that leaves takes its piece out of the queue; those
+// TestWaitCanceled: a caller that leaves takes its piece out of the queue; those
 // behind it are not delayed by it.
-func TestWaitEnds(t *testing.T) {
+func TestWaitCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pa := New(5e6)
 		pa.Sent(50_000)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
 		began := time.Now()
-		an := pa.Expect(400_000, 0)
-		if err := an.Wait(ctx, 400_000); err == nil || time.Since(began) != 10*time.Millisecond {
+		rs := pa.Reserve(400_000, 0)
+		if err := rs.Wait(ctx, 400_000); err == nil || time.Since(began) != 10*time.Millisecond {
 			t.Errorf("the wait ended with %v after %v", err, time.Since(began))
 		}
-		an.End()
-		if err := pa.Expect(4000, 0).Wait(t.Context(), 4000); err != nil || time.Since(began) > 90*time.Millisecond {
+		rs.Release()
+		if err := pa.Reserve(4000, 0).Wait(t.Context(), 4000); err != nil || time.Since(began) > 90*time.Millisecond {
 			t.Errorf("the next one waited %v: %v", time.Since(began), err)
 		}
-		if len(pa.waiting) != 0 || pa.rest != 0 {
-			t.Errorf("%d still wait, with %d bytes", len(pa.waiting), pa.rest)
+		if len(pa.waiting) != 0 || pa.unsent != 0 {
+			t.Errorf("%d still wait, with %d bytes", len(pa.waiting), pa.unsent)
 		}
 	})
 }
@@ -224,7 +224,7 @@
 // TestFastLink: a fast link, or one whose rate is not known, is not paced.
 func TestFastLink(t *testing.T) {
 	for _, bits := range []float64{0, 1e9} {
-		if pa := New(bits); pa != nil || pa.Piece() != maxPiece || pa.Backlog() != 0 {
+		if pa := New(bits); pa != nil || pa.ChunkSize() != maxChunk || pa.Backlog() != 0 {
 			t.Errorf("a link of %v bit/s is paced", bits)
 		}
 	}
--- a/internal/path/proxy/conn.go
+++ b/internal/path/proxy/conn.go
@@ -8,9 +8,9 @@
 	"github.com/flamingomast/flamingomast/internal/plat/dialer"
 )
 
-// errSurplus ends a connection that closed, or on which bytes came that belong to no
+// errConnUnusable ends a connection that closed, or on which bytes came that belong to no
 // answer, before a request was written.
-var errSurplus = errors.New("proxy: the connection closed, or bytes came that belong to no answer")
+var errConnUnusable = errors.New("proxy: the connection closed, or bytes came that belong to no answer")
 
 // conn is a connection to the next hop.
 //
@@ -31,12 +31,12 @@
 type conn struct {
 	net.Conn
 
-	mu       sync.Mutex
-	changed  *sync.Cond
-	written  int64 // bytes of all requests
-	before   int64 // bytes of the requests before the present one
-	reading  bool  // a read waits
-	poisoned bool
+	mu            sync.Mutex
+	changed       *sync.Cond
+	written       int64 // bytes of all requests
+	writtenBefore int64 // bytes of the requests before the present one
+	reading       bool  // a read waits
+	aborted       bool
 }
 
 func newConn(nc net.Conn) *conn {
@@ -49,37 +49,37 @@
 func (cn *conn) begin() int64 {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
-	cn.before = cn.written
-	return cn.before
+	cn.writtenBefore = cn.written
+	return cn.writtenBefore
 }
 
 // wrote reports whether more than before bytes were written.
-func (cn *conn) wrote(before int64) bool {
+func (cn *conn) wrote(writtenBefore int64) bool {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
-	return cn.written > before
+	return cn.written > writtenBefore
 }
 
-// poison ends the connection for all further use.
-func (cn *conn) poison() {
+// abort ends the connection for all further use.
+func (cn *conn) abort() {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
-	cn.poisoned = true
+	cn.aborted = true
 	cn.changed.Broadcast()
 }
 
 // Write writes, the first byte of a request only while a read waits.
 func (cn *conn) Write(p []byte) (int, error) {
 	cn.mu.Lock()
-	for cn.written == cn.before && !cn.reading && !cn.poisoned {
+	for cn.written == cn.writtenBefore && !cn.reading && !cn.aborted {
 		cn.changed.Wait()
 	}
-	if !cn.poisoned && cn.written == cn.before && cn.before > 0 && dialer.IsStale(cn.Conn) {
-		cn.poisoned = true
+	if !cn.aborted && cn.written == cn.writtenBefore && cn.writtenBefore > 0 && dialer.IsStale(cn.Conn) {
+		cn.aborted = true
 	}
-	if cn.poisoned {
+	if cn.aborted {
 		cn.mu.Unlock()
-		return 0, errSurplus
+		return 0, errConnUnusable
 	}
 	// Counted ahead of the write: what a failed one may have sent counts.
 	cn.written += int64(len(p))
@@ -97,17 +97,17 @@
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
 	cn.reading = false
-	if n > 0 && cn.written == cn.before {
-		cn.poisoned = true
+	if n > 0 && cn.written == cn.writtenBefore {
+		cn.aborted = true
 	}
-	if cn.poisoned {
-		return 0, errSurplus
+	if cn.aborted {
+		return 0, errConnUnusable
 	}
 	return n, err
 }
 
 // Close ends the connection and whoever waits on it.
 func (cn *conn) Close() error {
-	cn.poison()
+	cn.abort()
 	return cn.Conn.Close()
 }
--- a/internal/path/proxy/header.go
+++ b/internal/path/proxy/header.go
@@ -15,9 +15,9 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// Clean removes from hdr what must not pass a hop, and all headers of this
+// SanitizeHeader removes from hdr what must not pass a hop, and all headers of this
 // system, so that neither callers nor backend servers can forge them.
-func Clean(hdr http.Header) {
+func SanitizeHeader(hdr http.Header) {
 	for _, list := range hdr["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
 			if name = textproto.TrimString(name); name != "" {
@@ -35,8 +35,8 @@
 	}
 }
 
-// Clone returns a copy of hdr that shares the values, with room for more.
-func Clone(hdr http.Header) http.Header {
+// ShallowClone returns a copy of hdr that shares the values, with room for more.
+func ShallowClone(hdr http.Header) http.Header {
 	cp := make(http.Header, len(hdr)+8)
 	for name, values := range hdr {
 		cp[name] = values
--- a/internal/path/proxy/proxy.go
+++ b/internal/path/proxy/proxy.go
@@ -23,8 +23,8 @@
 	// closed from this side and no request meets one that the server closes.
 	idleTimeout = 10 * time.Second
 	// continueTimeout is how long a large body waits for the next hop's word.
-	continueTimeout = time.Second
-	maxAnswerHead   = 256 << 10
+	continueTimeout   = time.Second
+	maxResponseHeader = 256 << 10
 )
 
 // Forwarder sends requests to next hops.
@@ -69,7 +69,7 @@
 		MaxIdleConnsPerHost:    op.MaxIdle,
 		IdleConnTimeout:        op.IdleTimeout,
 		ExpectContinueTimeout:  continueTimeout,
-		MaxResponseHeaderBytes: maxAnswerHead,
+		MaxResponseHeaderBytes: maxResponseHeader,
 		DisableCompression:     true,
 		ReadBufferSize:         4 << 10,
 		WriteBufferSize:        4 << 10,
@@ -96,10 +96,10 @@
 	Response *http.Response
 	Err      error
 	// sent is whether any byte of the request may have left.
-	sent   atomic.Bool
-	mu     sync.Mutex
-	cn     *conn
-	before int64
+	sent          atomic.Bool
+	mu            sync.Mutex
+	cn            *conn
+	writtenBefore int64
 }
 
 // Body makes the body of a request, as the transport needs it: never nil and
@@ -109,7 +109,7 @@
 // that it cannot make anew it leaves that to us, who know the rules.
 func Body(r io.Reader) io.ReadCloser {
 	if r == nil {
-		return empty{}
+		return emptyBody{}
 	}
 	if rc, ok := r.(io.ReadCloser); ok {
 		return rc
@@ -117,10 +117,10 @@
 	return io.NopCloser(r)
 }
 
-type empty struct{}
+type emptyBody struct{}
 
-func (empty) Read([]byte) (int, error) { return 0, io.EOF }
-func (empty) Close() error             { return nil }
+func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
+func (emptyBody) Close() error             { return nil }
 
 // Do sends a request once. The body must come from Body.
 func (fw *Forwarder) Do(out *http.Request) *Attempt {
@@ -128,12 +128,12 @@
 	trace := &httptrace.ClientTrace{GotConn: at.gotConn}
 	out = out.WithContext(httptrace.WithClientTrace(out.Context(), trace))
 	at.Response, at.Err = fw.tr.RoundTrip(out)
-	if cn, before := at.connection(); at.Response != nil && cn != nil && !cn.wrote(before) {
+	if cn, writtenBefore := at.connection(); at.Response != nil && cn != nil && !cn.wrote(writtenBefore) {
 		// The transport took surplus bytes for the answer to a request that
 		// was not written yet.
-		cn.poison()
+		cn.abort()
 		_ = at.Response.Body.Close()
-		at.Response, at.Err = nil, errSurplus
+		at.Response, at.Err = nil, errConnUnusable
 	}
 	return at
 }
@@ -148,23 +148,23 @@
 	at.mu.Lock()
 	defer at.mu.Unlock()
 	at.cn = cn
-	at.before = cn.begin()
+	at.writtenBefore = cn.begin()
 }
 
-func (at *Attempt) connection() (cn *conn, before int64) {
+func (at *Attempt) connection() (cn *conn, writtenBefore int64) {
 	at.mu.Lock()
 	defer at.mu.Unlock()
-	return at.cn, at.before
+	return at.cn, at.writtenBefore
 }
 
 // Outcome tells how a failed attempt ended, and why. An attempt of which no
 // byte was written has not run; any other may have.
 func (at *Attempt) Outcome() (result.Outcome, result.Reason) {
-	cn, before := at.connection()
+	cn, writtenBefore := at.connection()
 	if cn == nil && !at.sent.Load() {
 		return result.NotRun, result.ReasonConnect
 	}
-	if cn != nil && !cn.wrote(before) {
+	if cn != nil && !cn.wrote(writtenBefore) {
 		return result.NotRun, result.ReasonBroken
 	}
 	return result.MayHaveRun, result.ReasonBroken
@@ -174,7 +174,7 @@
 // that what is left of it cannot be taken for another one.
 func (at *Attempt) Discard() {
 	if cn, _ := at.connection(); cn != nil {
-		cn.poison()
+		cn.abort()
 	}
 	if at.Response != nil {
 		// The connection is ended either way; there is nothing left to do about
@@ -190,8 +190,8 @@
 // in: same method, host and target, headers cleaned, no body yet. The next hop
 // is told, in the header timeout, what is left until the deadline of ctx.
 func Outgoing(ctx context.Context, r *http.Request, addr, timeout string) *http.Request {
-	hdr := Clone(r.Header)
-	Clean(hdr)
+	hdr := ShallowClone(r.Header)
+	SanitizeHeader(hdr)
 	if _, ok := hdr["User-Agent"]; !ok {
 		// The transport sets its own otherwise.
 		hdr["User-Agent"] = nil
@@ -205,16 +205,16 @@
 	return out.WithContext(ctx)
 }
 
-// bufSize is how much of a body is in memory at once.
-const bufSize = 16 << 10
+// copyBufSize is how much of a body is in memory at once.
+const copyBufSize = 16 << 10
 
-var buffers = sync.Pool{New: func() any { return new([bufSize]byte) }}
+var copyBufs = sync.Pool{New: func() any { return new([copyBufSize]byte) }}
 
 // Pace says how an answer is sent; the zero value sends it as it comes.
 type Pace struct {
-	// Piece is how many bytes are sent at once, Wait waits until that many may be.
-	Piece int
-	Wait  func(n int) error
+	// ChunkSize is how many bytes are sent at once, Wait waits until that many may be.
+	ChunkSize int
+	Wait      func(n int) error
 }
 
 func (pc Pace) wait(n int) error {
@@ -226,10 +226,10 @@
 
 // Hold reads the answer's body whole, if it has a length that is not above most.
 // When it breaks off, the error is returned and the attempt's connection ends.
-func (at *Attempt) Hold(most int64) error {
+func (at *Attempt) Hold(limit int64) error {
 	res := at.Response
 	// An answer to HEAD has the length of a body that does not come.
-	if res.ContentLength <= 0 || res.ContentLength > most || res.Body == http.NoBody {
+	if res.ContentLength <= 0 || res.ContentLength > limit || res.Body == http.NoBody {
 		return nil
 	}
 	body := make([]byte, res.ContentLength)
@@ -270,11 +270,11 @@
 // The answer is sent in the pieces that pc says.
 func Copy(w http.ResponseWriter, at *Attempt, pc Pace) error {
 	res := at.Response
-	whole := buffers.Get().(*[bufSize]byte)
-	defer buffers.Put(whole)
-	buf := whole[:]
+	array := copyBufs.Get().(*[copyBufSize]byte)
+	defer copyBufs.Put(array)
+	buf := array[:]
 	if pc.Wait != nil {
-		buf = buf[:min(pc.Piece, bufSize)]
+		buf = buf[:min(pc.ChunkSize, copyBufSize)]
 	}
 	flush := func() error { return nil }
 	if res.ContentLength < 0 {
@@ -314,7 +314,7 @@
 // are added to it first.
 func CopyHead(w http.ResponseWriter, res *http.Response, extra func(http.Header)) {
 	hdr := w.Header()
-	Clean(res.Header)
+	SanitizeHeader(res.Header)
 	for name, values := range res.Header {
 		hdr[name] = values
 	}
--- a/internal/path/proxy/proxy_test.go
+++ b/internal/path/proxy/proxy_test.go
@@ -29,12 +29,12 @@
 	return req
 }
 
-// TestSurplusUnderLoad: a server sends, with each answer and in the same write,
+// TestUnsolicitedResponseUnderLoad: a server sends, with each answer and in the same write,
 // a second one that nobody asked for. The next request waits for that very
 // connection (there is only one), so it gets it the moment that the answer
 // ends. It must not be given the surplus: it has not run, and is told so.
-func TestSurplusUnderLoad(t *testing.T) {
-	const stolen = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen"
+func TestUnsolicitedResponseUnderLoad(t *testing.T) {
+	const unsolicited = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen"
 	for _, tc := range []struct{ name, format string }{
 		{"with a length", "HTTP/1.1 200 OK\r\nContent-Length: %[1]d\r\n\r\n%[2]s"},
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%[1]x\r\n%[2]s\r\n0\r\n\r\n"},
@@ -43,7 +43,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			sr, err := faulty.New(func(cn net.Conn, n int, req *http.Request) bool {
-				return faulty.Sends(fmt.Sprintf(tc.format, len(req.URL.Path), req.URL.Path)+stolen, true)(cn, n, req)
+				return faulty.Sends(fmt.Sprintf(tc.format, len(req.URL.Path), req.URL.Path)+unsolicited, true)(cn, n, req)
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -84,10 +84,10 @@
 	fw := New(Options{Dial: func(context.Context, string) (net.Conn, error) { return client, nil }})
 	go func() { _, _ = io.WriteString(server, "220 mail ready\r\n") }()
 	cn := newConn(client)
-	if _, err := cn.Read(make([]byte, 10)); !errors.Is(err, errSurplus) {
+	if _, err := cn.Read(make([]byte, 10)); !errors.Is(err, errConnUnusable) {
 		t.Errorf("reading a greeting: %v", err)
 	}
-	if _, err := cn.Write([]byte("x")); !errors.Is(err, errSurplus) {
+	if _, err := cn.Write([]byte("x")); !errors.Is(err, errConnUnusable) {
 		t.Errorf("writing after a greeting: %v", err)
 	}
 	fw.Close()
@@ -136,13 +136,13 @@
 func (bc *brokenConn) Read(p []byte) (int, error)  { select {} }
 func (bc *brokenConn) Write(p []byte) (int, error) { return 0, io.ErrClosedPipe }
 
-func TestClean(t *testing.T) {
+func TestSanitizeHeader(t *testing.T) {
 	hdr := http.Header{
 		"Connection": {"keep-alive, X-Hop", "close"}, "X-Hop": {"1"}, "Te": {"trailers"}, "Transfer-Encoding": {"chunked"},
 		"Upgrade": {"h2c"}, "Expect": {"100-continue"}, "Keep-Alive": {"5"}, "Flamingomast-Outcome": {"not-run"},
 		"X-Kept": {"1"}, "Idempotency-Key": {"k"}, "Content-Type": {"text/plain"},
 	}
-	Clean(hdr)
+	SanitizeHeader(hdr)
 	var left []string
 	for name := range hdr {
 		left = append(left, name)
@@ -251,8 +251,8 @@
 		t.Error("no error from a caller that went away")
 	}
 	pr.Close()
-	if rec.most > bufSize {
-		t.Errorf("%d bytes at once, bound %d", rec.most, bufSize)
+	if rec.most > copyBufSize {
+		t.Errorf("%d bytes at once, bound %d", rec.most, copyBufSize)
 	}
 }
 
--- a/internal/path/proxy/stale_test.go
+++ b/internal/path/proxy/stale_test.go
@@ -37,7 +37,7 @@
 				<-time.After(time.Millisecond)
 			}
 			_, err := cn.Write([]byte("GET"))
-			if stale := errors.Is(err, errSurplus); stale != tc.stale {
+			if stale := errors.Is(err, errConnUnusable); stale != tc.stale {
 				t.Errorf("writing: %v; want it refused: %t", err, tc.stale)
 			}
 			if sent := cn.wrote(10); sent == tc.stale {
