--- a/internal/path/ident/doc.go
+++ b/internal/path/ident/doc.go
@@ -1,3 +1,3 @@
-// Package ident names requests by what they ask for, so that one which comes again,
-// from another try of its caller or at another VM, is known for the same.
+// Package ident identifies requests by their content, so that a request that is repeated, by a retry of
+// its caller or at another VM, is recognized.
 package ident
--- a/internal/path/ident/ident.go
+++ b/internal/path/ident/ident.go
@@ -11,25 +11,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key names a request by its method, host, target, caller's credentials and body. It is
-// cut from a cryptographic digest: callers choose all that goes into it, and one must
-// not be able to make a request that is taken for another caller's.
+// Key identifies a request by its method, host, target, caller's credentials and body. It is taken
+// from a cryptographic digest: all of its input is chosen by callers, and none must be able to
+// construct a request that is taken for another caller's.
 type Key uint64
 
-// String returns the key in hexadecimal, as logs show it.
+// String returns the key in hexadecimal, as in logs.
 func (ke Key) String() string { return strconv.FormatUint(uint64(ke), 16) }
 
-// LeadBytes is the length of the part of a body that goes into a key, its lead. It
-// bounds what is kept of a body that streams.
+// MaxPrefixBytes is the maximum length of the body prefix that is part of a key. It bounds what is
+// kept of a streamed body.
 const LeadBytes = 8 << 10
 
-// keyFields are what goes into a key beside the body.
+// keyFields returns the parts of a request, besides its body, that are part of its key.
 func keyFields(r *http.Request) [4]string {
 	return [...]string{r.Method, r.Host, r.URL.RequestURI(), r.Header.Get("Authorization")}
 }
 
-// Head is a cheap mark of a request without its body. Requests with one key have one
-// head, so a key need not be made where the head is not known.
+// HeaderHash returns a cheap hash of a request without its body. Requests with the same key have
+// the same HeaderHash, so a key is needed only for requests whose HeaderHash is known.
 func Head(r *http.Request) uint64 {
 	var di xxhash.Digest
 	di.Reset()
@@ -41,12 +41,12 @@
 	return di.Sum64()
 }
 
-// Of returns the key of a request whose body begins with lead; what is beyond LeadBytes
-// of it does not count.
+// KeyOf returns the key of a request whose body begins with prefix. Only the first MaxPrefixBytes
+// of prefix are used.
 func Of(r *http.Request, prefix []byte) Key {
 	sum := sha256.New()
 	for _, text := range keyFields(r) {
-		// Writing to a hash does not fail. The length tells where a field ends.
+		// Writing to a hash does not fail. The length delimits the field.
 		_ = binary.Write(sum, binary.BigEndian, uint32(len(text)))
 		_, _ = io.WriteString(sum, text)
 	}
@@ -54,8 +54,8 @@
 	return Key(binary.BigEndian.Uint64(sum.Sum(nil)))
 }
 
-// PrefixReader reads a body and keeps its lead. It may be asked from another goroutine than
-// the one that reads.
+// PrefixReader reads a body and keeps its prefix. Prefix may be called while another goroutine
+// reads.
 type PrefixReader struct {
 	r io.ReadCloser
 
@@ -64,7 +64,7 @@
 	eof    bool
 }
 
-// NewPrefixReader returns a lead of a body that has none yet.
+// NewPrefixReader returns a PrefixReader of a body of which nothing has been read.
 func NewPrefixReader(r io.ReadCloser) *PrefixReader { return &PrefixReader{r: r} }
 
 // Read reads the body.
@@ -80,8 +80,8 @@
 // Close closes the body.
 func (pr *PrefixReader) Close() error { return pr.r.Close() }
 
-// Prefix returns the lead of a body of the given length, -1 where that is not known. It
-// reports whether as much of the body has been read.
+// Prefix returns the part of the body's prefix that has been read; length is the length of the body,
+// or -1 if unknown. complete reports whether that is the whole prefix.
 func (pr *PrefixReader) Prefix(length int64) (prefix []byte, complete bool) {
 	if length == 0 {
 		return nil, true
--- a/internal/path/ident/ident_test.go
+++ b/internal/path/ident/ident_test.go
@@ -11,8 +11,8 @@
 	"github.com/flamingomast/flamingomast/internal/path/ident"
 )
 
-// TestKey: a request that comes again is known by what it asks for, whatever names its
-// caller's try, and no other one is taken for it.
+// TestKey checks that a repeated request has the same key, whatever identifies the attempt, and
+// that other requests have different keys.
 func TestKey(t *testing.T) {
 	long := strings.Repeat("x", ident.LeadBytes)
 	base := func() *http.Request { return httptest.NewRequest("POST", "http://booking/visits/7?day=2", nil) }
@@ -22,8 +22,8 @@
 		body   string
 		same   bool
 	}{
-		{"another try", func(r *http.Request) { r.Header.Set("X-Request-Id", "2") }, "body", true},
-		{"another time left", func(r *http.Request) { r.Header.Set("Flamingomast-Timeout-Ms", "90") }, "body", true},
+		{"another attempt", func(r *http.Request) { r.Header.Set("X-Request-Id", "2") }, "body", true},
+		{"another timeout", func(r *http.Request) { r.Header.Set("Flamingomast-Timeout-Ms", "90") }, "body", true},
 		{"another body", nil, "bodi", false},
 		{"a longer body", nil, "body2", false},
 		{"no body", nil, "", false},
@@ -31,7 +31,7 @@
 		{"another host", func(r *http.Request) { r.Host = "portal" }, "body", false},
 		{"another query", func(r *http.Request) { r.URL.RawQuery = "day=3" }, "body", false},
 		{"another caller", func(r *http.Request) { r.Header.Set("Authorization", "Bearer b") }, "body", false},
-		{"a field's end moved", func(r *http.Request) { r.Host, r.URL.Path = "booking/", "visits/7" }, "body", false},
+		{"moved field boundary", func(r *http.Request) { r.Host, r.URL.Path = "booking/", "visits/7" }, "body", false},
 	} {
 		r := base()
 		if tc.change != nil {
@@ -41,16 +41,16 @@
 			t.Errorf("%s: same %t, want %t", tc.name, got, tc.same)
 		}
 		if tc.same && ident.Head(r) != ident.Head(base()) {
-			t.Errorf("%s: the same key with two heads", tc.name)
+			t.Errorf("%s: same key, but different header hashes", tc.name)
 		}
 	}
 	if ident.Of(base(), []byte(long+"a")) != ident.Of(base(), []byte(long+"b")) {
-		t.Error("what is beyond the lead counts")
+		t.Error("bytes beyond the prefix change the key")
 	}
 }
 
-// TestPrefixReader: a body that streams gives the same lead whatever the pieces in which it
-// comes, and none before enough of it has come.
+// TestPrefixReader checks that a streamed body yields the same prefix however it is split into
+// reads, and that the prefix is incomplete until enough has been read.
 func TestPrefixReader(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
@@ -60,10 +60,10 @@
 		complete     bool
 	}{
 		{"whole", 100, 100, 100, 100, true},
-		{"a part", 100, 100, 99, 99, false},
+		{"part of the body", 100, 100, 99, 99, false},
 		{"none", 0, 0, 0, 0, true},
-		{"no length, not at its end", 100, -1, 100, 100, false},
-		{"no length, at its end", 100, -1, 101, 100, true},
+		{"no length, before EOF", 100, -1, 100, 100, false},
+		{"no length, at EOF", 100, -1, 101, 100, true},
 		{"long", 3 * ident.LeadBytes, -1, 2 * ident.LeadBytes, ident.LeadBytes, true},
 	} {
 		pr := ident.NewPrefixReader(io.NopCloser(iotest.OneByteReader(strings.NewReader(strings.Repeat("x", int(tc.size))))))
@@ -72,13 +72,13 @@
 		}
 		prefix, complete := pr.Prefix(tc.length)
 		if len(prefix) != tc.prefix || complete != tc.complete {
-			t.Errorf("%s: %d bytes, whole %t; want %d, %t", tc.name, len(prefix), complete, tc.prefix, tc.complete)
+			t.Errorf("%s: %d bytes, complete %t; want %d, %t", tc.name, len(prefix), complete, tc.prefix, tc.complete)
 		}
 	}
 }
 
-// BenchmarkKeyOf is the price of a key, which is paid only while some request is under
-// suspicion and has the same head.
+// BenchmarkKeyOf measures the cost of a key, which is computed only while some request with the
+// same HeaderHash is suspect.
 func BenchmarkKeyOf(b *testing.B) {
 	r := httptest.NewRequest("POST", "http://booking/visits/7?day=2", nil)
 	body := make([]byte, 4<<10)
--- a/internal/path/idle/doc.go
+++ b/internal/path/idle/doc.go
@@ -1,3 +1,3 @@
-// Package idle ends kept connections of a server that nobody uses, without
-// cutting off a request that has just arrived on one.
+// Package idle closes idle connections of an HTTP server without cutting off a request that has just
+// arrived on one.
 package idle
--- a/internal/path/idle/idle.go
+++ b/internal/path/idle/idle.go
@@ -9,16 +9,16 @@
 
 // Set holds the connections of one server. The zero value is ready for use.
 //
-// The server's own way to end idle connections takes one for idle until it has
-// read the whole head of the next request: a request whose first bytes have
-// arrived is then cut off without an answer, and its caller cannot know whether
-// it ran. Here a connection is busy from the first byte that was read from it.
+// net/http takes a connection for idle until it has read the whole header of the next request. If
+// it closes such a connection, a request whose first bytes have arrived is cut off without a
+// response, and its caller cannot know whether it ran. In a Set, a connection is busy from the
+// first byte read from it.
 type Set struct {
 	mu    sync.Mutex
 	conns map[*conn]struct{}
 }
 
-// Listener returns ln with its connections in the set.
+// Listener returns ln with its connections added to the set.
 func (st *Set) Listener(ln net.Listener) net.Listener { return &listener{Listener: ln, st: st} }
 
 type listener struct {
@@ -26,7 +26,7 @@
 	st *Set
 }
 
-// Accept accepts a connection.
+// Accept accepts a connection and adds it to the set.
 func (ln *listener) Accept() (net.Conn, error) {
 	nc, err := ln.Listener.Accept()
 	if err != nil {
@@ -42,7 +42,7 @@
 	return cn, nil
 }
 
-// State is the server's ConnState hook: it tells when a request has ended.
+// ConnState is the server's ConnState hook. It marks connections as busy or idle.
 func (st *Set) State(nc net.Conn, state http.ConnState) {
 	cn, ok := nc.(*conn)
 	if !ok {
@@ -58,8 +58,8 @@
 	}
 }
 
-// End ends the connections that have been idle for longer than age, and returns
-// how many are left.
+// CloseIdle closes the connections that have been idle for at least age, and returns how many
+// connections the set holds, including those that are being closed.
 func (st *Set) End(age time.Duration) int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -70,7 +70,7 @@
 	return len(st.conns)
 }
 
-// Len returns how many connections there are.
+// Len returns the number of connections.
 func (st *Set) Len() int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -84,11 +84,11 @@
 	mu      sync.Mutex
 	busy    bool
 	closing bool
-	// idleSince is when it became idle.
+	// idleSince is when the connection became idle.
 	idleSince time.Time
 }
 
-// pastDeadline is a deadline that ends a waiting read at once.
+// pastDeadline is a deadline that interrupts a blocked read at once.
 var pastDeadline = time.Unix(1, 0)
 
 func (cn *conn) closeIfIdle(now time.Time, age time.Duration) {
@@ -98,12 +98,11 @@
 		return
 	}
 	cn.closing = true
-	// A connection that has failed ends by itself.
+	// An error means that the connection has failed, so it is closed anyway.
 	_ = cn.Conn.SetReadDeadline(pastDeadline)
 }
 
-// Read reads; what it brings makes the connection busy, also one that was just
-// to be ended.
+// Read reads into p. Data makes the connection busy, even if it was about to be closed.
 func (cn *conn) Read(p []byte) (int, error) {
 	n, err := cn.Conn.Read(p)
 	if n == 0 {
@@ -119,7 +118,7 @@
 	return n, err
 }
 
-// SetReadDeadline sets the deadline, unless the connection is to be ended.
+// SetReadDeadline sets the read deadline, unless the connection is being closed.
 func (cn *conn) SetReadDeadline(t time.Time) error {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
@@ -129,7 +128,7 @@
 	return cn.Conn.SetReadDeadline(t)
 }
 
-// CloseWrite ends writing alone, where the connection can.
+// CloseWrite closes the write side of the connection, if the underlying connection supports it.
 func (cn *conn) CloseWrite() error {
 	if cw, ok := cn.Conn.(interface{ CloseWrite() error }); ok {
 		return cw.CloseWrite()
@@ -137,7 +136,7 @@
 	return nil
 }
 
-// Close ends the connection.
+// Close closes the connection and removes it from the set.
 func (cn *conn) Close() error {
 	cn.st.mu.Lock()
 	delete(cn.st.conns, cn)
--- a/internal/path/idle/idle_test.go
+++ b/internal/path/idle/idle_test.go
@@ -12,7 +12,7 @@
 	"github.com/flamingomast/flamingomast/internal/plat/memnet"
 )
 
-// serve runs a server whose connections are in the returned set.
+// serve starts a server whose connections are in the returned set.
 func serve(t *testing.T, nw *memnet.Network, h http.Handler) *Set {
 	t.Helper()
 	st := &Set{}
@@ -48,10 +48,10 @@
 	}
 }
 
-// TestRequestArriving: a caller uses a kept connection at the moment at which
-// the server ends its idle ones. The first bytes of the request have arrived,
-// its head is not whole yet. It must get its answer: without it, the caller of a
-// request that may not be repeated has lost it.
+// TestRequestArriving guards against cutting off a request that arrives on a kept connection just
+// as the server closes its idle ones. The first bytes of the request have arrived, but not its
+// whole header. Without a response, the caller of a request that must not be repeated would lose
+// it.
 func TestRequestArriving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nw := memnet.New()
@@ -63,19 +63,19 @@
 			write(t, nc, "GET / HTTP/1.1\r\nHo")
 			time.Sleep(time.Second)
 			if left := st.End(0); left != 1 {
-				t.Fatalf("%d connections are left, want the one that is in use", left)
+				t.Fatalf("%d connections are left, want 1, the one in use", left)
 			}
 			write(t, nc, "st: x\r\n\r\n")
 			res, err := http.ReadResponse(br, nil)
 			if err != nil || res.StatusCode != http.StatusNoContent {
-				t.Fatalf("the answer: %v, %v", res, err)
+				t.Fatalf("response: %v, %v", res, err)
 			}
 		}
 	})
 }
 
-// TestCloseIdle: a connection without a request ends, a new one only once it has
-// been idle for long enough.
+// TestCloseIdle checks that idle connections are closed, and a new one only after it has been idle
+// for long enough.
 func TestCloseIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nw := memnet.New()
@@ -92,16 +92,16 @@
 		st.End(time.Second)
 		synctest.Wait()
 		if n := st.Len(); n != 1 {
-			t.Errorf("%d connections are left, want the newest", n)
+			t.Errorf("%d connections are left, want 1, the newest", n)
 		}
 		for _, nc := range []net.Conn{used, unused} {
 			if _, err := nc.Read(make([]byte, 1)); err == nil {
-				t.Error("an idle connection goes on")
+				t.Error("an idle connection is still open")
 			}
 		}
 		write(t, newest, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 		if _, err := http.ReadResponse(bufio.NewReader(newest), nil); err != nil {
-			t.Errorf("the newest connection: %v", err)
+			t.Errorf("newest connection: %v", err)
 		}
 	})
 }
--- a/internal/path/inlet/whose_test.go
+++ b/internal/path/inlet/attribution_test.go
@@ -20,14 +20,14 @@
 	"github.com/flamingomast/flamingomast/internal/plat/faulty"
 )
 
-// stage is an inlet before a backend server that does as a test says.
+// rig is an inlet in front of a backend server whose behavior a test chooses.
 type rig struct {
 	t  *testing.T
 	in *inlet.Inlet
 	// addr is where the server listens.
 	addr string
-	// started gets the path of each request that the server has read; it goes on with all
-	// once proceed is closed.
+	// started receives the path of each request that the server has read. The server continues once
+	// proceed is closed.
 	started chan string
 	proceed chan struct{}
 
@@ -37,7 +37,8 @@
 	reports []poison.Report
 }
 
-// newStage starts a server that answers once it may go on, unless behave says otherwise.
+// newRig starts a server that answers each request once proceed is closed, or calls behave if that
+// is not nil.
 func newRig(t *testing.T, behave func(rg *rig, cn net.Conn, n int, req *http.Request) bool) *rig {
 	t.Helper()
 	rg := &rig{t: t, in: inlet.New(proxy.Options{}, nil), started: make(chan string, 16), proceed: make(chan struct{})}
@@ -80,7 +81,7 @@
 	rg.server, rg.addr = faulty.Serve(ln, fn), ln.Addr().String()
 }
 
-// release ends the server with all that it runs.
+// crash closes the server and all its connections.
 func (rg *rig) crash() {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
@@ -91,7 +92,7 @@
 	rg.in.SetTarget(inlet.Target{VM: "vm", Process: "p", Service: "booking", Addr: rg.addr, Lifetime: lifetime})
 }
 
-// ask sends a request to the inlet, of whose server ends its outlet knows some.
+// send sends a request to the inlet; ends is the number of crashes that its outlet knows of.
 func (rg *rig) send(ctx context.Context, path string, ends int) *httptest.ResponseRecorder {
 	r := httptest.NewRequestWithContext(ctx, "GET", "http://booking"+path, nil)
 	for name, value := range map[string]string{
@@ -107,31 +108,31 @@
 	return w
 }
 
-// ends returns how many servers ended under the request for a path, as was reported.
+// crashes returns how many crashes were reported for the request for a path.
 func (rg *rig) crashes(path string) int {
 	r := httptest.NewRequest("GET", "http://booking"+path, nil)
 	return rg.in.Poison().Ends(ident.Of(r, nil))
 }
 
-// crashServer is what a server does that ends under a request.
+// crashServer is the behavior of a server that crashes while it runs a request.
 func crashServer(rg *rig, _ net.Conn, _ int, _ *http.Request) bool {
 	rg.crash()
 	return false
 }
 
-// TestCrashAttribution: when a server ends, all that it was running may be the cause, also what its
-// outlet has given up on; and nothing else is one, or requests would be refused that every
-// server can serve.
+// TestCrashAttribution guards against wrong attribution of a crash. Each request that the server
+// was running may be the cause, also one that its outlet gave up on. No other request is: it would
+// be refused although every server can serve it.
 func TestCrashAttribution(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		run  func(rg *rig)
-		// behave is what the server does in place of answering.
+		// behave replaces the server's response.
 		behave func(rg *rig, cn net.Conn, n int, req *http.Request) bool
-		// blamed are the paths of requests that it must be blamed against, once each.
+		// blamed are the paths of the requests that the crash counts against, once each.
 		blamed []string
 	}{
-		{"ends with two running", func(rg *rig) {
+		{"crashes with two requests running", func(rg *rig) {
 			var wg sync.WaitGroup
 			for _, path := range []string{"/a", "/b"} {
 				wg.Go(func() { rg.send(context.Background(), path, 0) })
@@ -140,7 +141,7 @@
 			close(rg.proceed)
 			wg.Wait()
 		}, crashServer, []string{"/a", "/b"}},
-		{"ends with one that its outlet gave up on", func(rg *rig) {
+		{"crashes with a request that its outlet gave up on", func(rg *rig) {
 			ctx, cancel := context.WithCancel(context.Background())
 			var wg sync.WaitGroup
 			wg.Go(func() { rg.send(ctx, "/gave-up", 0) })
@@ -151,11 +152,11 @@
 			close(rg.proceed)
 			rg.send(context.Background(), "/next", 0)
 		}, crashServer, []string{"/gave-up"}},
-		{"breaks off one answer", func(rg *rig) {
+		{"breaks off one response", func(rg *rig) {
 			close(rg.proceed)
 			rg.send(context.Background(), "/a", 0)
 		}, func(*rig, net.Conn, int, *http.Request) bool { return false }, nil},
-		{"is silent until the caller leaves", func(rg *rig) {
+		{"does not respond until the caller has gone", func(rg *rig) {
 			ctx, cancel := context.WithCancel(context.Background())
 			var wg sync.WaitGroup
 			wg.Go(func() { rg.send(ctx, "/a", 0) })
@@ -164,7 +165,7 @@
 			wg.Wait()
 			close(rg.proceed)
 		}, nil, nil},
-		{"said that it leaves", func(rg *rig) {
+		{"crashes while draining", func(rg *rig) {
 			var wg sync.WaitGroup
 			wg.Go(func() { rg.send(context.Background(), "/a", 0) })
 			<-rg.started
@@ -172,7 +173,7 @@
 			close(rg.proceed)
 			wg.Wait()
 		}, crashServer, nil},
-		{"was gone before", func(rg *rig) {
+		{"crashed before the request", func(rg *rig) {
 			close(rg.proceed)
 			rg.crash()
 			rg.send(context.Background(), "/a", 0)
@@ -187,15 +188,15 @@
 					want = 1
 				}
 				if got := rg.crashes(path); got != want {
-					t.Errorf("%d ends are blamed against %s, want %d", got, path, want)
+					t.Errorf("%d crashes count against %s, want %d", got, path, want)
 				}
 			}
 		})
 	}
 }
 
-// TestCrashBeforeRequest guards against blame for a request that was sent on a kept connection
-// just after its server ended.
+// TestCrashBeforeRequest guards against blaming a request that was sent on a kept connection just
+// after its server crashed.
 func TestCrashBeforeRequest(t *testing.T) {
 	rg := newRig(t, nil)
 	close(rg.proceed)
@@ -204,13 +205,13 @@
 	rg.send(context.Background(), "/b", 0)
 	for _, path := range []string{"/a", "/b"} {
 		if got := rg.crashes(path); got != 0 {
-			t.Errorf("%d ends are blamed against %s, want 0", got, path)
+			t.Errorf("%d crashes count against %s, want 0", got, path)
 		}
 	}
 }
 
-// TestResponseClearsSuspect: a lookup that many callers make ran beside the cause of two ends. One
-// answer by a server that lives shows that it is not the cause.
+// TestResponseClearsSuspect guards against refusing a common lookup that happened to run beside the
+// cause of two crashes. One response from a server that survives shows that it is not the cause.
 func TestResponseClearsSuspect(t *testing.T) {
 	rg := newRig(t, nil)
 	close(rg.proceed)
@@ -219,16 +220,16 @@
 		rg.in.Report([]poison.Report{{Head: ident.Head(r), Key: ident.Of(r, nil), End: en, At: time.Now()}})
 	}
 	if w := rg.send(context.Background(), "/same", 2); w.Code != http.StatusOK {
-		t.Fatalf("answered %d", w.Code)
+		t.Fatalf("status %d, want 200", w.Code)
 	}
 	if got := rg.crashes("/same"); got != 0 {
-		t.Errorf("%d ends count after an answer", got)
+		t.Errorf("%d crashes still count after a response, want 0", got)
 	}
 }
 
-// TestSuspectsRunOneAtATime: two requests had both been beside each other at two ends. Run
-// together at a third server, both would be refused for good; run apart, one of them is
-// answered. A third one that nothing is known of runs beside either.
+// TestSuspectsRunOneAtATime guards against refusing two requests for good because they ran together
+// at each crash. Run one at a time, the harmless one is answered. A request without known crashes
+// runs beside either.
 func TestSuspectsRunOneAtATime(t *testing.T) {
 	rg := newRig(t, nil)
 	var wg sync.WaitGroup
@@ -236,24 +237,24 @@
 	<-rg.started
 	w := rg.send(context.Background(), "/two", poison.Apart)
 	if got := result.Reason(w.Header().Get(result.ReasonHeader)); got != result.ReasonApart || w.Header().Get(result.OutcomeHeader) != result.NotRun.String() {
-		t.Errorf("the second suspect got %s/%s", w.Header().Get(result.OutcomeHeader), got)
+		t.Errorf("second suspect request got %s/%s", w.Header().Get(result.OutcomeHeader), got)
 	}
 	wg.Go(func() {
 		if w := rg.send(context.Background(), "/beside", poison.Apart-1); w.Code != http.StatusOK {
-			t.Errorf("one beside a suspect got %d", w.Code)
+			t.Errorf("request beside a suspect got status %d, want 200", w.Code)
 		}
 	})
 	<-rg.started
 	close(rg.proceed)
 	wg.Wait()
 	if w := rg.send(context.Background(), "/two", poison.Apart); w.Code != http.StatusOK {
-		t.Errorf("the second suspect got %d once the first was answered", w.Code)
+		t.Errorf("second suspect request got status %d after the first was answered, want 200", w.Code)
 	}
 }
 
-// TestCrashPerInstance: the same address is back after some seconds as another lifetime, and ends
-// again under the same request. That is two ends; the same lifetime ends once, however
-// many find out.
+// TestCrashPerInstance checks that a server which comes back at the same address as a new instance
+// and crashes under the same request counts as two crashes, and that one instance counts once
+// however often its crash is detected.
 func TestCrashPerInstance(t *testing.T) {
 	rg := newRig(t, crashServer)
 	close(rg.proceed)
@@ -265,13 +266,13 @@
 		rg.send(context.Background(), "/a", 0)
 		rg.send(context.Background(), "/a", 0)
 		if got := rg.crashes("/a"); got != i+1 {
-			t.Errorf("%d ends after the end of %s, want %d", got, lifetime, i+1)
+			t.Errorf("%d crashes after that of instance %s, want %d", got, lifetime, i+1)
 		}
 	}
 }
 
-// TestTransientRefusal: a server refused connections for a moment and was taken to have
-// ended. It announces itself again, and an answer that it breaks off later is no end.
+// TestTransientRefusal guards against a server that refused connections for a moment being taken
+// for crashed for good. After it announces itself again, a response that it breaks off is no crash.
 func TestTransientRefusal(t *testing.T) {
 	rg := newRig(t, crashServer)
 	close(rg.proceed)
@@ -284,6 +285,6 @@
 	rg.target("i-1")
 	w := rg.send(context.Background(), "/b", 0)
 	if got := result.Reason(w.Header().Get(result.ReasonHeader)); got != result.ReasonBroken || rg.crashes("/b") != 0 {
-		t.Errorf("reason %s, %d ends; want %s and none", got, rg.crashes("/b"), result.ReasonBroken)
+		t.Errorf("reason %s, %d crashes; want %s and none", got, rg.crashes("/b"), result.ReasonBroken)
 	}
 }
--- a/internal/path/inlet/broken.go
+++ b/internal/path/inlet/broken.go
@@ -6,40 +6,42 @@
 )
 
 const (
-	// crashSettleTime is how long after a break the other connections of a crashed server are
-	// given to be read as broken, maxCrashSpan how long that takes on a busy VM.
+	// crashSettleTime is how long after a connection breaks the inlet waits for the other
+	// connections of a crashed server to be read as broken; maxCrashSpan is how long that takes on
+	// a busy VM.
 	crashSettleTime = 20 * time.Millisecond
 	maxCrashSpan    = 500 * time.Millisecond
-	// minBrokenTogether is how many requests must have broken off together, and no other still
-	// run, for a server that accepts connections to be taken for crashed.
+	// minBrokenTogether is how many requests must have broken off together, with no concurrent one
+	// still running, for a server that accepts connections to count as crashed.
 	minBrokenTogether = 2
-	// brokenTTL is how long after a broken request the next start of the server is taken
-	// for a sign that the one before crashed.
+	// brokenTTL is how long after a request broke off a new instance of the server is taken as
+	// evidence that the previous one crashed.
 	brokenTTL = 10 * time.Second
-	// maxBroken is how many broken requests are kept.
+	// maxBroken bounds the number of remembered broken requests.
 	maxBroken = 64
 )
 
-// runningRequest is a request that a server is running.
+// runningRequest is a request that the server is running.
 type runningRequest struct {
 	target    Target
 	startedAt time.Time
 }
 
-// brokenRequest is a request whose connection broke though the server accepts others.
+// brokenRequest is a request whose connection broke although the server accepts others.
 type brokenRequest struct {
 	id     requestID
 	target Target
-	// startedAt is when the server got it, at when its connection broke.
+	// startedAt is when the request was sent to the server, brokenAt when its connection broke.
 	startedAt, brokenAt time.Time
 }
 
-// sameInstance reports whether two targets are one start of a backend server.
+// sameInstance reports whether two targets are the same instance of a backend server.
 func (tg *Target) sameInstance(other *Target) bool {
 	return tg.VM == other.VM && tg.Lifetime == other.Lifetime && tg.StartedMs == other.StartedMs
 }
 
-// begin records that the server of a target runs a request, until finish.
+// begin records that the target's server runs a request. Call finish or addBroken when the request
+// ends.
 func (cd *crashDetector) begin(tg *Target) *runningRequest {
 	rr := &runningRequest{target: *tg, startedAt: time.Now()}
 	cd.mu.Lock()
@@ -51,8 +53,8 @@
 	return rr
 }
 
-// finish records that a request has been answered or has failed; it may be called twice. A
-// server that answers a request which it ran when others broke off has not crashed.
+// finish records that a request was answered or failed; it may be called twice. A server that
+// answers a request which it was already running when others broke off has not crashed.
 func (cd *crashDetector) finish(rr *runningRequest, answered bool) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
@@ -77,9 +79,10 @@
 	}
 }
 
-// takeBrokenTogether returns the requests that a server ran when it crashed, none if it did not crash or
-// that is not known yet. Those count that broke off lately and ran together, and none if
-// the server still runs another one that ran beside them.
+// takeBrokenTogether returns and removes the requests that a server was running when it crashed. It
+// returns none if the server did not crash or if that is not known yet. Counted are requests that
+// ran concurrently and broke off within maxCrashSpan; if the server still runs another request from
+// that time, it has not crashed.
 func (cd *crashDetector) takeBrokenTogether(tg *Target, now time.Time) (ids []requestID) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
@@ -107,8 +110,9 @@
 	return ids
 }
 
-// takeEarlierInstances returns the requests whose connections broke lately at another start of the
-// server than the present one, by that start.
+// takeEarlierInstances removes the broken requests of all instances of the server but the current
+// one, and returns those that broke off within brokenTTL, by instance. It does nothing if the current
+// server reports no lifetime.
 func (cd *crashDetector) takeEarlierInstances(tg *Target, now time.Time) map[Target][]requestID {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
@@ -128,39 +132,39 @@
 	return broken
 }
 
-// confirmAlive drops the broken requests that a server has survived.
+// confirmAlive removes the broken requests that the server has survived.
 func (cd *crashDetector) confirmAlive(now time.Time) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
 	cd.broken = slices.DeleteFunc(cd.broken, func(br brokenRequest) bool { return now.Sub(br.brokenAt) > crashSettleTime })
 }
 
-// markLeaving drops all broken requests, and those that a start of the server breaks later: one
-// that drains has not crashed.
+// markLeaving removes all broken requests, and makes later ones of the given instance be ignored: a
+// server that drains has not crashed.
 func (cd *crashDetector) markLeaving(tg *Target) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
 	cd.broken, cd.leaving = nil, *tg
 }
 
-// isLeaving reports whether a start of the server was the last that said it leaves.
+// isLeaving reports whether the given instance was the last one marked as leaving.
 func (cd *crashDetector) isLeaving(tg *Target) bool {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
 	return cd.leaving.sameInstance(tg)
 }
 
-// ServerHeard records that the present start of the backend server announced itself again.
+// ServerAnnounced records that the current instance of the backend server announced itself again.
 func (in *Inlet) ServerHeard() { in.crashes.confirmAlive(time.Now()) }
 
-// ServerLeaves records that the backend server drains or was withdrawn.
+// ServerLeaving records that the backend server is draining or was withdrawn.
 func (in *Inlet) ServerLeaves() {
 	if tg := in.target.Load(); tg != nil {
 		in.crashes.markLeaving(tg)
 	}
 }
 
-// recordBroken records a request that broke off at a server which accepts connections.
+// recordBroken records a request that broke off at a server which still accepts connections.
 func (in *Inlet) recordBroken(id requestID, rr *runningRequest) {
 	tg := &rr.target
 	if in.crashes.isLeaving(tg) {
@@ -173,15 +177,15 @@
 	time.AfterFunc(crashSettleTime, func() { in.reportCrash(tg, in.crashes.takeBrokenTogether(tg, time.Now())) })
 }
 
-// reportEarlierInstances reports crashes of earlier starts of the server than the present one. A
-// server may be back before its broken connections have been read.
+// reportEarlierInstances reports crashes of earlier instances of the server. A new instance may be
+// up before the broken connections of the crashed one have been read.
 func (in *Inlet) reportEarlierInstances(tg *Target, now time.Time) {
 	for instance, ids := range in.crashes.takeEarlierInstances(tg, now) {
 		in.reportCrash(&instance, ids)
 	}
 }
 
-// reportCrash logs and reports that a start of the server crashed while it ran requests.
+// reportCrash logs and reports that an instance of the server crashed while it ran requests.
 func (in *Inlet) reportCrash(tg *Target, ids []requestID) {
 	if len(ids) == 0 || in.Gate.Draining() {
 		return
--- a/internal/path/inlet/broken_test.go
+++ b/internal/path/inlet/broken_test.go
@@ -11,8 +11,9 @@
 	"github.com/flamingomast/flamingomast/internal/path/proxy"
 )
 
-// TestCrashEvidence guards against blame for connections that break while their server
-// lives or leaves, and against crashes that go unseen as its address accepts connections.
+// TestCrashEvidence guards against two faults: blaming requests whose connections break while their
+// server stays up or drains, and missing a crash because the server's address still accepts
+// connections.
 func TestCrashEvidence(t *testing.T) {
 	const (
 		first  = "i-1"
@@ -30,12 +31,12 @@
 		run  func(in *Inlet)
 		want int
 	}{
-		{"all break together", func(in *Inlet) {
+		{"all requests break together", func(in *Inlet) {
 			a, b := begin(in), begin(in)
 			interrupt(in, a, 1)
 			interrupt(in, b, 2)
 		}, 2},
-		{"all break together twice", func(in *Inlet) {
+		{"all requests break together, twice", func(in *Inlet) {
 			a, b := begin(in), begin(in)
 			interrupt(in, a, 1)
 			interrupt(in, b, 2)
@@ -44,7 +45,7 @@
 			interrupt(in, a, 1)
 			interrupt(in, b, 2)
 		}, 4},
-		{"another one runs on", func(in *Inlet) {
+		{"a concurrent request keeps running", func(in *Inlet) {
 			a, b, c := begin(in), begin(in), begin(in)
 			interrupt(in, a, 1)
 			interrupt(in, b, 2)
@@ -52,72 +53,72 @@
 			in.crashes.finish(c, true)
 			in.SetTarget(target(second))
 		}, 0},
-		{"another one breaks a little later", func(in *Inlet) {
+		{"a concurrent request breaks a little later", func(in *Inlet) {
 			a, b, c := begin(in), begin(in), begin(in)
 			interrupt(in, a, 1)
 			interrupt(in, b, 2)
 			time.Sleep(3 * crashSettleTime)
 			interrupt(in, c, 3)
 		}, 3},
-		{"one, and the next that began after it", func(in *Inlet) {
+		{"one request, then one that began after it", func(in *Inlet) {
 			interrupt(in, begin(in), 1)
 			time.Sleep(time.Millisecond)
 			interrupt(in, begin(in), 2)
 		}, 0},
-		{"one that began later runs on", func(in *Inlet) {
+		{"a request that began later keeps running", func(in *Inlet) {
 			a, b := begin(in), begin(in)
 			interrupt(in, a, 1)
 			interrupt(in, b, 2)
 			time.Sleep(time.Millisecond)
 			begin(in)
 		}, 2},
-		{"one after the other", func(in *Inlet) {
+		{"one request after the other", func(in *Inlet) {
 			for key := range ident.Key(3) {
 				interrupt(in, begin(in), key)
 				time.Sleep(time.Second)
 			}
 		}, 0},
-		{"one, and another start follows", func(in *Inlet) {
+		{"one request, then a new instance", func(in *Inlet) {
 			interrupt(in, begin(in), 1)
 			time.Sleep(3 * time.Second)
 			in.SetTarget(Target{VM: "vm"})
 			in.SetTarget(target(second))
 		}, 1},
-		{"one, and the same start goes on", func(in *Inlet) {
+		{"one request, then the same instance announces itself", func(in *Inlet) {
 			interrupt(in, begin(in), 1)
 			time.Sleep(time.Second)
 			in.ServerHeard()
 			in.SetTarget(target(second))
 		}, 0},
-		{"one, and a drain follows", func(in *Inlet) {
+		{"one request, then a drain", func(in *Inlet) {
 			interrupt(in, begin(in), 1)
 			time.Sleep(time.Second)
 			in.ServerLeaves()
 			in.SetTarget(target(second))
 		}, 0},
-		{"one, read after another start has followed", func(in *Inlet) {
+		{"one request, read as broken after a new instance has started", func(in *Inlet) {
 			rr := begin(in)
 			in.SetTarget(target(second))
 			interrupt(in, rr, 1)
 		}, 1},
-		{"one of a start that left, read after another has followed", func(in *Inlet) {
+		{"one request of a drained instance, read as broken after a new one has started", func(in *Inlet) {
 			rr := begin(in)
 			in.ServerLeaves()
 			in.SetTarget(target(second))
 			interrupt(in, rr, 1)
 		}, 0},
-		{"one, and another start follows much later", func(in *Inlet) {
+		{"one request, then a new instance much later", func(in *Inlet) {
 			interrupt(in, begin(in), 1)
 			time.Sleep(brokenTTL)
 			in.SetTarget(target(second))
 		}, 0},
-		{"starts that have no name", func(in *Inlet) {
+		{"instances without a lifetime", func(in *Inlet) {
 			in.SetTarget(target(""))
 			interrupt(in, begin(in), 1)
 			time.Sleep(time.Second)
 			in.SetTarget(target(""))
 		}, 0},
-		{"while it drains", func(in *Inlet) {
+		{"while the server drains", func(in *Inlet) {
 			a, b := begin(in), begin(in)
 			in.Gate.Drain()
 			interrupt(in, a, 1)
--- a/internal/path/inlet/crash.go
+++ b/internal/path/inlet/crash.go
@@ -18,34 +18,35 @@
 )
 
 const (
-	// probeTimeout bounds a probe. A crashed server refuses connections at once; one that
-	// does not answer may only be paused.
+	// probeTimeout bounds a probe. A crashed server refuses connections at once; one that does not
+	// answer may only be paused.
 	probeTimeout = 100 * time.Millisecond
-	// probeInterval is how long the result of a probe holds.
+	// probeInterval is how long the result of a probe is reused.
 	probeInterval = 100 * time.Millisecond
-	// unnamedCrashTTL is how long the crash of a server without a lifetime is remembered: the
-	// next one looks like it.
+	// unnamedCrashTTL is how long the crash of a server that reports no lifetime is remembered: its
+	// next instance cannot be told from it.
 	unnamedCrashTTL = time.Second
-	// abandonedTTL is how long a server may go on with a request that its outlet gave up
-	// on, maxAbandoned how many of those are kept.
+	// abandonedTTL is how long a server may continue a request after its outlet gave up on it;
+	// maxAbandoned bounds the number of such requests that are remembered.
 	abandonedTTL = time.Second
 	maxAbandoned = 64
 )
 
-// crashDetector finds out whether the backend server crashed, and what it was running.
+// crashDetector detects crashes of the backend server and records which requests it was running.
 type crashDetector struct {
 	mu sync.Mutex
-	// target is the target that was probed last, ended the result, at when.
+	// probed is the target of the last probe, down its result and probedAt its time. endID
+	// identifies the crash if the server is down.
 	probed    Target
 	down      bool
 	probedAt  time.Time
 	endID     poison.End
 	abandoned []abandonedRequest
-	// running are the requests that the server is running, broken those that broke off
-	// though it accepts connections.
+	// running holds the requests that the server is running, broken those whose connection broke
+	// although the server accepts others.
 	running map[*runningRequest]bool
 	broken  []brokenRequest
-	// leaving is the last start that said it leaves.
+	// leaving is the last instance that announced its withdrawal.
 	leaving Target
 }
 
@@ -56,14 +57,15 @@
 	abandonedAt time.Time
 }
 
-// requestID names a request in reports.
+// requestID identifies a request in reports.
 type requestID struct {
 	headerHash uint64
 	key        ident.Key
 }
 
-// crashed reports whether the server of a target crashed, and names the crash. It calls probe
-// where the result of the last one no longer holds; requests that failed together share one.
+// crashed reports whether the target's server crashed, and returns the ID of the crash. It calls
+// probe if the last result has expired, so requests that fail together share one probe. first is
+// set for the call that detected the crash.
 func (cd *crashDetector) crashed(tg *Target, probe func() bool) (endID poison.End, crashed, first bool) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
@@ -84,7 +86,8 @@
 	return cd.endID, cd.down, cd.down
 }
 
-// endIDOf names the end of a target's lifetime.
+// endIDOf returns the ID of the crash of a target's instance. It is random for a server that
+// reports no lifetime.
 func endIDOf(tg *Target) poison.End {
 	if tg.Lifetime == "" {
 		return poison.End(rand.Uint64())
@@ -92,8 +95,8 @@
 	return poison.End(xxhash.Sum64String(tg.VM + "\x00" + tg.Lifetime + "\x00" + strconv.FormatInt(tg.StartedMs, 10)))
 }
 
-// forget drops the result of the last probe. A server that announces itself again has not
-// crashed, though it refused a connection for a moment.
+// forget discards the result of the last probe. A server that announces itself again has not
+// crashed, even if it refused a connection for a moment.
 func (cd *crashDetector) forget() {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
@@ -110,8 +113,8 @@
 	}
 }
 
-// takeAbandoned returns the abandoned requests that the server may have been running when
-// it crashed.
+// takeAbandoned removes the abandoned requests and returns those that the server may have been
+// running when it crashed.
 func (cd *crashDetector) takeAbandoned(tg *Target) (list []requestID) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
@@ -124,9 +127,9 @@
 	return list
 }
 
-// recordCrash finds out whether a request failed because its backend server crashed, and
-// reports what that server was running. A server that closes a connection by itself still
-// accepts others afterwards; one that drains did not crash.
+// recordCrash checks whether a request failed because its backend server crashed, and if so reports
+// the requests that the server was running. A server that merely closed a connection still accepts
+// new ones; a server that is draining did not crash.
 func (in *Inlet) recordCrash(r *http.Request, pr *ident.PrefixReader, rr *runningRequest, rf *result.Refusal) {
 	tg := &rr.target
 	gaveUp := rf.Reason == result.ReasonCallerGone || rf.Reason == result.ReasonDeadline
@@ -167,13 +170,13 @@
 	rf.Ends = in.endsOf(r, pr)
 }
 
-// logCrash logs that a start of the server crashed while it ran some requests.
+// logCrash logs that an instance of the server crashed, and how many requests it was running.
 func (in *Inlet) logCrash(tg *Target, running int) {
 	in.Log.LogAttrs(context.Background(), slog.LevelWarn, logs.ServerEnded,
 		slog.String(logs.Lifetime, tg.Lifetime), slog.Int("running", running))
 }
 
-// report sends reports that a server crashed while it ran requests.
+// report sends reports that a server crashed while it ran the given requests.
 func (in *Inlet) report(ids []requestID, endID poison.End) {
 	if len(ids) == 0 {
 		return
@@ -185,7 +188,7 @@
 	in.Report(list)
 }
 
-// requestIDOf returns the ID of a request, and whether enough of its body was read for it.
+// requestIDOf returns the ID of a request. ok is false if not enough of its body has been read.
 func requestIDOf(r *http.Request, pr *ident.PrefixReader) (id requestID, ok bool) {
 	prefix, complete := pr.Prefix(r.ContentLength)
 	if !complete {
@@ -194,7 +197,7 @@
 	return requestID{headerHash: ident.Head(r), key: ident.Of(r, prefix)}, true
 }
 
-// endsOf returns how many servers are known to have crashed while they ran a request.
+// endsOf returns the number of known server crashes during a request.
 func (in *Inlet) endsOf(r *http.Request, pr *ident.PrefixReader) int {
 	vw := in.Poison()
 	if !vw.Suspects(r) {
@@ -220,19 +223,19 @@
 	}
 }
 
-// isDown reports whether the backend server of a target refuses connections.
+// isDown reports whether the target's backend server refuses connections.
 func (in *Inlet) isDown(tg *Target) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	return !in.fw.Load().Reach(ctx, tg.Addr) && ctx.Err() == nil
 }
 
-// isolate admits one suspect request at a time, so that a further crash tells which of them
-// is the cause.
+// isolate admits one suspect request at a time, so that another crash shows which of them caused
+// it.
 func (in *Inlet) isolate(r *http.Request) (release func(), rf *result.Refusal) {
 	ends, err := strconv.Atoi(r.Header.Get(result.EndsHeader))
 	if err != nil || ends < poison.Apart {
-		// None are known, or an older release sends none.
+		// The outlet knows of too few crashes, or is an older release that sends no count.
 		return func() {}, nil
 	}
 	if !in.suspectRunning.CompareAndSwap(false, true) {
--- a/internal/path/inlet/crash_test.go
+++ b/internal/path/inlet/crash_test.go
@@ -17,13 +17,13 @@
 	"github.com/flamingomast/flamingomast/internal/plat/faulty"
 )
 
-// TestServerCrash: on-call engineers saw connections break and could not tell a server
-// that ended from one that broke off an answer. One that ended takes no connection any
-// more; the log says so once, and names each request that it was running.
+// TestServerCrash guards against log lines that do not tell a crashed server from one that merely
+// broke off a response. After a crash the server refuses connections; the log says so once, and
+// names each request that the server was running.
 func TestServerCrash(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// crashes is whether the server ends when it gets a request, or only closes its
+		// crashes is whether the server crashes when it gets a request, or only closes its
 		// connection.
 		crashes bool
 		reason  result.Reason
@@ -63,7 +63,7 @@
 				w := httptest.NewRecorder()
 				in.ServeHTTP(w, r)
 				if tc.crashes && method == "POST" {
-					// The address takes no connection: this one was not run.
+					// The address refuses connections, so this request was not run.
 					break
 				}
 				if got := result.Reason(w.Header().Get(result.ReasonHeader)); got != tc.reason {
--- a/internal/path/inlet/doc.go
+++ b/internal/path/inlet/doc.go
@@ -1,4 +1,4 @@
-// Package inlet is the only way to a VM's own backend server. It counts the
-// server's requests exactly, so that admission, drain and "not run" are
-// decided where the truth is.
+// Package inlet forwards requests to the backend server of its own VM, and is the only way to it. It
+// counts the server's requests exactly, so admission, draining and the "not run" outcome are decided
+// from first-hand data.
 package inlet
--- a/internal/path/inlet/inlet.go
+++ b/internal/path/inlet/inlet.go
@@ -23,59 +23,58 @@
 	"github.com/flamingomast/flamingomast/internal/stat/logs"
 )
 
-// Target is the backend server behind an inlet and the process that serves it.
+// Target is the backend server behind an inlet and the process that runs it.
 type Target struct {
 	VM, Process, Service string
-	// Addr is the backend server's address (host:port), empty while there is
-	// none.
+	// Addr is the backend server's address (host:port); empty while there is no server.
 	Addr string
-	// Lifetime names the start of the backend server, where it tells, and StartedMs
-	// is the Unix time in milliseconds of it.
+	// Lifetime identifies the instance of the backend server, if it reports one. StartedMs is the
+	// Unix time in milliseconds at which the instance started.
 	Lifetime  string
 	StartedMs int64
-	// ColdUntil is until when it is slow after its start.
+	// ColdUntil is the end of the slow phase after a start.
 	ColdUntil time.Time
 }
 
-// Inlet serves outlets.
+// Inlet serves the requests that outlets send to the VM's backend server.
 type Inlet struct {
 	Stats hist.Set
 	Gate  *limit.Gate
-	// Unreachable is called when the backend server takes no connection.
+	// Unreachable is called when the backend server accepts no connection.
 	Unreachable func(Target)
-	// Poison returns the requests that servers ended under, Report tells all daemons of
-	// them. They are set before use.
+	// Poison returns the known requests that crashed servers; Report sends new reports to all
+	// daemons. Both are set before use.
 	Poison func() *poison.View
 	Report func([]poison.Report)
-	// Token is what outlets must show; empty for none. It is set before use.
+	// Token is the mesh token that outlets must present; empty for none. It is set before use.
 	Token string
-	// Names are the headers of backend servers. They are set before use.
+	// Names are the headers that backend servers use. They are set before use.
 	Names result.Names
-	// Log gets a line for each request that is not answered; it is set before
-	// use.
+	// Log gets a line for each request that is not answered. It is set before use.
 	Log     *slog.Logger
 	op      proxy.Options
 	fw      atomic.Pointer[proxy.Forwarder]
 	target  atomic.Pointer[Target]
 	lapses  lapse.Tracker
 	crashes crashDetector
-	// suspectRunning is set while a request runs that more than one server ended under.
+	// suspectRunning is set while a request runs that is suspected of having crashed several
+	// servers.
 	suspectRunning atomic.Bool
-	// counts has what the present start of the server did.
+	// counts holds the request counts of the current instance of the server.
 	counts atomic.Pointer[tally.Counter]
-	// buffered is what answers take that were read and are not sent yet.
+	// buffered is the memory taken by responses that were read and are not sent yet.
 	buffered proxy.Bound
-	// link is the VM's, nil for one that is not paced.
+	// link paces the VM's link; nil if it is not paced.
 	link *pacer.Pacer
 }
 
-// maxBuffered is how many bytes of answers are held in all while they are sent: the
-// largest ones have some 0.5 MB, and a link of 5 Mbit/s takes 3 s for them. Beyond
-// it an answer keeps its slot until it was sent.
+// maxBuffered bounds the bytes of all buffered responses. The largest responses have about 0.5 MB;
+// a link of 5 Mbit/s takes about 3 s to send 2 MiB. Beyond the bound a response keeps its slot until
+// it has been sent.
 const maxBuffered = 2 << 20
 
-// New returns an inlet without a target; op says how its backend server is
-// reached. Large answers are paced by link, which may be nil.
+// New returns an inlet without a target; op says how to connect to its backend server. Large
+// responses are paced by link, which may be nil.
 func New(op proxy.Options, link *pacer.Pacer) *Inlet {
 	in := &Inlet{Gate: limit.New(), Unreachable: func(Target) {}, Poison: func() *poison.View { return nil }, Report: func([]poison.Report) {}, Log: slog.New(slog.DiscardHandler), op: op, link: link}
 	in.buffered.Most = maxBuffered
@@ -84,8 +83,8 @@
 	return in
 }
 
-// SetMaxConns bounds the connections to the backend server; 0 for no bound.
-// Requests that are running keep the connections that they have.
+// SetMaxConns bounds the connections to the backend server; 0 means no bound. Running requests keep
+// their connections.
 func (in *Inlet) SetMaxConns(n int) {
 	if n == in.op.MaxConns {
 		return
@@ -94,12 +93,12 @@
 	in.fw.Swap(proxy.New(in.op)).Close()
 }
 
-// Close ends the kept connections.
+// Close closes the idle connections to the backend server.
 func (in *Inlet) Close() { in.fw.Load().Close() }
 
-// SetTarget replaces the target. Requests that are running stay where they are;
-// connections that are kept to another start of the backend server are closed, since a
-// request that may run once only is lost on one that nobody reads.
+// SetTarget replaces the target. Running requests continue on the old one. Kept connections to
+// another instance of the backend server are closed: a request that may run only once would be lost
+// if written to a connection that nobody reads.
 func (in *Inlet) SetTarget(tg Target) {
 	old := in.target.Swap(&tg)
 	if old != nil && old.Addr == "" && tg.Addr != "" {
@@ -114,7 +113,7 @@
 	in.reportEarlierInstances(&tg, time.Now())
 }
 
-// ServeHTTP serves one request of an outlet.
+// ServeHTTP serves one request from an outlet.
 func (in *Inlet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
 	tg, rf := in.checkTarget(r.Header)
@@ -161,11 +160,10 @@
 	sr.Latency.Record(time.Since(start))
 }
 
-// checkTarget asks for the mesh token and compares the target that the outlet means
-// with this one. An address
-// may have passed to another VM, or to another process of the same VM that
-// runs another service: an outlet with an old view is told that the request
-// was not run, and goes elsewhere.
+// checkTarget verifies the mesh token and compares the target that the outlet addresses with the
+// current one. An address may have been reassigned to another VM, or to another process of the same
+// VM that runs a different service. An outlet with stale data is told that the request was not run,
+// and sends it elsewhere.
 func (in *Inlet) checkTarget(hdr http.Header) (*Target, *result.Refusal) {
 	if in.Token != "" && subtle.ConstantTimeCompare([]byte(hdr.Get(result.TokenHeader)), []byte(in.Token)) != 1 {
 		return nil, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonToken}
@@ -181,7 +179,7 @@
 	return tg, nil
 }
 
-// callerRequestID returns the caller's id of a request, empty where callers give none.
+// callerRequestID returns the ID that the caller gave the request, or "" if callers give none.
 func (in *Inlet) callerRequestID(r *http.Request) string {
 	if in.Names.Request == "" {
 		return ""
@@ -205,12 +203,12 @@
 	rf.Write(w, true)
 }
 
-// maxAutoDiscard is the size up to which net/http reads the rest of a body itself
-// to keep the connection.
+// maxAutoDiscard is the size up to which net/http itself reads the rest of a request body to keep
+// the connection.
 const maxAutoDiscard = 256 << 10
 
-// parseUrgency reads how urgent an outlet says that a request is. What cannot be read
-// ranks as the least urgent.
+// parseUrgency reads the request's urgency from the outlet's headers. A value that cannot be parsed
+// counts as the least urgent.
 func parseUrgency(hdr http.Header, class string) limit.Request {
 	rq := limit.Request{Class: class, Priority: lowestPriority}
 	text, final := strings.CutSuffix(hdr.Get(result.UrgencyHeader), result.Final)
@@ -225,12 +223,12 @@
 	return rq
 }
 
-// lowestPriority is the rank of requests without one.
+// lowestPriority is the priority of requests that declare none.
 const lowestPriority = 100
 
-// withDeadline returns the context of a request. The time that it gives counts from
-// when it was sent: one that lay unread for as long is not run any more, since
-// its caller has gone, whether that is known here yet or not.
+// withDeadline returns the request's context. The timeout in the header counts from when the
+// request was sent. A request that stayed unread for longer than that is not run: its caller has
+// gone, even if the inlet has not noticed yet.
 func (in *Inlet) withDeadline(r *http.Request, now time.Time) (context.Context, context.CancelFunc) {
 	ms, err := strconv.ParseInt(r.Header.Get(result.TimeoutMs), 10, 32)
 	if err != nil || ms <= 0 {
@@ -240,7 +238,7 @@
 	return context.WithTimeout(r.Context(), remaining)
 }
 
-// admittedRequest is a request on its way through the inlet.
+// admittedRequest is the state of a request that has a slot.
 type admittedRequest struct {
 	start time.Time
 	sr    *hist.Series
@@ -248,14 +246,14 @@
 	tf    *transfer
 }
 
-// spent returns what the request has spent here until now.
+// spent returns how long the request has waited for its slot and held it until now.
 func (ar *admittedRequest) spent(now time.Time) result.Spent {
 	return result.Spent{Wait: ar.tk.Since().Sub(ar.start), Held: now.Sub(ar.tk.Since())}
 }
 
-// forward sends an admitted request to the backend server and its answer back.
-// The slot is given back once the answer has been read: the backend server is
-// done then, while a narrow link or a slow caller may take the answer for long.
+// forward sends an admitted request to the backend server and the response back. The slot is
+// released once the response has been read: the backend server is done then, while a narrow link or
+// a slow caller may take much longer to receive the response.
 func (in *Inlet) forward(ctx context.Context, w http.ResponseWriter, r *http.Request, tg *Target, ar *admittedRequest) {
 	sr := ar.sr
 	pr := ident.NewPrefixReader(r.Body)
@@ -313,19 +311,20 @@
 		sr.Outcomes.Add(result.Ended.String()+"/"+string(result.ReasonBroken), 1)
 		panic(http.ErrAbortHandler)
 	}
-	// One that was not held has been read only now.
+	// A response that was not buffered has been read only now.
 	in.crashes.finish(rr, true)
 	in.clearSuspect(r, pr)
 	sr.Outcomes.Add(result.Answered.String(), 1)
 }
 
-// load returns what outlets are told of this inlet.
+// load returns the load that is reported to outlets.
 func (in *Inlet) load() result.Load {
 	ld := in.Gate.Load()
 	ld.Backlog = in.link.Backlog().Truncate(time.Millisecond)
 	return ld
 }
 
+// failure returns the refusal for an attempt that got no complete response.
 func (in *Inlet) failure(ctx context.Context, r *http.Request, at *proxy.Attempt, tg *Target) *result.Refusal {
 	oc, re := at.Outcome()
 	rf := &result.Refusal{Outcome: oc, Reason: re, RetryAfter: time.Second, Cause: at.Err}
@@ -340,8 +339,8 @@
 	return rf
 }
 
-// checkShed reads the agreed way in which a backend server says that it has not
-// begun to run a request.
+// checkShed returns a refusal if the backend server signals, by status and header, that it did not
+// begin to run the request.
 func (in *Inlet) checkShed(res *http.Response) *result.Refusal {
 	refusing := res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests
 	switch {
@@ -350,15 +349,15 @@
 	case !refusing || res.Header.Get(in.Names.Or().NotRun) == "":
 		return nil
 	}
-	// When to come back is not for it to say: the gate gives it no more than its slots,
-	// so it was not full, and others may serve the request at once.
+	// Retry-After from the backend server is ignored: the gate never sends it more requests than it
+	// has slots, so it was not full, and another server may be able to serve the request at once.
 	return &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonShed}
 }
 
-// checkForeign reports whether an answer is that of another request, or none of the
-// backend server at all. A server that sends a second answer late puts it where
-// the next one is due: without the id that it repeats, one caller would get
-// another's answer. A refusal may lack the id; a success may not.
+// checkForeign returns a refusal if the response belongs to another request or does not come from
+// the backend server at all. A server that sends a surplus response late puts it where the next
+// response is due: without the request ID that the server echoes, one caller would get another's
+// response. An error response may lack the ID; a success may not.
 func (in *Inlet) checkForeign(r *http.Request, res *http.Response) *result.Refusal {
 	nm := &in.Names
 	success := res.StatusCode < http.StatusMultipleChoices
@@ -376,8 +375,8 @@
 	return &result.Refusal{Outcome: result.MayHaveRun, Reason: result.ReasonForeign}
 }
 
-// outgoing makes the request for the backend server. Of this system's headers
-// it bears only what is left of the time.
+// outgoing returns the request to the backend server. Of this system's headers it carries only the
+// remaining timeout.
 func (in *Inlet) outgoing(ctx context.Context, r *http.Request, tg *Target, pr *ident.PrefixReader) *http.Request {
 	out := proxy.Outgoing(ctx, r, tg.Addr, in.Names.Or().Timeout)
 	if in.Names.Instance != "" && tg.Lifetime != "" {
--- a/internal/path/inlet/paced.go
+++ b/internal/path/inlet/paced.go
@@ -12,28 +12,28 @@
 	"github.com/flamingomast/flamingomast/internal/path/result"
 )
 
-// smallResponse is the size up to which an answer goes before the large ones, in
-// bytes: on a link of 5 Mbit/s it takes 13 ms.
+// smallResponse is the size, in bytes, up to which a response is sent ahead of the large ones: on a
+// link of 5 Mbit/s it takes 13 ms.
 const smallResponse = 8 << 10
 
-// smallResponseDelay is what small answers that go before a large one add to its time. Without it
-// large ones are begun that come late by as much.
+// smallResponseDelay is the time that small responses sent ahead add to a large one. Without this
+// allowance, large responses were started that came late by about this much.
 const smallResponseDelay = 40 * time.Millisecond
 
-// maxLateBacklog is the backlog up to which an answer is sent that comes late in any
-// case: less than the large answer under way.
+// maxLateBacklog is the backlog up to which a response is accepted that will miss its objective in
+// any case: less than one large response in progress.
 const maxLateBacklog = 100 * time.Millisecond
 
-// transfer is the way of an answer over the VM's link.
+// transfer is the sending of one response over the VM's link.
 type transfer struct {
 	link *pacer.Pacer
-	// rate is what the receiver takes, in bytes a second, 0 for no bound.
+	// rate is what the receiver's link accepts, in bytes per second; 0 means unbounded.
 	rate float64
 	rs   *pacer.Reservation
 }
 
-// transfer returns the way of the answer to a request. An answer to an outlet of
-// the same VM does not use the link.
+// transfer returns the transfer for the response to a request. A response to an outlet on the same
+// VM does not use the link.
 func (in *Inlet) transfer(r *http.Request) *transfer {
 	tf := &transfer{}
 	if in.link == nil || sameHost(r) {
@@ -41,21 +41,21 @@
 	}
 	tf.link = in.link
 	if rate, err := strconv.ParseUint(r.Header.Get(result.RateHeader), 10, 32); err == nil {
-		// Without it the outlet's link is not narrow, or it is of an older release.
+		// Without the header, the outlet's link is not narrow, or the outlet is of an older
+		// release.
 		tf.rate = float64(rate)
 	}
 	return tf
 }
 
-// reserve reserves the link for a large answer that the outlet expects, or refuses
-// the request: an answer that comes too late for its objective has cost the
-// server a slot and others the link. The load it answers is that of more large
-// answers than the link carries, which otherwise wait for each other until all of
-// them are late.
+// reserve reserves the link if the outlet expects a large response, or refuses the request: a
+// response that comes too late for its objective has used a slot of the server and delayed others
+// on the link. This applies when more large responses are requested than the link carries; they
+// would otherwise delay each other until all of them are late.
 func (tf *transfer) reserve(r *http.Request, objective time.Duration, ld result.Load) *result.Refusal {
 	n, err := strconv.ParseUint(r.Header.Get(result.SizeHeader), 10, 31)
 	if err != nil || tf.link == nil {
-		// Not expected to be large.
+		// The response is not expected to be large.
 		return nil
 	}
 	if objective > 0 {
@@ -68,10 +68,10 @@
 	return nil
 }
 
-// excess returns by how much the link's backlog is too long for an answer that
-// takes as long as takes on a free link and has objective left; 0 or less where it
-// is short enough. One that cannot be in time any more still has its caller, and is
-// taken where neither the link nor the slots are needed for those that can.
+// excess returns by how much the link's backlog is too long for a response that takes sendTime on
+// an idle link and has to arrive within objective; 0 or less means that the response is accepted. A
+// response that can no longer be in time still has a caller waiting for it: it is accepted as long
+// as neither the link nor the slots are needed for responses that can be in time.
 func excess(backlog, sendTime, objective time.Duration, ld result.Load) time.Duration {
 	switch {
 	case sendTime <= objective:
@@ -82,7 +82,7 @@
 	return backlog - maxLateBacklog
 }
 
-// pace returns how an answer of a size is sent, size 0 for an unknown one.
+// pace returns how to send a response of the given size; 0 means unknown.
 func (tf *transfer) pace(ctx context.Context, size int64) proxy.Pace {
 	if tf.link == nil || size > 0 && size <= smallResponse {
 		return proxy.Pace{}
@@ -95,14 +95,14 @@
 	return proxy.Pace{ChunkSize: tf.link.ChunkSize(), Wait: func(n int) error { return tf.rs.Wait(ctx, n) }}
 }
 
-// release gives the link back.
+// release releases the link.
 func (tf *transfer) release() {
 	if tf.rs != nil {
 		tf.rs.Release()
 	}
 }
 
-// sameHost reports whether a request came from the VM that it came to.
+// sameHost reports whether a request came from the VM that received it.
 func sameHost(r *http.Request) bool {
 	local, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
 	if !ok {
--- a/internal/path/inlet/tally.go
+++ b/internal/path/inlet/tally.go
@@ -8,10 +8,11 @@
 	"github.com/flamingomast/flamingomast/internal/roll/tally"
 )
 
-// coldFactor is how many times as long a server takes that is cold after its start.
+// coldFactor is how many times longer a server takes for a request while it is cold after its
+// start.
 const coldFactor = 2
 
-// countResponse counts an answer of the backend server.
+// countResponse counts a response of the backend server.
 func (in *Inlet) countResponse(r *http.Request, failed bool, serviceTime time.Duration, tg *Target) {
 	if time.Now().Before(tg.ColdUntil) {
 		serviceTime /= coldFactor
@@ -19,8 +20,8 @@
 	in.counts.Load().Add(r.Header.Get(result.RouteHeader), failed, serviceTime)
 }
 
-// countFailure counts a request that the backend server did not answer. One whose caller
-// has gone or whose time is over counts by how long it took.
+// countFailure counts a request that the backend server did not answer. If its deadline passed, it
+// counts with the time that it took, not as a failure; if its caller has gone, it does not count.
 func (in *Inlet) countFailure(r *http.Request, expired bool, ar *admittedRequest) {
 	if r.Context().Err() != nil {
 		return
@@ -28,7 +29,7 @@
 	in.counts.Load().Add(r.Header.Get(result.RouteHeader), !expired, ar.spent(time.Now()).Held)
 }
 
-// Counts returns what the present start of the backend server did.
+// Counts returns the request counts of the current instance of the backend server.
 func (in *Inlet) Counts() tally.Cohort {
 	return tally.Cohort{Servers: 1, Running: in.Gate.Load().Running, Routes: in.counts.Load().Rows()}
 }
--- a/internal/path/pacer/pacer.go
+++ b/internal/path/pacer/pacer.go
@@ -7,66 +7,64 @@
 	"time"
 )
 
-// The measures of a link.
+// Parameters of a link.
 const (
-	// chunkTime is how long a piece of a large answer takes the link, which is
-	// the longest that a small answer waits behind it. Shorter ones cost a timer
-	// and a system call each for little gain.
+	// chunkTime is how long a chunk of a large response occupies the link, which is the longest
+	// that a small response waits behind it. Shorter chunks cost a timer and a system call each for
+	// little gain.
 	chunkTime = 8 * time.Millisecond
-	// minChunk and maxChunk bound a piece, in bytes.
+	// minChunk and maxChunk bound the size of a chunk in bytes.
 	minChunk = 2 << 10
 	maxChunk = 16 << 10
-	// fastRate is the rate, in bytes a second, from which a link is not paced: a small
-	// answer then waits little longer behind a whole large one than behind a piece.
+	// fastRate is the rate, in bytes per second, from which a link is not paced: a small response
+	// then waits little longer behind a whole large one than behind a chunk.
 	fastRate = 50e6 / 8
-	// maxUtilization is the part of the rate that large answers may bring the link up to.
-	// The rest is for what is not counted here, such as the acknowledgements of
-	// what comes in. At more, the system's own queue grows.
+	// maxUtilization is the utilization of the link up to which large responses are sent. The
+	// rest is for traffic that is not counted here, such as acknowledgements of incoming data. At
+	// higher values the kernel's send queue grows.
 	maxUtilization = 0.92
-	// packetPayload is what a packet carries, packetOverhead the bytes of its heads (IP
-	// and TCP with time stamps).
+	// packetPayload is the payload of a packet in bytes, packetOverhead the size of its headers
+	// (IP, and TCP with timestamps).
 	packetPayload  = 1448
 	packetOverhead = 52
-	// idleCredit is how much idle time of the link may be made up for, so that a
-	// timer that fires late costs no throughput.
+	// idleCredit is how much idle time of the link may be made up for, so that a timer that fires
+	// late costs no throughput.
 	idleCredit = 4 * time.Millisecond
 )
 
-// Pacer is one link. Its methods may be called from any goroutine. A nil Pacer is
-// a link that is not paced; it takes no Begin.
+// Pacer paces one link. Its methods may be called from any goroutine. A nil Pacer stands for a link
+// that is not paced; Reserve and SendTime must not be called on it.
 //
-// It answers the load in which large and small answers share a narrow link. The
-// system takes whatever is written and sends it in its order: a small answer then
-// waits behind all large ones that were written before it.
+// Pacer exists for the load in which large and small responses share a narrow link. The kernel
+// accepts whatever is written and sends it in order, so a small response would wait behind all
+// large ones that were written before it.
 type Pacer struct {
-	rate float64 // bytes a second
+	rate float64 // bytes per second
 
 	mu sync.Mutex
-	// freeAt is when all that was sent has left.
+	// freeAt is when the link will have sent everything written so far.
 	freeAt time.Time
-	// waiting holds the large answers with a piece to send, oldest first: one
-	// answer after the other is done earlier in the mean than all side by side.
+	// waiting holds the large responses with a chunk to send, oldest first: sending one response
+	// after the other completes them earlier on average than sending all concurrently.
 	waiting  []*waiter
 	timerSet bool
-	// unsent is the bytes of large answers that are not sent yet.
+	// unsent is the number of bytes of large responses that are not sent yet.
 	unsent int
-	// granted is the bytes of pieces that may be sent and were not written yet.
+	// granted is the number of bytes of chunks that may be sent and were not written yet.
 	granted int
 }
 
-// waiter is a piece that waits.
+// waiter is a chunk that waits for the link.
 type waiter struct {
 	since time.Time
 	bytes int
 	ready chan struct{}
 }
 
-// Narrow reports whether a link of so many bits a second is paced; 0 stands for one
-// without a bound.
+// IsNarrow reports whether a link of the given rate is paced; 0 means unbounded.
 func Narrow(bitsPerSecond float64) bool { return bitsPerSecond > 0 && bitsPerSecond/8 < fastRate }
 
-// New returns a pacer for a link of so many bits a second; 0 stands for one
-// without a bound.
+// New returns a Pacer for a link of the given rate, or nil if it is not narrow; 0 means unbounded.
 func New(bitsPerSecond float64) *Pacer {
 	if !Narrow(bitsPerSecond) {
 		return nil
@@ -74,18 +72,18 @@
 	return &Pacer{rate: bitsPerSecond / 8 * maxUtilization}
 }
 
-// What one answer may take of a receiver's link.
+// Fractions of a receiver's link that one response may use.
 const (
-	// maxReceiverShare is for one or two at a time: two fit, and small answers pass one.
+	// maxReceiverShare applies to one or two concurrent responses: two fit, and small responses
+	// still get past one.
 	maxReceiverShare = 0.5
-	// minReceiverShare is for many. In smaller parts each would take so long that none
-	// is in time; rather some wait for others for a moment.
+	// minReceiverShare applies to many. With smaller shares each response would take so long that
+	// all are late; it is better that some wait a moment for others.
 	minReceiverShare = 0.25
 )
 
-// Share returns how many bytes a second one more answer should come at over a
-// link of so many bits a second on which others large ones are under way, 0 for a
-// link that is fast enough for all.
+// ReceiverRate returns the rate, in bytes per second, that one more response should be sent at over
+// a link on which others large responses are in progress; 0 for a link that is not narrow.
 func Share(bitsPerSecond float64, others int) int {
 	if !Narrow(bitsPerSecond) {
 		return 0
@@ -93,7 +91,7 @@
 	return int(bitsPerSecond / 8 * max(minReceiverShare, min(maxReceiverShare, 1/float64(1+others))))
 }
 
-// ChunkSize returns how many bytes of a large answer should be sent at once.
+// ChunkSize returns how many bytes of a large response should be sent at once.
 func (pa *Pacer) ChunkSize() int {
 	if pa == nil {
 		return maxChunk
@@ -101,8 +99,8 @@
 	return min(max(int(pa.rate*chunkTime.Seconds()), minChunk), maxChunk)
 }
 
-// Sent counts n bytes that were written to the link, whatever they are. Those of
-// pieces were counted when their turn came.
+// Sent counts n bytes that were written to the link, of any kind. Bytes of chunks were already
+// counted when the chunks were granted.
 func (pa *Pacer) Sent(n int) {
 	if pa == nil {
 		return
@@ -116,30 +114,30 @@
 	}
 }
 
-// Reservation is a large answer that is expected or being sent. It is not safe for
-// concurrent use.
+// Reservation is a large response that is expected or being sent. It is not safe for concurrent
+// use.
 type Reservation struct {
 	pa     *Pacer
 	since  time.Time
 	unsent int
-	// receiverRate is what its receiver takes, in bytes a second, 0 for no bound; next is
-	// when that allows another piece.
+	// receiverRate is the rate that the receiver's link accepts, in bytes per second, or 0 if
+	// unbounded; nextAt is when that allows another chunk.
 	receiverRate float64
 	nextAt       time.Time
 }
 
-// Reserve notes that a large answer of about n bytes will come, to a receiver that
-// takes rate bytes a second, 0 where that is not bounded. End must be called.
+// Reserve announces a large response of about n bytes to a receiver that accepts receiverRate bytes
+// per second; 0 means unbounded. Release must be called.
 //
-// The receiver's link may be as narrow as this one: an answer that is sent as
-// fast as it goes fills that, and what others send there waits behind it.
+// The receiver's link may be as narrow as this one: a response sent at the full rate would fill it,
+// and delay what others send to the receiver.
 func (pa *Pacer) Reserve(n int, receiverRate float64) *Reservation {
 	rs := &Reservation{pa: pa, receiverRate: receiverRate}
 	rs.Begin(n)
 	return rs
 }
 
-// Begin starts to send the answer, which has n bytes, 0 where that is not known.
+// Begin starts to send the response, which has n bytes, or 0 if its size is unknown.
 func (rs *Reservation) Begin(n int) {
 	now := time.Now()
 	rs.pa.mu.Lock()
@@ -148,7 +146,7 @@
 	rs.unsent, rs.since, rs.nextAt = n, now, now
 }
 
-// Release ends the answer, whether it was sent whole or not.
+// Release ends the reservation, whether the response was sent completely or not.
 func (rs *Reservation) Release() {
 	rs.pa.mu.Lock()
 	defer rs.pa.mu.Unlock()
@@ -156,8 +154,8 @@
 	rs.unsent = 0
 }
 
-// Wait waits until the link is free for n bytes of the answer. It returns an
-// error only when ctx ends first.
+// Wait blocks until the link is free for n bytes of the response. It returns an error only if ctx
+// ends first.
 func (rs *Reservation) Wait(ctx context.Context, n int) error {
 	if err := rs.waitForReceiver(ctx, n); err != nil {
 		return err
@@ -173,7 +171,7 @@
 	return nil
 }
 
-// waitForReceiver waits until the receiver takes another n bytes.
+// waitForReceiver blocks until the receiver's rate allows another n bytes.
 func (rs *Reservation) waitForReceiver(ctx context.Context, n int) error {
 	if rs.receiverRate <= 0 {
 		return nil
@@ -195,8 +193,8 @@
 	return nil
 }
 
-// SendTime returns how long an answer of n bytes takes on a free link, to a receiver
-// that takes rate bytes a second, 0 where that is not bounded.
+// SendTime returns how long a response of n bytes takes on an idle link, to a receiver that accepts
+// receiverRate bytes per second; 0 means unbounded.
 func (pa *Pacer) SendTime(n int, receiverRate float64) time.Duration {
 	if receiverRate <= 0 || receiverRate > pa.rate {
 		receiverRate = pa.rate
@@ -204,8 +202,8 @@
 	return time.Duration(float64(n) / receiverRate * float64(time.Second))
 }
 
-// Backlog returns how long the link takes for what was sent and for the rest of
-// the large answers.
+// Backlog returns how long the link needs for what was written and for the rest of the large
+// responses.
 func (pa *Pacer) Backlog() time.Duration {
 	if pa == nil {
 		return 0
@@ -215,6 +213,7 @@
 	return max(0, time.Until(pa.freeAt)) + time.Duration(float64(pa.unsent)/pa.rate*float64(time.Second))
 }
 
+// wait blocks until a chunk of n bytes is granted. Chunks are granted in the order of since.
 func (pa *Pacer) wait(ctx context.Context, since time.Time, n int) error {
 	pa.mu.Lock()
 	now := time.Now()
@@ -246,7 +245,7 @@
 	return ctx.Err()
 }
 
-// grant counts a piece that may be written; pa.mu is held.
+// grant counts a chunk that may be written; pa.mu is held.
 func (pa *Pacer) grant(now time.Time, n int) {
 	pa.granted = min(pa.granted+n, maxChunk)
 	pa.account(now, n)
@@ -261,7 +260,7 @@
 	pa.freeAt = pa.freeAt.Add(time.Duration(float64(n) / pa.rate * float64(time.Second)))
 }
 
-// schedule lets the next piece go once the link is free; pa.mu is held.
+// schedule sets the timer for the next chunk to the time at which the link is free; pa.mu is held.
 func (pa *Pacer) schedule(now time.Time) {
 	if pa.timerSet || len(pa.waiting) == 0 {
 		return
@@ -270,12 +269,13 @@
 	time.AfterFunc(max(0, pa.freeAt.Sub(now)), pa.grantNext)
 }
 
+// grantNext grants the oldest waiting chunk if the link is free.
 func (pa *Pacer) grantNext() {
 	pa.mu.Lock()
 	defer pa.mu.Unlock()
 	pa.timerSet = false
 	now := time.Now()
-	// Small answers may have gone meanwhile.
+	// Small responses may have been sent in the meantime.
 	if len(pa.waiting) > 0 && !pa.freeAt.After(now) {
 		wt := pa.waiting[0]
 		pa.waiting = pa.waiting[1:]
--- a/internal/path/pacer/pacer_test.go
+++ b/internal/path/pacer/pacer_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// fifoLink is a link that sends what is written in its order, as a system does.
+// fifoLink is a link that sends data in the order of the writes, as a kernel does.
 type fifoLink struct {
 	mu     sync.Mutex
 	freeAt time.Time
 	rate   float64
 }
 
-// send puts n bytes on the link and returns when the last of them has left.
+// send writes n bytes to the link and returns when the last of them has been sent.
 func (fl *fifoLink) send(n int) time.Time {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -27,9 +27,9 @@
 	return fl.freeAt
 }
 
-// load is large and small answers on a link of 5 Mbit/s for 20 s: 3 of 90 KB and
-// 60 of 1 KB a second, 61% of what it carries. It returns how long each waited
-// and left after it was ready.
+// simulate sends large and small responses over a link of 5 Mbit/s for 20 s: 3 of 90 KB and 60 of 1
+// KB per second, 61% of its capacity. It returns how long each took from being ready until it was
+// sent.
 func simulate(pa *Pacer) (small, large []time.Duration) {
 	fl := &fifoLink{rate: 5e6 / 8}
 	var mu sync.Mutex
@@ -87,26 +87,26 @@
 	return m
 }
 
-// TestSmallResponsesGoFirst: on a VM with a narrow link a short lookup waited behind
-// the documents that others download, since the system sends what was written
-// first: callers saw 295 ms in the middle for work of 64 ms. Paced, the small
-// answer waits for one piece, and the large ones are not much later.
+// TestSmallResponsesGoFirst guards against short lookups waiting behind large downloads on a narrow
+// link, since the kernel sends data in the order of the writes: callers saw a median of 295 ms for
+// work of 64 ms. With pacing a small response waits for one chunk, and the large ones are not much
+// later.
 func TestSmallResponsesGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		unpacedSmall, unpacedLarge := simulate(nil)
 		small, large := simulate(New(5e6))
 		if got := longest(small); got > 16*time.Millisecond {
-			t.Errorf("a small answer took up to %v", got)
+			t.Errorf("a small response took up to %v", got)
 		}
 		if got, was := mean(large), mean(unpacedLarge); got > was*3/2 {
-			t.Errorf("a large answer took %v in the mean, %v without pacing", got, was)
+			t.Errorf("a large response took %v on average, %v without pacing", got, was)
 		}
-		t.Logf("small: mean %v, most %v; without pacing %v, %v", mean(small), longest(small), mean(unpacedSmall), longest(unpacedSmall))
-		t.Logf("large: mean %v, most %v; without pacing %v, %v", mean(large), longest(large), mean(unpacedLarge), longest(unpacedLarge))
+		t.Logf("small: mean %v, max %v; without pacing %v, %v", mean(small), longest(small), mean(unpacedSmall), longest(unpacedSmall))
+		t.Logf("large: mean %v, max %v; without pacing %v, %v", mean(large), longest(large), mean(unpacedLarge), longest(unpacedLarge))
 	})
 }
 
-// TestOldestFirst: of large answers that wait together the oldest goes first, a
+// TestOldestFirst checks that of several waiting large responses the oldest is sent first, and a
 // new one does not delay it.
 func TestOldestFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -133,14 +133,14 @@
 		}
 		wg.Wait()
 		if done["a"] > 200*time.Millisecond || done["b"] > 360*time.Millisecond || done["c"] > 520*time.Millisecond {
-			t.Errorf("the answers were sent after %v, each takes 160ms", done)
+			t.Errorf("responses were sent after %v; each takes 160ms", done)
 		}
 	})
 }
 
-// TestReceiverRate: two VMs send a document each to a third one, whose link is as
-// narrow as theirs. Sent as fast as theirs allow, they fill it, and small answers
-// to the same VM wait behind both.
+// TestReceiverRate guards against two VMs that each send a large response to a third one whose link
+// is as narrow as theirs. Sent at the full rate, they fill that link, and small responses to the
+// same VM wait behind both.
 func TestReceiverRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		receiver := &fifoLink{rate: 5e6 / 8}
@@ -166,26 +166,26 @@
 		}
 		wg.Wait()
 		if got := longest(list); got > 40*time.Millisecond {
-			t.Errorf("a small answer took up to %v beside two large ones", got)
+			t.Errorf("a small response took up to %v beside two large ones", got)
 		}
 		for others, want := range map[int]int{0: 312_500, 1: 312_500, 2: 208_333, 3: 156_250, 9: 156_250} {
 			if got := Share(5e6, others); got != want {
-				t.Errorf("beside %d others: %d bytes a second, want %d", others, got, want)
+				t.Errorf("beside %d others: %d bytes per second, want %d", others, got, want)
 			}
 		}
 		if got := Share(1e9, 5); got != 0 {
-			t.Errorf("a fast link asks for %d bytes a second", got)
+			t.Errorf("a fast link has a receiver rate of %d bytes per second, want 0", got)
 		}
 	})
 }
 
-// TestBacklog: outlets place downloads by how long a VM's link has to send.
+// TestBacklog checks the backlog, which outlets use to place downloads.
 func TestBacklog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pa := New(5e6)
 		a, b := pa.Reserve(90_000, 0), pa.Reserve(90_000, 0)
 		if got := pa.Backlog(); got < 310*time.Millisecond || got > 320*time.Millisecond {
-			t.Errorf("two answers of 157ms each: %v", got)
+			t.Errorf("backlog of two responses of 157ms each: %v", got)
 		}
 		if err := a.Wait(t.Context(), 90_000); err != nil {
 			t.Fatal(err)
@@ -193,13 +193,13 @@
 		b.Release()
 		time.Sleep(100 * time.Millisecond)
 		if got := pa.Backlog(); got < 50*time.Millisecond || got > 65*time.Millisecond {
-			t.Errorf("100ms after one was sent and the other broke off: %v", got)
+			t.Errorf("backlog 100ms after one was sent and the other released: %v", got)
 		}
 	})
 }
 
-// TestWaitCanceled: a caller that leaves takes its piece out of the queue; those
-// behind it are not delayed by it.
+// TestWaitCanceled checks that a canceled wait removes its chunk from the queue and does not delay
+// the chunks behind it.
 func TestWaitCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pa := New(5e6)
@@ -209,19 +209,19 @@
 		began := time.Now()
 		rs := pa.Reserve(400_000, 0)
 		if err := rs.Wait(ctx, 400_000); err == nil || time.Since(began) != 10*time.Millisecond {
-			t.Errorf("the wait ended with %v after %v", err, time.Since(began))
+			t.Errorf("wait returned error %v after %v", err, time.Since(began))
 		}
 		rs.Release()
 		if err := pa.Reserve(4000, 0).Wait(t.Context(), 4000); err != nil || time.Since(began) > 90*time.Millisecond {
-			t.Errorf("the next one waited %v: %v", time.Since(began), err)
+			t.Errorf("next response waited %v: %v", time.Since(began), err)
 		}
 		if len(pa.waiting) != 0 || pa.unsent != 0 {
-			t.Errorf("%d still wait, with %d bytes", len(pa.waiting), pa.unsent)
+			t.Errorf("%d chunks still wait, with %d bytes unsent", len(pa.waiting), pa.unsent)
 		}
 	})
 }
 
-// TestFastLink: a fast link, or one whose rate is not known, is not paced.
+// TestFastLink checks that a fast link, or one of unknown rate, is not paced.
 func TestFastLink(t *testing.T) {
 	for _, bits := range []float64{0, 1e9} {
 		if pa := New(bits); pa != nil || pa.ChunkSize() != maxChunk || pa.Backlog() != 0 {
--- a/internal/path/proxy/bound.go
+++ b/internal/path/proxy/bound.go
@@ -2,13 +2,13 @@
 
 import "sync/atomic"
 
-// Bound counts what is in use of something that has a most.
+// Budget is a limited amount of a resource that concurrent users share.
 type Bound struct {
 	Most int64
 	used atomic.Int64
 }
 
-// Take takes n and reports whether there was as much.
+// TryAcquire acquires n units and reports whether that many were available.
 func (bo *Bound) Take(n int64) bool {
 	if bo.used.Add(n) > bo.Most {
 		bo.used.Add(-n)
@@ -17,5 +17,5 @@
 	return true
 }
 
-// Give gives n back that was taken.
+// Release releases n acquired units.
 func (bo *Bound) Give(n int64) { bo.used.Add(-n) }
--- a/internal/path/proxy/conn.go
+++ b/internal/path/proxy/conn.go
@@ -8,34 +8,32 @@
 	"github.com/flamingomast/flamingomast/internal/plat/dialer"
 )
 
-// errConnUnusable ends a connection that closed, or on which bytes came that belong to no
-// answer, before a request was written.
-var errConnUnusable = errors.New("proxy: the connection closed, or bytes came that belong to no answer")
+// errConnUnusable reports that a connection was closed, or delivered bytes that belong to no
+// response, before a request was written to it.
+var errConnUnusable = errors.New("proxy: connection closed, or unsolicited bytes received, before the request was written")
 
 // conn is a connection to the next hop.
 //
-// It guards against two failures. A request that fails may or may not have
-// been sent: conn counts what was written, and a request of which nothing was
-// written has not run. And a server may send more than its answer: the surplus
-// would be taken for the answer to the next request on the connection, which
-// is another caller's.
+// It guards against two failures. First, a failed request may or may not have been sent: conn
+// counts the bytes written, and a request of which no byte was written has not run. Second, a
+// server may send more than its response: the surplus would be taken for the response to the next
+// request on the connection, which may be another caller's.
 //
-// The transport reads from an idle connection, to notice when it is closed,
-// and it does so only when its buffer is empty. So the first byte of a request
-// is written only while that read waits: no surplus lies in the buffer then.
-// What the read returns before a byte of the request was written is surplus
-// too. In both cases the connection ends and the request has not run, and so it
-// is where the system has received the end of a kept connection that the read
-// has not returned yet. Bytes that come only after the request was written
-// cannot be told from its answer by anyone.
+// The transport reads from an idle connection, to notice when it is closed, and it does so only
+// when its buffer is empty. The first byte of a request is therefore written only while such a read
+// is blocked: the buffer holds no surplus then. Data that the read returns before a byte of the
+// request was written is surplus too. In both cases the connection is aborted and the request has
+// not run. The same applies if the kernel has received the end of a kept connection that the read
+// has not returned yet. Surplus that arrives after the request was written cannot be told from its
+// response.
 type conn struct {
 	net.Conn
 
 	mu            sync.Mutex
 	changed       *sync.Cond
 	written       int64 // bytes of all requests
-	writtenBefore int64 // bytes of the requests before the present one
-	reading       bool  // a read waits
+	writtenBefore int64 // bytes of the requests before the current one
+	reading       bool  // a read is blocked
 	aborted       bool
 }
 
@@ -53,14 +51,14 @@
 	return cn.writtenBefore
 }
 
-// wrote reports whether more than before bytes were written.
+// wrote reports whether more than writtenBefore bytes were written.
 func (cn *conn) wrote(writtenBefore int64) bool {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
 	return cn.written > writtenBefore
 }
 
-// abort ends the connection for all further use.
+// abort makes all further reads and writes of the connection fail.
 func (cn *conn) abort() {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
@@ -68,7 +66,7 @@
 	cn.changed.Broadcast()
 }
 
-// Write writes, the first byte of a request only while a read waits.
+// Write writes p. It writes the first byte of a request only while a read is blocked.
 func (cn *conn) Write(p []byte) (int, error) {
 	cn.mu.Lock()
 	for cn.written == cn.writtenBefore && !cn.reading && !cn.aborted {
@@ -81,13 +79,13 @@
 		cn.mu.Unlock()
 		return 0, errConnUnusable
 	}
-	// Counted ahead of the write: what a failed one may have sent counts.
+	// The bytes are counted before the write, since a failed write may have sent them.
 	cn.written += int64(len(p))
 	cn.mu.Unlock()
 	return cn.Conn.Write(p)
 }
 
-// Read reads; what comes before a request was written is surplus.
+// Read reads into p. Data that arrives before a request was written aborts the connection.
 func (cn *conn) Read(p []byte) (int, error) {
 	cn.mu.Lock()
 	cn.reading = true
@@ -106,7 +104,7 @@
 	return n, err
 }
 
-// Close ends the connection and whoever waits on it.
+// Close closes the connection and wakes up blocked writes.
 func (cn *conn) Close() error {
 	cn.abort()
 	return cn.Conn.Close()
--- a/internal/path/proxy/header.go
+++ b/internal/path/proxy/header.go
@@ -8,15 +8,15 @@
 	"github.com/flamingomast/flamingomast/internal/path/result"
 )
 
-// hopByHop are the headers that end at each hop (RFC 9110 section 7.6.1), and
-// Expect, which each hop answers for itself.
+// hopByHop are the headers that apply to a single hop (RFC 9110 section 7.6.1), and Expect, which
+// each hop handles itself.
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// SanitizeHeader removes from hdr what must not pass a hop, and all headers of this
-// system, so that neither callers nor backend servers can forge them.
+// SanitizeHeader removes hop-by-hop headers from hdr, and all headers of this system, so that
+// neither callers nor backend servers can forge them.
 func SanitizeHeader(hdr http.Header) {
 	for _, list := range hdr["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
@@ -44,7 +44,8 @@
 	return cp
 }
 
-// Forged returns the first header of this system that a caller may not set.
+// ReservedHeader returns a header of this system in hdr that callers may not set, or "" if there is
+// none.
 func Forged(hdr http.Header) string {
 	for name := range hdr {
 		if result.IsControl(name) && name != result.TimeoutMs {
@@ -54,8 +55,7 @@
 	return ""
 }
 
-// Upgrades reports whether a request asks for another protocol on its
-// connection, which is not carried.
+// Upgrades reports whether a request asks for a protocol upgrade, which is not supported.
 func Upgrades(hdr http.Header) bool {
 	for _, list := range hdr["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
--- a/internal/path/proxy/proxy.go
+++ b/internal/path/proxy/proxy.go
@@ -17,12 +17,13 @@
 	"github.com/flamingomast/flamingomast/internal/plat/dialer"
 )
 
-// The limits of a hop.
+// Limits of a hop.
 const (
-	// idleTimeout is below that of servers, so that a kept connection is
-	// closed from this side and no request meets one that the server closes.
+	// idleTimeout is shorter than that of servers, so that idle connections are closed from this
+	// side and no request is written to one that the server is closing.
 	idleTimeout = 10 * time.Second
-	// continueTimeout is how long a large body waits for the next hop's word.
+	// continueTimeout is how long a request with Expect: 100-continue waits for a response before
+	// its body is sent.
 	continueTimeout   = time.Second
 	maxResponseHeader = 256 << 10
 )
@@ -33,15 +34,15 @@
 	dial func(ctx context.Context, addr string) (net.Conn, error)
 }
 
-// Options sets a forwarder; the zero value works.
+// Options configures a Forwarder. The zero value is usable.
 type Options struct {
-	// Dial opens a connection; nil stands for TCP.
+	// Dial opens a connection; nil means TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
-	// MaxConns bounds the connections to one next hop; 0 for no bound.
+	// MaxConns bounds the connections to one next hop; 0 means no bound.
 	MaxConns int
-	// MaxIdle bounds those that are kept; 0 stands for 128.
+	// MaxIdle bounds the idle connections that are kept; 0 means 128.
 	MaxIdle int
-	// IdleTimeout is for how long one is kept; 0 stands for 10 s.
+	// IdleTimeout is how long an idle connection is kept; 0 means 10 s.
 	IdleTimeout time.Duration
 }
 
@@ -76,37 +77,37 @@
 	}}
 }
 
-// Reach reports whether a connection to addr can be made.
+// Reachable reports whether a connection to addr can be opened.
 func (fw *Forwarder) Reach(ctx context.Context, addr string) bool {
 	nc, err := fw.dial(ctx, addr)
 	if err != nil {
 		return false
 	}
-	// It carried nothing, so there is nothing to lose.
+	// No data was sent, so an error loses nothing.
 	_ = nc.Close()
 	return true
 }
 
-// Close ends the kept connections.
+// Close closes the idle connections.
 func (fw *Forwarder) Close() { fw.tr.CloseIdleConnections() }
 
-// Attempt is a request that was sent, with its answer.
+// Attempt is a request that was sent once, with its response.
 type Attempt struct {
-	// Response is nil unless a head came.
+	// Response is nil unless a response header was received.
 	Response *http.Response
 	Err      error
-	// sent is whether any byte of the request may have left.
+	// sent is set if some of the request may have been sent on a connection that does not count its
+	// bytes.
 	sent          atomic.Bool
 	mu            sync.Mutex
 	cn            *conn
 	writtenBefore int64
 }
 
-// Body makes the body of a request, as the transport needs it: never nil and
-// without GetBody. The transport sends again, on its own, what it takes for
-// replayable when a kept connection dies: requests without a body that have a
-// safe method, or any method and an Idempotency-Key. With a body of its own
-// that it cannot make anew it leaves that to us, who know the rules.
+// Body returns the body for a request as the transport needs it: never nil and without GetBody.
+// When a kept connection breaks, the transport itself repeats requests that it considers
+// replayable: those without a body that have a safe method, or any method and an Idempotency-Key. A
+// body that it cannot recreate leaves that decision to this system.
 func Body(r io.Reader) io.ReadCloser {
 	if r == nil {
 		return emptyBody{}
@@ -122,15 +123,14 @@
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
 func (emptyBody) Close() error             { return nil }
 
-// Do sends a request once. The body must come from Body.
+// Do sends a request once. Its body must come from Body.
 func (fw *Forwarder) Do(out *http.Request) *Attempt {
 	at := &Attempt{}
 	trace := &httptrace.ClientTrace{GotConn: at.gotConn}
 	out = out.WithContext(httptrace.WithClientTrace(out.Context(), trace))
 	at.Response, at.Err = fw.tr.RoundTrip(out)
 	if cn, writtenBefore := at.connection(); at.Response != nil && cn != nil && !cn.wrote(writtenBefore) {
-		// The transport took surplus bytes for the answer to a request that
-		// was not written yet.
+		// The transport took surplus bytes for the response to a request that was not written yet.
 		cn.abort()
 		_ = at.Response.Body.Close()
 		at.Response, at.Err = nil, errConnUnusable
@@ -141,7 +141,7 @@
 func (at *Attempt) gotConn(info httptrace.GotConnInfo) {
 	cn, ok := info.Conn.(*conn)
 	if !ok {
-		// Without our connection nothing proves that a request was not sent.
+		// Without a conn nothing proves that the request was not sent.
 		at.sent.Store(true)
 		return
 	}
@@ -157,8 +157,8 @@
 	return at.cn, at.writtenBefore
 }
 
-// Outcome tells how a failed attempt ended, and why. An attempt of which no
-// byte was written has not run; any other may have.
+// Outcome returns how a failed attempt ended, and why. An attempt of which no byte was written has
+// not run; any other may have.
 func (at *Attempt) Outcome() (result.Outcome, result.Reason) {
 	cn, writtenBefore := at.connection()
 	if cn == nil && !at.sent.Load() {
@@ -170,30 +170,29 @@
 	return result.MayHaveRun, result.ReasonBroken
 }
 
-// Discard ends the connection of an attempt whose answer is not to be used, so
-// that what is left of it cannot be taken for another one.
+// Discard closes the connection of an attempt whose response is not used, so that the rest of it
+// cannot be taken for another response.
 func (at *Attempt) Discard() {
 	if cn, _ := at.connection(); cn != nil {
 		cn.abort()
 	}
 	if at.Response != nil {
-		// The connection is ended either way; there is nothing left to do about
-		// an error.
+		// The connection is aborted anyway, so the error does not matter.
 		_ = at.Response.Body.Close()
 	}
 }
 
-// MaxBody is the most bytes that the body of a request may have.
+// MaxBody is the maximum size of a request body in bytes.
 const MaxBody = 64 << 20
 
-// Outgoing makes the request for the next hop at addr out of the one that came
-// in: same method, host and target, headers cleaned, no body yet. The next hop
-// is told, in the header timeout, what is left until the deadline of ctx.
+// Outgoing returns the request to the next hop at addr for the incoming request r: same method,
+// host and target, sanitized headers, no body yet. The header named by timeout carries the
+// milliseconds left until the deadline of ctx.
 func Outgoing(ctx context.Context, r *http.Request, addr, timeout string) *http.Request {
 	hdr := ShallowClone(r.Header)
 	SanitizeHeader(hdr)
 	if _, ok := hdr["User-Agent"]; !ok {
-		// The transport sets its own otherwise.
+		// Keeps the transport from adding its own.
 		hdr["User-Agent"] = nil
 	}
 	if at, ok := ctx.Deadline(); ok {
@@ -205,14 +204,14 @@
 	return out.WithContext(ctx)
 }
 
-// copyBufSize is how much of a body is in memory at once.
+// copyBufSize is how much of a body Copy holds in memory.
 const copyBufSize = 16 << 10
 
 var copyBufs = sync.Pool{New: func() any { return new([copyBufSize]byte) }}
 
-// Pace says how an answer is sent; the zero value sends it as it comes.
+// Pace controls the rate at which a response is sent. The zero value does not limit it.
 type Pace struct {
-	// ChunkSize is how many bytes are sent at once, Wait waits until that many may be.
+	// ChunkSize is how many bytes are sent at once; Wait blocks until n bytes may be sent.
 	ChunkSize int
 	Wait      func(n int) error
 }
@@ -224,11 +223,11 @@
 	return pc.Wait(n)
 }
 
-// Hold reads the answer's body whole, if it has a length that is not above most.
-// When it breaks off, the error is returned and the attempt's connection ends.
+// Buffer reads the whole response body into memory if its length is known and at most limit. If the
+// body is truncated, Buffer returns the error and closes the attempt's connection.
 func (at *Attempt) Hold(limit int64) error {
 	res := at.Response
-	// An answer to HEAD has the length of a body that does not come.
+	// The response to a HEAD request has the length of a body that is not sent.
 	if res.ContentLength <= 0 || res.ContentLength > limit || res.Body == http.NoBody {
 		return nil
 	}
@@ -237,7 +236,7 @@
 		at.Discard()
 		return err
 	}
-	// It was read to its end; the connection is kept by then.
+	// The body was read to its end, so the transport has already kept the connection.
 	_ = res.Body.Close()
 	res.Body = io.NopCloser(bytes.NewReader(body))
 	return nil
@@ -245,29 +244,26 @@
 
 // CopyError tells which side of a copy failed.
 type CopyError struct {
-	// Reading is set when the answer broke off, unset when the caller did not
-	// take it.
+	// ReadFailed is set if reading the response failed, and unset if writing it to the caller did.
 	Reading bool
 	Err     error
 }
 
-// Error names the side and the cause.
+// Error returns the failed side and the cause.
 func (er *CopyError) Error() string {
 	if er.Reading {
-		return "the answer broke off: " + er.Err.Error()
+		return "reading response: " + er.Err.Error()
 	}
-	return "the caller did not take the answer: " + er.Err.Error()
+	return "writing response to caller: " + er.Err.Error()
 }
 
 // Unwrap returns the cause.
 func (er *CopyError) Unwrap() error { return er.Err }
 
-// Copy sends the answer's body and trailers to a caller, after its head was
-// written. When it fails, the caller's connection must be ended without a
-// proper end of the body (http.ErrAbortHandler does), for otherwise a broken
-// answer without a length would look whole.
-//
-// The answer is sent in the pieces that pc says.
+// Copy sends the response's body and trailers to a caller, after its header was sent, at the rate
+// that pc sets. If it fails, the caller's connection must be closed without a proper end of the
+// body, for example with http.ErrAbortHandler; otherwise a truncated response without a length
+// would look complete.
 func Copy(w http.ResponseWriter, at *Attempt, pc Pace) error {
 	res := at.Response
 	array := copyBufs.Get().(*[copyBufSize]byte)
@@ -278,8 +274,8 @@
 	}
 	flush := func() error { return nil }
 	if res.ContentLength < 0 {
-		// Without a length this may be a stream, of which each part is due
-		// when it comes.
+		// A response without a length may be a stream, so each part is forwarded as soon as it
+		// arrives.
 		flush = http.NewResponseController(w).Flush
 	}
 	for {
@@ -310,8 +306,7 @@
 	return nil
 }
 
-// CopyHead sends the answer's status and headers to a caller; extra headers
-// are added to it first.
+// CopyHeader sends the response's status and header to a caller; extra may add headers first.
 func CopyHead(w http.ResponseWriter, res *http.Response, extra func(http.Header)) {
 	hdr := w.Header()
 	SanitizeHeader(res.Header)
--- a/internal/path/proxy/proxy_test.go
+++ b/internal/path/proxy/proxy_test.go
@@ -29,10 +29,10 @@
 	return req
 }
 
-// TestUnsolicitedResponseUnderLoad: a server sends, with each answer and in the same write,
-// a second one that nobody asked for. The next request waits for that very
-// connection (there is only one), so it gets it the moment that the answer
-// ends. It must not be given the surplus: it has not run, and is told so.
+// TestUnsolicitedResponseUnderLoad guards against passing a caller the response of another request.
+// The server sends, with each response and in the same write, a second one that nobody requested.
+// The next request waits for the only connection, and gets it as soon as the response ends. It must
+// not receive the surplus response, and its outcome has to be "not run".
 func TestUnsolicitedResponseUnderLoad(t *testing.T) {
 	const unsolicited = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen"
 	for _, tc := range []struct{ name, format string }{
@@ -59,14 +59,14 @@
 						at := fw.Do(newRequest(t, "GET", sr.Addr, path))
 						if at.Response == nil {
 							if oc, _ := at.Outcome(); oc != result.NotRun {
-								t.Errorf("%s: %s, %v", path, oc, at.Err)
+								t.Errorf("%s: outcome %s, error %v", path, oc, at.Err)
 							}
 							continue
 						}
 						text, err := io.ReadAll(at.Response.Body)
 						at.Response.Body.Close()
 						if got := string(text) + at.Response.Header.Get("X-Path"); err != nil || got != path {
-							t.Errorf("%s was answered with %q, %v", path, got, err)
+							t.Errorf("%s: got response %q, error %v", path, got, err)
 						}
 					}
 				})
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestGreeting: a server that speaks first is not speaking HTTP, and nothing of
-// the request was sent to it.
+// TestGreeting checks that a server which sends data first is not taken for an HTTP server, and
+// that nothing of the request is sent to it.
 func TestGreeting(t *testing.T) {
 	client, server := net.Pipe()
 	defer server.Close()
@@ -85,15 +85,15 @@
 	go func() { _, _ = io.WriteString(server, "220 mail ready\r\n") }()
 	cn := newConn(client)
 	if _, err := cn.Read(make([]byte, 10)); !errors.Is(err, errConnUnusable) {
-		t.Errorf("reading a greeting: %v", err)
+		t.Errorf("read of a greeting: got error %v, want errConnUnusable", err)
 	}
 	if _, err := cn.Write([]byte("x")); !errors.Is(err, errConnUnusable) {
-		t.Errorf("writing after a greeting: %v", err)
+		t.Errorf("write after a greeting: got error %v, want errConnUnusable", err)
 	}
 	fw.Close()
 }
 
-// TestOutcome: what is said of a failed attempt follows from what was written.
+// TestOutcome checks that the outcome of a failed attempt follows from the bytes written.
 func TestOutcome(t *testing.T) {
 	refused := errors.New("refused")
 	for _, tc := range []struct {
@@ -127,8 +127,8 @@
 	}
 }
 
-// brokenConn waits when read and fails when written, as a connection does whose
-// other side went away unseen.
+// brokenConn blocks when read and fails when written, like a connection whose peer went away
+// unnoticed.
 type brokenConn struct {
 	net.Conn
 }
@@ -149,12 +149,12 @@
 	}
 	slices.Sort(left)
 	if got := strings.Join(left, " "); got != "Content-Type Idempotency-Key X-Kept" {
-		t.Errorf("left are %s", got)
+		t.Errorf("remaining headers: %s", got)
 	}
 }
 
-// TestCopyStreams: what a server has flushed of an answer without a length
-// reaches the caller before the answer goes on.
+// TestCopyStreams checks that the flushed part of a response without a length reaches the caller
+// before the server sends more.
 func TestCopyStreams(t *testing.T) {
 	next := make(chan bool)
 	back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -186,7 +186,7 @@
 	}
 	close(next)
 	if rest, err := io.ReadAll(res.Body); err != nil || string(rest) != "two" {
-		t.Errorf("then %q, %v", rest, err)
+		t.Errorf("rest: read %q, %v", rest, err)
 	}
 }
 
@@ -224,7 +224,7 @@
 	})
 }
 
-// TestSlowWriter: a caller that takes nothing of a large answer holds a bounded
+// TestSlowWriter checks that a caller that does not read a large response takes a bounded amount of
 // memory: the copy stops reading once the caller's connection is full.
 func TestSlowWriter(t *testing.T) {
 	pr, pw := io.Pipe()
@@ -243,16 +243,16 @@
 	}()
 	select {
 	case err := <-done:
-		t.Fatalf("the copy ended: %v", err)
+		t.Fatalf("copy returned early: %v", err)
 	case <-time.After(50 * time.Millisecond):
 	}
 	close(rec.block)
 	if err := <-done; err == nil {
-		t.Error("no error from a caller that went away")
+		t.Error("no error although writing to the caller failed")
 	}
 	pr.Close()
 	if rec.most > copyBufSize {
-		t.Errorf("%d bytes at once, bound %d", rec.most, copyBufSize)
+		t.Errorf("%d bytes in one write, limit %d", rec.most, copyBufSize)
 	}
 }
 
--- a/internal/path/proxy/stale_test.go
+++ b/internal/path/proxy/stale_test.go
@@ -9,12 +9,12 @@
 	"github.com/flamingomast/flamingomast/internal/plat/dialer"
 )
 
-// TestClosedBeforeWrite guards against a request that is taken for sent though its kept
-// connection had been closed: it may not be repeated then.
+// TestClosedBeforeWrite guards against counting a request as sent although its kept connection had
+// already been closed: such a request would not be retried.
 func TestClosedBeforeWrite(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// peer does something to the other side.
+		// peer acts on the other end of the connection.
 		peer  func(nc *net.TCPConn) error
 		stale bool
 	}{
@@ -26,7 +26,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			near, far := pair(t)
-			// The transport waits in a read that has not returned yet.
+			// The transport is blocked in a read that has not returned yet.
 			cn := newConn(near)
 			cn.written, cn.reading = 10, true
 			cn.begin()
@@ -38,10 +38,10 @@
 			}
 			_, err := cn.Write([]byte("GET"))
 			if stale := errors.Is(err, errConnUnusable); stale != tc.stale {
-				t.Errorf("writing: %v; want it refused: %t", err, tc.stale)
+				t.Errorf("write: error %v, want errConnUnusable: %t", err, tc.stale)
 			}
 			if sent := cn.wrote(10); sent == tc.stale {
-				t.Errorf("the request counts as sent: %t", sent)
+				t.Errorf("request counts as sent: %t", sent)
 			}
 		})
 	}
