--- a/internal/path/inlet/broken_test.go
+++ b/internal/path/inlet/broken_test.go
@@ -11,8 +11,9 @@
 	"github.com/flamingomast/flamingomast/internal/path/proxy"
 )
 
-// TestCrashEvidence guards against blame for connections that break while their server
-// lives or leaves, and against crashes that go unseen as its address accepts connections.
+// TestCrashEvidence guards against two faults: blaming requests whose connections break while their
+// server stays up or drains, and missing a crash because the server's address still accepts
+// connections.
 func TestCrashEvidence(t *testing.T) {
 	const (
 		first  = "i-1"
@@ -21,107 +22,107 @@
 	target := func(lifetime string) Target {
 		return Target{VM: "vm", Service: "booking", Addr: "127.0.0.1:9", Lifetime: lifetime}
 	}
-	breaks := func(in *Inlet, fl *flight, key ident.Key) {
-		in.interrupted(requestID{key: key}, fl)
+	interrupt := func(in *Inlet, rr *runningRequest, key ident.Key) {
+		in.recordBroken(requestID{key: key}, rr)
 	}
-	begin := func(in *Inlet) *flight { return in.crashes.begin(in.target.Load()) }
+	begin := func(in *Inlet) *runningRequest { return in.crashes.begin(in.target.Load()) }
 	for _, tc := range []struct {
 		name string
-		play func(in *Inlet)
+		run  func(in *Inlet)
 		want int
 	}{
-		{"all break together", func(in *Inlet) {
+		{"all requests break together", func(in *Inlet) {
 			a, b := begin(in), begin(in)
-			breaks(in, a, 1)
-			breaks(in, b, 2)
+			interrupt(in, a, 1)
+			interrupt(in, b, 2)
 		}, 2},
-		{"all break together twice", func(in *Inlet) {
+		{"all requests break together, twice", func(in *Inlet) {
 			a, b := begin(in), begin(in)
-			breaks(in, a, 1)
-			breaks(in, b, 2)
+			interrupt(in, a, 1)
+			interrupt(in, b, 2)
 			time.Sleep(time.Second)
 			a, b = begin(in), begin(in)
-			breaks(in, a, 1)
-			breaks(in, b, 2)
+			interrupt(in, a, 1)
+			interrupt(in, b, 2)
 		}, 4},
-		{"another one runs on", func(in *Inlet) {
+		{"a concurrent request keeps running", func(in *Inlet) {
 			a, b, c := begin(in), begin(in), begin(in)
-			breaks(in, a, 1)
-			breaks(in, b, 2)
+			interrupt(in, a, 1)
+			interrupt(in, b, 2)
 			time.Sleep(time.Second)
 			in.crashes.finish(c, true)
 			in.SetTarget(target(second))
 		}, 0},
-		{"another one breaks a little later", func(in *Inlet) {
+		{"a concurrent request breaks a little later", func(in *Inlet) {
 			a, b, c := begin(in), begin(in), begin(in)
-			breaks(in, a, 1)
-			breaks(in, b, 2)
-			time.Sleep(3 * crashWindow)
-			breaks(in, c, 3)
+			interrupt(in, a, 1)
+			interrupt(in, b, 2)
+			time.Sleep(3 * crashSettleTime)
+			interrupt(in, c, 3)
 		}, 3},
-		{"one, and the next that began after it", func(in *Inlet) {
-			breaks(in, begin(in), 1)
+		{"one request, then one that began after it", func(in *Inlet) {
+			interrupt(in, begin(in), 1)
 			time.Sleep(time.Millisecond)
-			breaks(in, begin(in), 2)
+			interrupt(in, begin(in), 2)
 		}, 0},
-		{"one that began later runs on", func(in *Inlet) {
+		{"a request that began later keeps running", func(in *Inlet) {
 			a, b := begin(in), begin(in)
-			breaks(in, a, 1)
-			breaks(in, b, 2)
+			interrupt(in, a, 1)
+			interrupt(in, b, 2)
 			time.Sleep(time.Millisecond)
 			begin(in)
 		}, 2},
-		{"one after the other", func(in *Inlet) {
+		{"one request after the other", func(in *Inlet) {
 			for key := range ident.Key(3) {
-				breaks(in, begin(in), key)
+				interrupt(in, begin(in), key)
 				time.Sleep(time.Second)
 			}
 		}, 0},
-		{"one, and another start follows", func(in *Inlet) {
-			breaks(in, begin(in), 1)
+		{"one request, then a new instance", func(in *Inlet) {
+			interrupt(in, begin(in), 1)
 			time.Sleep(3 * time.Second)
 			in.SetTarget(Target{VM: "vm"})
 			in.SetTarget(target(second))
 		}, 1},
-		{"one, and the same start goes on", func(in *Inlet) {
-			breaks(in, begin(in), 1)
+		{"one request, then the same instance announces itself", func(in *Inlet) {
+			interrupt(in, begin(in), 1)
 			time.Sleep(time.Second)
 			in.ServerHeard()
 			in.SetTarget(target(second))
 		}, 0},
-		{"one, and a drain follows", func(in *Inlet) {
-			breaks(in, begin(in), 1)
+		{"one request, then a drain", func(in *Inlet) {
+			interrupt(in, begin(in), 1)
 			time.Sleep(time.Second)
 			in.ServerLeaves()
 			in.SetTarget(target(second))
 		}, 0},
-		{"one, read after another start has followed", func(in *Inlet) {
-			fl := begin(in)
+		{"one request, read as broken after a new instance has started", func(in *Inlet) {
+			rr := begin(in)
 			in.SetTarget(target(second))
-			breaks(in, fl, 1)
+			interrupt(in, rr, 1)
 		}, 1},
-		{"one of a start that left, read after another has followed", func(in *Inlet) {
-			fl := begin(in)
+		{"one request of a drained instance, read as broken after a new one has started", func(in *Inlet) {
+			rr := begin(in)
 			in.ServerLeaves()
 			in.SetTarget(target(second))
-			breaks(in, fl, 1)
+			interrupt(in, rr, 1)
 		}, 0},
-		{"one, and another start follows much later", func(in *Inlet) {
-			breaks(in, begin(in), 1)
+		{"one request, then a new instance much later", func(in *Inlet) {
+			interrupt(in, begin(in), 1)
 			time.Sleep(brokenTTL)
 			in.SetTarget(target(second))
 		}, 0},
-		{"starts that have no name", func(in *Inlet) {
+		{"instances without a lifetime", func(in *Inlet) {
 			in.SetTarget(target(""))
-			breaks(in, begin(in), 1)
+			interrupt(in, begin(in), 1)
 			time.Sleep(time.Second)
 			in.SetTarget(target(""))
 		}, 0},
-		{"while it drains", func(in *Inlet) {
+		{"while the server drains", func(in *Inlet) {
 			a, b := begin(in), begin(in)
 			in.Gate.Drain()
-			breaks(in, a, 1)
-			breaks(in, b, 2)
+			interrupt(in, a, 1)
+			interrupt(in, b, 2)
 		}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -137,7 +138,7 @@
 				}
 				in.SetTarget(target(first))
 				time.Sleep(time.Second)
-				tc.play(in)
+				tc.run(in)
 				time.Sleep(time.Minute)
 				synctest.Wait()
 				mu.Lock()
--- a/internal/path/inlet/crash.go
+++ b/internal/path/inlet/crash.go
@@ -18,131 +18,134 @@
 )
 
 const (
-	// probeTimeout bounds a probe. A crashed server refuses connections at once; one that
-	// does not answer may only be paused.
+	// probeTimeout bounds a probe. A crashed server refuses connections at once; one that does not
+	// answer may only be paused.
 	probeTimeout = 100 * time.Millisecond
-	// probeInterval is how long the result of a probe holds.
+	// probeInterval is how long the result of a probe is reused.
 	probeInterval = 100 * time.Millisecond
-	// unnamedTTL is how long the crash of a server without a lifetime is remembered: the
-	// next one looks like it.
-	unnamedTTL = time.Second
-	// abandonedTTL is how long a server may go on with a request that its outlet gave up
-	// on, maxAbandoned how many of those are kept.
+	// unnamedCrashTTL is how long the crash of a server that reports no lifetime is remembered: its
+	// next instance cannot be told from it.
+	unnamedCrashTTL = time.Second
+	// abandonedTTL is how long a server may continue a request after its outlet gave up on it;
+	// maxAbandoned bounds the number of such requests that are remembered.
 	abandonedTTL = time.Second
 	maxAbandoned = 64
 )
 
-// crashDetector finds out whether the backend server crashed, and what it was running.
+// crashDetector detects crashes of the backend server and records which requests it was running.
 type crashDetector struct {
 	mu sync.Mutex
-	// of is the target that was probed last, ended the result, at when.
-	of        Target
-	ended     bool
-	at        time.Time
-	end       poison.End
-	abandoned []abandoned
-	// flights are the requests that the server is running, broken those that broke off
-	// though it accepts connections.
-	flights map[*flight]bool
-	broken  []broken
-	// leaving is the last start that said it leaves.
+	// probed is the target of the last probe, down its result and probedAt its time. endID
+	// identifies the crash if the server is down.
+	probed    Target
+	down      bool
+	probedAt  time.Time
+	endID     poison.End
+	abandoned []abandonedRequest
+	// running holds the requests that the server is running, broken those whose connection broke
+	// although the server accepts others.
+	running map[*runningRequest]bool
+	broken  []brokenRequest
+	// leaving is the last instance that announced its withdrawal.
 	leaving Target
 }
 
-// abandoned is a request that its outlet gave up on.
-type abandoned struct {
-	id requestID
-	of Target
-	at time.Time
+// abandonedRequest is a request that its outlet gave up on.
+type abandonedRequest struct {
+	id          requestID
+	target      Target
+	abandonedAt time.Time
 }
 
-// requestID names a request in reports.
+// requestID identifies a request in reports.
 type requestID struct {
-	head uint64
-	key  ident.Key
+	headerHash uint64
+	key        ident.Key
 }
 
-// crashed reports whether the server of a target crashed, and names the crash. It calls probe
-// where the result of the last one no longer holds; requests that failed together share one.
-func (cd *crashDetector) crashed(tg *Target, probe func() bool) (end poison.End, ended, first bool) {
+// crashed reports whether the target's server crashed, and returns the ID of the crash. It calls
+// probe if the last result has expired, so requests that fail together share one probe. first is
+// set for the call that detected the crash.
+func (cd *crashDetector) crashed(tg *Target, probe func() bool) (endID poison.End, crashed, first bool) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
 	now := time.Now()
-	if cd.of.sameStart(tg) && cd.of.Addr == tg.Addr {
-		known := now.Sub(cd.at) < probeInterval
-		if cd.ended {
-			known = tg.Lifetime != "" || now.Sub(cd.at) < unnamedTTL
+	if cd.probed.sameInstance(tg) && cd.probed.Addr == tg.Addr {
+		valid := now.Sub(cd.probedAt) < probeInterval
+		if cd.down {
+			valid = tg.Lifetime != "" || now.Sub(cd.probedAt) < unnamedCrashTTL
 		}
-		if known {
-			return cd.end, cd.ended, false
+		if valid {
+			return cd.endID, cd.down, false
 		}
 	}
-	cd.of, cd.ended, cd.at = *tg, probe(), now
-	if cd.ended {
-		cd.end = nameEnd(tg)
+	cd.probed, cd.down, cd.probedAt = *tg, probe(), now
+	if cd.down {
+		cd.endID = endIDOf(tg)
 	}
-	return cd.end, cd.ended, cd.ended
+	return cd.endID, cd.down, cd.down
 }
 
-// nameEnd names the end of a target's lifetime.
-func nameEnd(tg *Target) poison.End {
+// endIDOf returns the ID of the crash of a target's instance. It is random for a server that
+// reports no lifetime.
+func endIDOf(tg *Target) poison.End {
 	if tg.Lifetime == "" {
 		return poison.End(rand.Uint64())
 	}
 	return poison.End(xxhash.Sum64String(tg.VM + "\x00" + tg.Lifetime + "\x00" + strconv.FormatInt(tg.StartedMs, 10)))
 }
 
-// forget drops the result of the last probe. A server that announces itself again has not
-// crashed, though it refused a connection for a moment.
+// forget discards the result of the last probe. A server that announces itself again has not
+// crashed, even if it refused a connection for a moment.
 func (cd *crashDetector) forget() {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
-	cd.of, cd.ended = Target{}, false
+	cd.probed, cd.down = Target{}, false
 }
 
 // abandon records a request that its outlet gave up on while the server was running it.
 func (cd *crashDetector) abandon(id requestID, tg *Target) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
-	cd.abandoned = append(cd.abandoned, abandoned{id: id, of: *tg, at: time.Now()})
+	cd.abandoned = append(cd.abandoned, abandonedRequest{id: id, target: *tg, abandonedAt: time.Now()})
 	if len(cd.abandoned) > maxAbandoned {
 		cd.abandoned = cd.abandoned[1:]
 	}
 }
 
-// takeAbandoned returns the abandoned requests that the server may have been running when
-// it crashed.
+// takeAbandoned removes the abandoned requests and returns those that the server may have been
+// running when it crashed.
 func (cd *crashDetector) takeAbandoned(tg *Target) (list []requestID) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
-	for _, le := range cd.abandoned {
-		if le.of.sameStart(tg) && time.Since(le.at) < abandonedTTL {
-			list = append(list, le.id)
+	for _, ab := range cd.abandoned {
+		if ab.target.sameInstance(tg) && time.Since(ab.abandonedAt) < abandonedTTL {
+			list = append(list, ab.id)
 		}
 	}
 	cd.abandoned = nil
 	return list
 }
 
-// recordCrash finds out whether a request failed because its backend server crashed, and
-// reports what that server was running. A server that closes a connection by itself still
-// accepts others afterwards; one that drains did not crash.
-func (in *Inlet) recordCrash(r *http.Request, lead *ident.Lead, fl *flight, rf *result.Refusal) {
-	tg := &fl.of
+// recordCrash checks whether a request failed because its backend server crashed, and if so reports
+// the requests that the server was running. A server that merely closed a connection still accepts
+// new ones; a server that is draining did not crash.
+func (in *Inlet) recordCrash(r *http.Request, pr *ident.PrefixReader, rr *runningRequest, rf *result.Refusal) {
+	tg := &rr.target
 	gaveUp := rf.Reason == result.ReasonCallerGone || rf.Reason == result.ReasonDeadline
 	switch {
 	case rf.Outcome == result.MayHaveRun && gaveUp:
-		if id, ok := requestIDOf(r, lead); ok {
+		if id, ok := requestIDOf(r, pr); ok {
 			in.crashes.abandon(id, tg)
 		}
 		return
 	case rf.Outcome == result.MayHaveRun && rf.Reason != result.ReasonBroken, rf.Outcome == result.NotRun && rf.Reason != result.ReasonConnect:
 		return
 	}
-	end, ended, first := in.crashes.crashed(tg, func() bool { return in.isDown(tg) })
-	if !ended {
-		if id, ok := requestIDOf(r, lead); ok && rf.Outcome == result.MayHaveRun && !in.Gate.Draining() {
-			in.interrupted(id, fl)
+	endID, crashed, first := in.crashes.crashed(tg, func() bool { return in.isDown(tg) })
+	if !crashed {
+		if id, ok := requestIDOf(r, pr); ok && rf.Outcome == result.MayHaveRun && !in.Gate.Draining() {
+			in.recordBroken(id, rr)
 		}
 		return
 	}
@@ -154,8 +157,8 @@
 	}
 	if rf.Outcome == result.MayHaveRun {
 		rf.Reason = result.ReasonServerEnded
-		if id, ok := requestIDOf(r, lead); ok {
-			in.Log.LogAttrs(context.Background(), slog.LevelWarn, logs.EndedUnder, slog.String(logs.ID, in.id(r)),
+		if id, ok := requestIDOf(r, pr); ok {
+			in.Log.LogAttrs(context.Background(), slog.LevelWarn, logs.EndedUnder, slog.String(logs.ID, in.callerRequestID(r)),
 				slog.String(logs.Key, id.key.String()), slog.String(logs.Lifetime, tg.Lifetime))
 			ids = append(ids, id)
 		}
@@ -163,44 +166,44 @@
 	if in.Gate.Draining() {
 		return
 	}
-	in.report(ids, end)
-	rf.Ends = in.endsOf(r, lead)
+	in.report(ids, endID)
+	rf.Ends = in.endsOf(r, pr)
 }
 
-// logCrash logs that a start of the server crashed while it ran some requests.
+// logCrash logs that an instance of the server crashed, and how many requests it was running.
 func (in *Inlet) logCrash(tg *Target, running int) {
 	in.Log.LogAttrs(context.Background(), slog.LevelWarn, logs.ServerEnded,
 		slog.String(logs.Lifetime, tg.Lifetime), slog.Int("running", running))
 }
 
-// report sends reports that a server crashed while it ran requests.
-func (in *Inlet) report(ids []requestID, end poison.End) {
+// report sends reports that a server crashed while it ran the given requests.
+func (in *Inlet) report(ids []requestID, endID poison.End) {
 	if len(ids) == 0 {
 		return
 	}
 	var list []poison.Report
 	for _, id := range ids {
-		list = append(list, poison.Report{Head: id.head, Key: id.key, End: end, At: time.Now()})
+		list = append(list, poison.Report{Head: id.headerHash, Key: id.key, End: endID, At: time.Now()})
 	}
 	in.Report(list)
 }
 
-// requestIDOf returns the ID of a request, and whether enough of its body was read for it.
-func requestIDOf(r *http.Request, lead *ident.Lead) (id requestID, ok bool) {
-	body, whole := lead.Bytes(r.ContentLength)
-	if !whole {
+// requestIDOf returns the ID of a request. ok is false if not enough of its body has been read.
+func requestIDOf(r *http.Request, pr *ident.PrefixReader) (id requestID, ok bool) {
+	prefix, complete := pr.Prefix(r.ContentLength)
+	if !complete {
 		return requestID{}, false
 	}
-	return requestID{head: ident.Head(r), key: ident.Of(r, body)}, true
+	return requestID{headerHash: ident.Head(r), key: ident.Of(r, prefix)}, true
 }
 
-// endsOf returns how many servers are known to have crashed while they ran a request.
-func (in *Inlet) endsOf(r *http.Request, lead *ident.Lead) int {
+// endsOf returns the number of known server crashes during a request.
+func (in *Inlet) endsOf(r *http.Request, pr *ident.PrefixReader) int {
 	vw := in.Poison()
 	if !vw.Suspects(r) {
 		return 0
 	}
-	id, ok := requestIDOf(r, lead)
+	id, ok := requestIDOf(r, pr)
 	if !ok {
 		return 0
 	}
@@ -208,35 +211,35 @@
 }
 
 // clearSuspect reports that a server answered a suspect request completely.
-func (in *Inlet) clearSuspect(r *http.Request, lead *ident.Lead) {
+func (in *Inlet) clearSuspect(r *http.Request, pr *ident.PrefixReader) {
 	vw := in.Poison()
 	if !vw.Suspects(r) {
 		return
 	}
-	if id, ok := requestIDOf(r, lead); ok {
+	if id, ok := requestIDOf(r, pr); ok {
 		if list := vw.Answered(id.key); len(list) > 0 {
 			in.Report(list)
 		}
 	}
 }
 
-// isDown reports whether the backend server of a target refuses connections.
+// isDown reports whether the target's backend server refuses connections.
 func (in *Inlet) isDown(tg *Target) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	return !in.fw.Load().Reach(ctx, tg.Addr) && ctx.Err() == nil
 }
 
-// isolate admits one suspect request at a time, so that a further crash tells which of them
-// is the cause.
-func (in *Inlet) isolate(r *http.Request) (leave func(), rf *result.Refusal) {
-	known, err := strconv.Atoi(r.Header.Get(result.EndsHeader))
-	if err != nil || known < poison.Apart {
-		// None are known, or an older release sends none.
+// isolate admits one suspect request at a time, so that another crash shows which of them caused
+// it.
+func (in *Inlet) isolate(r *http.Request) (release func(), rf *result.Refusal) {
+	ends, err := strconv.Atoi(r.Header.Get(result.EndsHeader))
+	if err != nil || ends < poison.Apart {
+		// The outlet knows of too few crashes, or is an older release that sends no count.
 		return func() {}, nil
 	}
-	if !in.suspect.CompareAndSwap(false, true) {
+	if !in.suspectRunning.CompareAndSwap(false, true) {
 		return nil, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonApart}
 	}
-	return func() { in.suspect.Store(false) }, nil
+	return func() { in.suspectRunning.Store(false) }, nil
 }
