--- a/internal/mesh/ctrl/crashes.go
+++ b/internal/mesh/ctrl/crashes.go
@@ -24,9 +24,9 @@
 	singleCrashBurst = 200
 )
 
-// ReportEnds informs all daemons of requests that were running when a backend server crashed, or
+// ReportCrashes informs all daemons of requests that were running when a backend server crashed, or
 // that have been answered since.
-func (nd *Node) ReportEnds(list []poison.Report) { nd.handleCrashReports(nil, list) }
+func (nd *Node) ReportCrashes(list []poison.Report) { nd.handleCrashReports(nil, list) }
 
 // handleCrashReports merges reports of a peer, or this daemon's own, and forwards the new ones.
 // Like records, reports reach all daemons through the relays.
--- a/internal/mesh/ctrl/follow.go
+++ b/internal/mesh/ctrl/follow.go
@@ -218,7 +218,7 @@
 // newest version, and tells the peers whose processes were running by then. They may install that
 // version, since no previous process of their VM can have held a newer one.
 func (nd *Node) recordFreshRead(began time.Time, version uint64) {
-	if !nd.cf.Source.Newest || version == 0 || version < nd.Board.LatestVersion() || !nd.storeComplete() {
+	if !nd.cf.Source.Linearizable || version == 0 || version < nd.Board.LatestVersion() || !nd.storeComplete() {
 		return
 	}
 	nd.Board.RaiseFloor(version, true)
--- a/internal/mesh/poison/poison.go
+++ b/internal/mesh/poison/poison.go
@@ -86,7 +86,7 @@
 // Suspects reports whether servers may have ended under a request, by its head. It is asked
 // for each request: most need no key because of it, and none a head while nothing is known.
 func (vw *View) Suspects(r *http.Request) bool {
-	return vw != nil && len(vw.heads) > 0 && vw.heads[ident.Head(r)]
+	return vw != nil && len(vw.heads) > 0 && vw.heads[ident.HeaderHash(r)]
 }
 
 // Ends returns how many servers a request has ended, as far as is known.
--- a/internal/mesh/poison/poison_test.go
+++ b/internal/mesh/poison/poison_test.go
@@ -18,7 +18,7 @@
 	const same, other ident.Key = 1, 2
 	began := time.Unix(1_000_000, 0)
 	asks := httptest.NewRequest("GET", "http://booking/visits/7", nil)
-	heads := map[ident.Key]uint64{same: ident.Head(asks), other: 2}
+	heads := map[ident.Key]uint64{same: ident.HeaderHash(asks), other: 2}
 	end := func(key ident.Key, en End, after time.Duration) Report {
 		return Report{Head: heads[key], Key: key, End: en, At: began.Add(after)}
 	}
--- a/internal/path/again/again.go
+++ b/internal/path/again/again.go
@@ -24,14 +24,14 @@
 // The timeout that a caller sends does not show how long the caller has been trying, since callers
 // of one route use different timeouts. But a retry is for the same request and has the same
 // deadline as the try before it.
-type Memory struct {
+type Tracker struct {
 	tries [sets][ways]atomic.Pointer[Try]
 }
 
 // Try is one try of a caller at a request.
 type Try struct {
 	// FirstAt is when the first try arrived, deadline when the caller stops waiting.
-	First    time.Time
+	FirstAt  time.Time
 	deadline time.Time
 	key      uint64
 	// failedAt is when the try failed.
@@ -40,8 +40,8 @@
 
 // Arrived returns the try of a request that arrived at now and whose caller waits for timeout, 0 if
 // unknown. It reports whether the request is a retry, and if so counts it for its route.
-func (tk *Memory) Came(r *http.Request, now time.Time, timeout time.Duration, rs *Route) (tr *Try, further bool) {
-	tr = &Try{First: now}
+func (tk *Tracker) Arrived(r *http.Request, now time.Time, timeout time.Duration, rs *RetryStats) (tr *Try, further bool) {
+	tr = &Try{FirstAt: now}
 	if timeout <= 0 {
 		return tr, false
 	}
@@ -52,7 +52,7 @@
 		if old == nil || !old.same(tr) || !old.failedAt.Before(now) || !entry.CompareAndSwap(old, nil) {
 			continue
 		}
-		tr.First = old.First
+		tr.FirstAt = old.FirstAt
 		rs.countRetried(old.failedAt)
 		return tr, true
 	}
@@ -65,7 +65,7 @@
 }
 
 // Failed records that a try failed at now. retryAdvised is set if the caller was told to retry.
-func (tk *Memory) Failed(tr *Try, now time.Time, retryAdvised bool, rs *Route) {
+func (tk *Tracker) Failed(tr *Try, now time.Time, retryAdvised bool, rs *RetryStats) {
 	if tr.deadline.IsZero() {
 		return
 	}
@@ -79,7 +79,7 @@
 
 // entry returns the entry to overwrite with a try: one whose deadline has passed, otherwise the one
 // with the earliest deadline.
-func (tk *Memory) entry(key uint64, now time.Time) *atomic.Pointer[Try] {
+func (tk *Tracker) entry(key uint64, now time.Time) *atomic.Pointer[Try] {
 	var best *atomic.Pointer[Try]
 	var deadline time.Time
 	for i := range ways {
--- a/internal/path/again/again_test.go
+++ b/internal/path/again/again_test.go
@@ -35,14 +35,14 @@
 		{"another URI with the same deadline", []arrival{{0, "/a?x=1", 2500 * ms, 0, true}, {200 * ms, "/a?x=2", 2300 * ms, 0, true}}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			var tk Memory
-			var rs Route
+			var tk Tracker
+			var rs RetryStats
 			began := time.Now()
 			for i, ca := range tc.tries {
 				time.Sleep(ca.at - time.Since(began))
 				now := time.Now()
-				tr, further := tk.Came(httptest.NewRequest("GET", ca.url, nil), now, ca.left, &rs)
-				if got := now.Sub(tr.First); got != ca.elapsed || further != (ca.elapsed > 0) {
+				tr, further := tk.Arrived(httptest.NewRequest("GET", ca.url, nil), now, ca.left, &rs)
+				if got := now.Sub(tr.FirstAt); got != ca.elapsed || further != (ca.elapsed > 0) {
 					t.Errorf("%s: try %d is %v after the first (further %t), want %v", tc.name, i, got, further, ca.elapsed)
 				}
 				if ca.refused {
@@ -76,8 +76,8 @@
 		{"callers, then calls", []int{200, 0, 0, 200, 200, 0, 0}, []int{200, 0, 0, 0, 0, 0, 0}, true},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			var tk Memory
-			var rs Route
+			var tk Tracker
+			var rs RetryStats
 			n := 0
 			for i, advised := range tc.advised {
 				began := time.Now()
@@ -85,18 +85,18 @@
 				for j := range advised {
 					n++
 					url := fmt.Sprint("/", n)
-					tr, _ := tk.Came(httptest.NewRequest("GET", url, nil), began, time.Second, &rs)
+					tr, _ := tk.Arrived(httptest.NewRequest("GET", url, nil), began, time.Second, &rs)
 					tk.Failed(tr, began, true, &rs)
 					if j < tc.retried[i] {
 						retries = append(retries, func() {
 							now := time.Now()
-							if _, further := tk.Came(httptest.NewRequest("GET", url, nil), now, time.Second-now.Sub(began), &rs); !further {
+							if _, further := tk.Arrived(httptest.NewRequest("GET", url, nil), now, time.Second-now.Sub(began), &rs); !further {
 								t.Errorf("%s: a retry was not detected", tc.name)
 							}
 						})
 					}
 				}
-				if got := rs.Came(time.Now(), false, true); i == 0 && got {
+				if got := rs.CountArrival(time.Now(), false, true); i == 0 && got {
 					t.Errorf("%s: final in the first period", tc.name)
 				}
 				time.Sleep(400 * ms)
@@ -105,7 +105,7 @@
 				}
 				time.Sleep(600 * ms)
 			}
-			if got := rs.Came(time.Now(), false, true); got != tc.want {
+			if got := rs.CountArrival(time.Now(), false, true); got != tc.want {
 				t.Errorf("%s: final %t, want %t", tc.name, got, tc.want)
 			}
 		})
@@ -113,11 +113,11 @@
 }
 
 func BenchmarkArrived(b *testing.B) {
-	var tk Memory
-	var rs Route
+	var tk Tracker
+	var rs RetryStats
 	r := httptest.NewRequest("GET", "/splits/12345?page=3", nil)
 	b.ReportAllocs()
 	for b.Loop() {
-		tk.Came(r, time.Now(), time.Second, &rs)
+		tk.Arrived(r, time.Now(), time.Second, &rs)
 	}
 }
--- a/internal/path/again/route.go
+++ b/internal/path/again/route.go
@@ -25,7 +25,7 @@
 // RetryStats learns whether the callers of a route retry when advised to. Backend servers that make
 // calls mostly do not: a refused call fails for good, and the work done for its parent request is
 // lost. With the zero value, callers are assumed to retry.
-type Route struct {
+type RetryStats struct {
 	mu sync.Mutex
 	// current, previous and older are the counts of the current period, of the one before it and of
 	// all earlier ones.
@@ -40,7 +40,7 @@
 type count struct{ advised, retried int }
 
 // countAdvised counts a caller that was advised to retry.
-func (rs *Route) countAdvised(now time.Time) {
+func (rs *RetryStats) countAdvised(now time.Time) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	rs.advance(now)
@@ -48,7 +48,7 @@
 }
 
 // countRetried counts a caller that retried after it was advised to at advisedAt.
-func (rs *Route) countRetried(advisedAt time.Time) {
+func (rs *RetryStats) countRetried(advisedAt time.Time) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	rs.advance(time.Now())
@@ -63,7 +63,7 @@
 }
 
 // advance starts a new period if the current one has ended. rs.mu must be held.
-func (rs *Route) advance(now time.Time) {
+func (rs *RetryStats) advance(now time.Time) {
 	for range 2 {
 		if now.Sub(rs.periodStart) < period {
 			return
@@ -89,7 +89,7 @@
 // As long as too few refusals are known, a request is taken for a call of the VM's own backend
 // server if its caller has no time left to retry, and if hardly any request of the route arrived
 // while that server ran nothing.
-func (rs *Route) Came(now time.Time, shortTimeout, serverBusy bool) bool {
+func (rs *RetryStats) CountArrival(now time.Time, shortTimeout, serverBusy bool) bool {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	rs.advance(now)
--- a/internal/path/ident/ident.go
+++ b/internal/path/ident/ident.go
@@ -21,7 +21,7 @@
 
 // MaxPrefixBytes is the maximum length of the body prefix that is part of a key. It bounds what is
 // kept of a streamed body.
-const LeadBytes = 8 << 10
+const MaxPrefixBytes = 8 << 10
 
 // keyFields returns the parts of a request, besides its body, that are part of its key.
 func keyFields(r *http.Request) [4]string {
@@ -30,7 +30,7 @@
 
 // HeaderHash returns a cheap hash of a request without its body. Requests with the same key have
 // the same HeaderHash, so a key is needed only for requests whose HeaderHash is known.
-func Head(r *http.Request) uint64 {
+func HeaderHash(r *http.Request) uint64 {
 	var di xxhash.Digest
 	di.Reset()
 	for _, text := range keyFields(r) {
@@ -43,14 +43,14 @@
 
 // KeyOf returns the key of a request whose body begins with prefix. Only the first MaxPrefixBytes
 // of prefix are used.
-func Of(r *http.Request, prefix []byte) Key {
+func KeyOf(r *http.Request, prefix []byte) Key {
 	sum := sha256.New()
 	for _, text := range keyFields(r) {
 		// Writing to a hash does not fail. The length delimits the field.
 		_ = binary.Write(sum, binary.BigEndian, uint32(len(text)))
 		_, _ = io.WriteString(sum, text)
 	}
-	_, _ = sum.Write(prefix[:min(len(prefix), LeadBytes)])
+	_, _ = sum.Write(prefix[:min(len(prefix), MaxPrefixBytes)])
 	return Key(binary.BigEndian.Uint64(sum.Sum(nil)))
 }
 
@@ -72,7 +72,7 @@
 	n, err := pr.r.Read(p)
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
-	pr.prefix = append(pr.prefix, p[:min(n, LeadBytes-len(pr.prefix))]...)
+	pr.prefix = append(pr.prefix, p[:min(n, MaxPrefixBytes-len(pr.prefix))]...)
 	pr.eof = pr.eof || err == io.EOF
 	return n, err
 }
@@ -88,5 +88,5 @@
 	}
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
-	return pr.prefix, pr.eof || len(pr.prefix) == LeadBytes || int64(len(pr.prefix)) == length
+	return pr.prefix, pr.eof || len(pr.prefix) == MaxPrefixBytes || int64(len(pr.prefix)) == length
 }
--- a/internal/path/idle/idle.go
+++ b/internal/path/idle/idle.go
@@ -43,7 +43,7 @@
 }
 
 // ConnState is the server's ConnState hook. It marks connections as busy or idle.
-func (st *Set) State(nc net.Conn, state http.ConnState) {
+func (st *Set) ConnState(nc net.Conn, state http.ConnState) {
 	cn, ok := nc.(*conn)
 	if !ok {
 		return
@@ -60,7 +60,7 @@
 
 // CloseIdle closes the connections that have been idle for at least age, and returns how many
 // connections the set holds, including those that are being closed.
-func (st *Set) End(age time.Duration) int {
+func (st *Set) CloseIdle(age time.Duration) int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	now := time.Now()
--- a/internal/path/inlet/attribution_test.go
+++ b/internal/path/inlet/attribution_test.go
@@ -111,7 +111,7 @@
 // crashes returns how many crashes were reported for the request for a path.
 func (rg *rig) crashes(path string) int {
 	r := httptest.NewRequest("GET", "http://booking"+path, nil)
-	return rg.in.Poison().Ends(ident.Of(r, nil))
+	return rg.in.Poison().Ends(ident.KeyOf(r, nil))
 }
 
 // crashServer is the behavior of a server that crashes while it runs a request.
@@ -217,7 +217,7 @@
 	close(rg.proceed)
 	r := httptest.NewRequest("GET", "http://booking/same", nil)
 	for en := range poison.End(2) {
-		rg.in.Report([]poison.Report{{Head: ident.Head(r), Key: ident.Of(r, nil), End: en, At: time.Now()}})
+		rg.in.Report([]poison.Report{{Head: ident.HeaderHash(r), Key: ident.KeyOf(r, nil), End: en, At: time.Now()}})
 	}
 	if w := rg.send(context.Background(), "/same", 2); w.Code != http.StatusOK {
 		t.Fatalf("status %d, want 200", w.Code)
--- a/internal/path/inlet/broken.go
+++ b/internal/path/inlet/broken.go
@@ -155,10 +155,10 @@
 }
 
 // ServerAnnounced records that the current instance of the backend server announced itself again.
-func (in *Inlet) ServerHeard() { in.crashes.confirmAlive(time.Now()) }
+func (in *Inlet) ServerAnnounced() { in.crashes.confirmAlive(time.Now()) }
 
 // ServerLeaving records that the backend server is draining or was withdrawn.
-func (in *Inlet) ServerLeaves() {
+func (in *Inlet) ServerLeaving() {
 	if tg := in.target.Load(); tg != nil {
 		in.crashes.markLeaving(tg)
 	}
--- a/internal/path/inlet/broken_test.go
+++ b/internal/path/inlet/broken_test.go
@@ -87,13 +87,13 @@
 		{"one request, then the same instance announces itself", func(in *Inlet) {
 			interrupt(in, begin(in), 1)
 			time.Sleep(time.Second)
-			in.ServerHeard()
+			in.ServerAnnounced()
 			in.SetTarget(target(second))
 		}, 0},
 		{"one request, then a drain", func(in *Inlet) {
 			interrupt(in, begin(in), 1)
 			time.Sleep(time.Second)
-			in.ServerLeaves()
+			in.ServerLeaving()
 			in.SetTarget(target(second))
 		}, 0},
 		{"one request, read as broken after a new instance has started", func(in *Inlet) {
@@ -103,7 +103,7 @@
 		}, 1},
 		{"one request of a drained instance, read as broken after a new one has started", func(in *Inlet) {
 			rr := begin(in)
-			in.ServerLeaves()
+			in.ServerLeaving()
 			in.SetTarget(target(second))
 			interrupt(in, rr, 1)
 		}, 0},
--- a/internal/path/inlet/crash.go
+++ b/internal/path/inlet/crash.go
@@ -194,7 +194,7 @@
 	if !complete {
 		return requestID{}, false
 	}
-	return requestID{headerHash: ident.Head(r), key: ident.Of(r, prefix)}, true
+	return requestID{headerHash: ident.HeaderHash(r), key: ident.KeyOf(r, prefix)}, true
 }
 
 // endsOf returns the number of known server crashes during a request.
@@ -227,7 +227,7 @@
 func (in *Inlet) isDown(tg *Target) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	return !in.fw.Load().Reach(ctx, tg.Addr) && ctx.Err() == nil
+	return !in.fw.Load().Reachable(ctx, tg.Addr) && ctx.Err() == nil
 }
 
 // isolate admits one suspect request at a time, so that another crash shows which of them caused
--- a/internal/path/inlet/inlet.go
+++ b/internal/path/inlet/inlet.go
@@ -39,7 +39,7 @@
 // Inlet serves the requests that outlets send to the VM's backend server.
 type Inlet struct {
 	Stats hist.Set
-	Gate  *limit.Gate
+	Gate  *limit.Limiter
 	// Unreachable is called when the backend server accepts no connection.
 	Unreachable func(Target)
 	// Poison returns the known requests that crashed servers; Report sends new reports to all
@@ -63,7 +63,7 @@
 	// counts holds the request counts of the current instance of the server.
 	counts atomic.Pointer[tally.Counter]
 	// buffered is the memory taken by responses that were read and are not sent yet.
-	buffered proxy.Bound
+	buffered proxy.Budget
 	// link paces the VM's link; nil if it is not paced.
 	link *pacer.Pacer
 }
@@ -77,7 +77,7 @@
 // responses are paced by link, which may be nil.
 func New(op proxy.Options, link *pacer.Pacer) *Inlet {
 	in := &Inlet{Gate: limit.New(), Unreachable: func(Target) {}, Poison: func() *poison.View { return nil }, Report: func([]poison.Report) {}, Log: slog.New(slog.DiscardHandler), op: op, link: link}
-	in.buffered.Most = maxBuffered
+	in.buffered.Limit = maxBuffered
 	in.counts.Store(&tally.Counter{})
 	in.fw.Store(proxy.New(op))
 	return in
@@ -144,14 +144,14 @@
 		return
 	}
 	defer release()
-	tk, rf := in.Gate.Enter(ctx, rq)
+	tk, rf := in.Gate.Acquire(ctx, rq)
 	sr.Queue.Record(time.Since(start))
 	if rf != nil {
 		sr.Outcomes.Add(rf.Outcome.String()+"/"+string(rf.Reason), 1)
 		in.refuse(w, r, rf)
 		return
 	}
-	defer tk.Leave()
+	defer tk.Release()
 	if ctx.Err() != nil {
 		in.refuse(w, r, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonDeadline})
 		return
@@ -234,7 +234,7 @@
 	if err != nil || ms <= 0 {
 		return context.WithCancel(r.Context())
 	}
-	remaining := time.Duration(ms)*time.Millisecond - in.lapses.Late(r.Header.Get(result.SentHeader), now)
+	remaining := time.Duration(ms)*time.Millisecond - in.lapses.ExcessOf(r.Header.Get(result.SentHeader), now)
 	return context.WithTimeout(r.Context(), remaining)
 }
 
@@ -242,13 +242,13 @@
 type admittedRequest struct {
 	start time.Time
 	sr    *hist.Series
-	tk    *limit.Ticket
+	tk    *limit.Slot
 	tf    *transfer
 }
 
 // spent returns how long the request has waited for its slot and held it until now.
 func (ar *admittedRequest) spent(now time.Time) result.Spent {
-	return result.Spent{Wait: ar.tk.Since().Sub(ar.start), Held: now.Sub(ar.tk.Since())}
+	return result.Spent{Wait: ar.tk.AcquiredAt().Sub(ar.start), Held: now.Sub(ar.tk.AcquiredAt())}
 }
 
 // forward sends an admitted request to the backend server and the response back. The slot is
@@ -281,9 +281,9 @@
 		return
 	}
 	size := max(0, at.Response.ContentLength)
-	if in.buffered.Take(size) {
-		defer in.buffered.Give(size)
-		if err := at.Hold(maxBuffered); err != nil {
+	if in.buffered.TryAcquire(size) {
+		defer in.buffered.Release(size)
+		if err := at.Buffer(maxBuffered); err != nil {
 			in.countFailure(r, false, ar)
 			rf := in.failure(ctx, r, at, tg)
 			rf.Outcome, rf.Reason, rf.Cause = result.MayHaveRun, result.ReasonBroken, err
@@ -294,18 +294,18 @@
 		}
 		if size > 0 {
 			in.crashes.finish(rr, true)
-			ar.tk.Leave()
+			ar.tk.Release()
 			in.clearSuspect(r, pr)
 		}
 	}
 	in.countResponse(r, at.Response.StatusCode >= http.StatusInternalServerError, ar.spent(time.Now()).Held, tg)
-	proxy.CopyHead(w, at.Response, func(hdr http.Header) {
+	proxy.CopyHeader(w, at.Response, func(hdr http.Header) {
 		hdr[result.LoadHeader] = []string{in.load().String()}
 		hdr[result.SpentHeader] = []string{ar.spent(time.Now()).String()}
 	})
 	if err := proxy.Copy(w, at, ar.tf.pace(r.Context(), size)); err != nil {
 		var ce *proxy.CopyError
-		if errors.As(err, &ce) && ce.Reading {
+		if errors.As(err, &ce) && ce.ReadFailed {
 			in.recordCrash(r, pr, rr, &result.Refusal{Outcome: result.MayHaveRun, Reason: result.ReasonBroken})
 		}
 		sr.Outcomes.Add(result.Ended.String()+"/"+string(result.ReasonBroken), 1)
--- a/internal/path/lapse/lapse.go
+++ b/internal/path/lapse/lapse.go
@@ -78,7 +78,7 @@
 
 // ExcessOf parses the stamp of a message received at now and returns by how much its transit time
 // exceeds the shortest one, or 0 if the stamp is invalid.
-func (tr *Tracker) Late(stamp string, now time.Time) time.Duration {
+func (tr *Tracker) ExcessOf(stamp string, now time.Time) time.Duration {
 	sender, text, _ := strings.Cut(stamp, "/")
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
--- a/internal/path/limit/late_test.go
+++ b/internal/path/limit/late_test.go
@@ -31,7 +31,7 @@
 				for range 20 {
 					sl := acquireN(t, lm, "lookup", 1)[0]
 					time.Sleep(tc.held)
-					sl.Leave()
+					sl.Release()
 				}
 				stuck := acquireN(t, lm, "lookup", 1)[0]
 				ctx := t.Context()
@@ -40,16 +40,16 @@
 					ctx, cancel = context.WithTimeout(ctx, tc.deadline)
 					defer cancel()
 				} else {
-					time.AfterFunc(time.Minute, stuck.Leave)
+					time.AfterFunc(time.Minute, stuck.Release)
 				}
 				began := time.Now()
-				sl, rf := lm.Enter(ctx, Request{Class: "lookup", Final: true})
+				sl, rf := lm.Acquire(ctx, Request{Class: "lookup", Final: true})
 				took := time.Since(began)
 				if tc.deadline == 0 {
 					if rf != nil || took != time.Minute {
 						t.Errorf("refused with %+v after %s, want a slot after 1m", rf, took)
 					}
-					sl.Leave()
+					sl.Release()
 					return
 				}
 				if rf == nil || rf.Outcome != result.NotRun || rf.Reason != result.ReasonTooLate || took != tc.want {
--- a/internal/path/limit/limit.go
+++ b/internal/path/limit/limit.go
@@ -19,7 +19,7 @@
 }
 
 // Limiter admits requests to a backend server. Its methods are safe for concurrent use.
-type Gate struct {
+type Limiter struct {
 	mu       sync.Mutex
 	slots    int
 	running  int
@@ -66,7 +66,7 @@
 }
 
 // Activity describes the running requests of a backend server.
-type Work struct {
+type Activity struct {
 	// Running is the number of running requests.
 	Running int
 	// Priority is the most frequent one among them.
@@ -76,13 +76,13 @@
 }
 
 // New returns a limiter without slots; Configure sets them.
-func New() *Gate {
-	return &Gate{classes: map[string]*class{}, serviceByKind: serviceTimes{}}
+func New() *Limiter {
+	return &Limiter{classes: map[string]*class{}, serviceByKind: serviceTimes{}}
 }
 
 // Configure sets the slots and classes. Running and queued requests are unaffected. A class that is
 // no longer declared continues without a reserved share.
-func (lm *Gate) Configure(slots int, classes []Class) {
+func (lm *Limiter) Configure(slots int, classes []Class) {
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
 	lm.slots = slots
@@ -101,7 +101,7 @@
 }
 
 // class returns the class of the given name, creating it if needed. lm.mu must be held.
-func (lm *Gate) class(name string) *class {
+func (lm *Limiter) class(name string) *class {
 	cl := lm.classes[name]
 	if cl == nil {
 		cl = &class{Class: Class{Name: name}}
@@ -112,8 +112,8 @@
 }
 
 // Slot is a slot held by a request.
-type Ticket struct {
-	lm         *Gate
+type Slot struct {
+	lm         *Limiter
 	cl         *class
 	rq         Request
 	acquiredAt time.Time
@@ -123,7 +123,7 @@
 // Acquire waits for a slot. It returns the slot, or a refusal if the request has certainly not run.
 // A request that cannot be served before its deadline is refused immediately rather than when the
 // deadline passes.
-func (lm *Gate) Enter(ctx context.Context, rq Request) (*Ticket, *result.Refusal) {
+func (lm *Limiter) Acquire(ctx context.Context, rq Request) (*Slot, *result.Refusal) {
 	lm.mu.Lock()
 	if lm.draining {
 		lm.mu.Unlock()
@@ -153,7 +153,7 @@
 
 // expectedServiceTime returns the average service time of a kind, or of all requests if the kind
 // has no samples. lm.mu must be held.
-func (lm *Gate) expectedServiceTime(kind string) time.Duration {
+func (lm *Limiter) expectedServiceTime(kind string) time.Duration {
 	if d := lm.serviceByKind.expected(kind); d > 0 {
 		return d
 	}
@@ -167,23 +167,23 @@
 // mayRun reports whether a request of the class can run immediately. A class below its reserved
 // share gets any free slot; above it, a class may borrow free slots as long as no request is
 // queued. lm.mu must be held.
-func (lm *Gate) mayRun(cl *class) bool {
+func (lm *Limiter) mayRun(cl *class) bool {
 	if lm.running >= lm.slots {
 		return false
 	}
 	return cl.running < cl.reserved || lm.waiting == 0
 }
 
-func (lm *Gate) admit(cl *class, rq Request) *Ticket {
+func (lm *Limiter) admit(cl *class, rq Request) *Slot {
 	lm.running++
 	cl.running++
 	lm.countRunning(&rq, 1)
-	return &Ticket{lm: lm, cl: cl, rq: rq, acquiredAt: time.Now()}
+	return &Slot{lm: lm, cl: cl, rq: rq, acquiredAt: time.Now()}
 }
 
 // countRunning adds a started request to the counts, or removes a finished one if n is negative.
 // lm.mu must be held.
-func (lm *Gate) countRunning(rq *Request, n int) {
+func (lm *Limiter) countRunning(rq *Request, n int) {
 	lm.repeats += float64(n) * rq.Repeat
 	if !rq.Final {
 		lm.runningByPriority[priorityIndex(rq.Priority)] += n
@@ -192,7 +192,7 @@
 
 // refuseLate returns a refusal if the queue of the class is full, or if a request at position pos
 // would get its slot too late; otherwise nil. lm.mu must be held.
-func (lm *Gate) refuseLate(ctx context.Context, cl *class, wt *waiter, pos int) *result.Refusal {
+func (lm *Limiter) refuseLate(ctx context.Context, cl *class, wt *waiter, pos int) *result.Refusal {
 	wait := lm.expectedWait(cl, wt, pos)
 	last := pos >= len(cl.queue)
 	if last && len(cl.queue) >= cl.Queue || wait > wt.maxExpectedWait() {
@@ -206,7 +206,7 @@
 
 // expectedWait estimates how long a request at position pos of its class's queue waits for a slot,
 // based on the service times of the requests ahead of it. lm.mu must be held.
-func (lm *Gate) expectedWait(cl *class, wt *waiter, pos int) time.Duration {
+func (lm *Limiter) expectedWait(cl *class, wt *waiter, pos int) time.Duration {
 	slots, sum := lm.slots, lm.service.value+cl.serviceTimeAhead(wt, pos)
 	if cl.reserved > 0 {
 		// Reserved slots serve the queue of their own class first.
@@ -220,7 +220,7 @@
 	return sum / time.Duration(slots)
 }
 
-func (lm *Gate) wait(ctx context.Context, cl *class, wt *waiter) (*Ticket, *result.Refusal) {
+func (lm *Limiter) wait(ctx context.Context, cl *class, wt *waiter) (*Slot, *result.Refusal) {
 	timeout, late := wt.queueTimeout(), false
 	if remaining := wt.timeToLatestStart(ctx); remaining < timeout {
 		timeout, late = remaining, true
@@ -237,7 +237,7 @@
 	if wt.granted {
 		// A slot granted at the moment the context ended still counts as granted. The caller
 		// notices the ended context next and releases the slot.
-		return &Ticket{lm: lm, cl: cl, rq: wt.Request, acquiredAt: time.Now()}, nil
+		return &Slot{lm: lm, cl: cl, rq: wt.Request, acquiredAt: time.Now()}, nil
 	}
 	retryAfter := lm.expectedWait(cl, wt, len(cl.queue))
 	if !wt.dequeued {
@@ -259,7 +259,7 @@
 // evict refuses the victim of a full queue to make room for a request ranked ahead of it. Without
 // this, calls of backend servers were refused when the queue was full of less urgent requests, and
 // the work already done for their parent requests was lost. lm.mu must be held.
-func (lm *Gate) evict(cl *class) {
+func (lm *Limiter) evict(cl *class) {
 	victim := cl.victim()
 	cl.remove(victim)
 	lm.waiting--
@@ -268,10 +268,10 @@
 }
 
 // AcquiredAt returns when the slot was acquired.
-func (sl *Ticket) Since() time.Time { return sl.acquiredAt }
+func (sl *Slot) AcquiredAt() time.Time { return sl.acquiredAt }
 
 // Release returns the slot. Further calls have no effect. It is not safe for concurrent use.
-func (sl *Ticket) Leave() {
+func (sl *Slot) Release() {
 	if sl.released {
 		return
 	}
@@ -295,7 +295,7 @@
 
 // grantSlots gives free slots to queued requests. The class with the lowest utilization goes first,
 // so classes below their reserved share go before those that borrow. lm.mu must be held.
-func (lm *Gate) grantSlots() {
+func (lm *Limiter) grantSlots() {
 	for lm.running < lm.slots && lm.waiting > 0 {
 		cl := lm.nextClass()
 		if cl == nil {
@@ -312,7 +312,7 @@
 	}
 }
 
-func (lm *Gate) nextClass() *class {
+func (lm *Limiter) nextClass() *class {
 	var best *class
 	for _, cl := range lm.order {
 		if len(cl.queue) == 0 {
@@ -336,7 +336,7 @@
 
 // Drain refuses all queued and new requests. It returns how many requests are running and a channel
 // that is closed when none is left.
-func (lm *Gate) Drain() (running int, idle <-chan struct{}) {
+func (lm *Limiter) Drain() (running int, idle <-chan struct{}) {
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
 	lm.draining = true
@@ -360,24 +360,24 @@
 }
 
 // Resume admits requests again after Drain, for another backend server.
-func (lm *Gate) Open() {
+func (lm *Limiter) Resume() {
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
 	lm.draining = false
 }
 
 // Draining reports whether all requests are refused because of Drain.
-func (lm *Gate) Draining() bool {
+func (lm *Limiter) Draining() bool {
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
 	return lm.draining
 }
 
 // Activity returns what the backend server is running.
-func (lm *Gate) Work() Work {
+func (lm *Limiter) Activity() Activity {
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
-	ac := Work{Running: lm.running}
+	ac := Activity{Running: lm.running}
 	for pr, count := range lm.runningByPriority {
 		if count >= lm.runningByPriority[ac.Priority] {
 			ac.Priority = pr
@@ -391,7 +391,7 @@
 
 // Load returns the numbers of running and queued requests, the slots, and the expected waits by
 // rank.
-func (lm *Gate) Load() result.Load {
+func (lm *Limiter) Load() result.Load {
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
 	ld := result.Load{Running: lm.running, Waiting: lm.waiting, Slots: lm.slots, Service: lm.service.value.Truncate(time.Millisecond)}
--- a/internal/path/limit/limit_test.go
+++ b/internal/path/limit/limit_test.go
@@ -41,7 +41,7 @@
 					time.Sleep(time.Duration(jb.at) * time.Millisecond)
 					ctx, cancel := context.WithTimeout(context.Background(), time.Duration(jb.wait)*time.Millisecond)
 					defer cancel()
-					sl, rf := lm.Enter(ctx, Request{Class: jb.class})
+					sl, rf := lm.Acquire(ctx, Request{Class: jb.class})
 					done.Add(1)
 					if rf != nil {
 						if rf.Outcome != result.NotRun {
@@ -54,7 +54,7 @@
 					}
 					time.Sleep(time.Duration(jb.work) * time.Millisecond)
 					running.Add(-1)
-					sl.Leave()
+					sl.Release()
 				})
 			}
 			time.Sleep(time.Duration(drainAt) * time.Millisecond)
@@ -75,11 +75,11 @@
 }
 
 // acquireN takes n slots for a class.
-func acquireN(t *testing.T, lm *Gate, class string, n int) []*Ticket {
+func acquireN(t *testing.T, lm *Limiter, class string, n int) []*Slot {
 	t.Helper()
-	var slots []*Ticket
+	var slots []*Slot
 	for range n {
-		sl, rf := lm.Enter(t.Context(), Request{Class: class})
+		sl, rf := lm.Acquire(t.Context(), Request{Class: class})
 		if rf != nil {
 			t.Fatalf("refused: %+v", rf)
 		}
@@ -101,10 +101,10 @@
 		defer close(end)
 		enter := func(class string) {
 			go func() {
-				if sl, rf := lm.Enter(t.Context(), Request{Class: class}); rf == nil {
+				if sl, rf := lm.Acquire(t.Context(), Request{Class: class}); rf == nil {
 					order <- class
 					<-end
-					sl.Leave()
+					sl.Release()
 				}
 			}()
 			synctest.Wait()
@@ -115,7 +115,7 @@
 		enter("confirm")
 		var got []string
 		for _, sl := range held {
-			sl.Leave()
+			sl.Release()
 			got = append(got, <-order)
 		}
 		want := []string{"confirm", "confirm", "lookup", "confirm"}
@@ -137,13 +137,13 @@
 		for range 50 {
 			sl := acquireN(t, lm, "lookup", 1)[0]
 			time.Sleep(2 * time.Second)
-			sl.Leave()
+			sl.Release()
 		}
 		acquireN(t, lm, "lookup", 1)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		began := time.Now()
-		_, rf := lm.Enter(ctx, Request{Class: "lookup"})
+		_, rf := lm.Acquire(ctx, Request{Class: "lookup"})
 		if took := time.Since(began); rf == nil || rf.Reason != result.ReasonTooLate || took != 0 {
 			t.Errorf("refused with %+v after %s, want deadline-too-near at once", rf, took)
 		}
@@ -163,13 +163,13 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		for range 2 {
-			go func() { _, _ = lm.Enter(ctx, Request{Class: "lookup"}) }()
+			go func() { _, _ = lm.Acquire(ctx, Request{Class: "lookup"}) }()
 		}
 		synctest.Wait()
-		if _, rf := lm.Enter(t.Context(), Request{Class: "lookup"}); rf == nil || rf.Reason != result.ReasonFull {
+		if _, rf := lm.Acquire(t.Context(), Request{Class: "lookup"}); rf == nil || rf.Reason != result.ReasonFull {
 			t.Errorf("the third queued request: %+v, want slots-full", rf)
 		}
-		go func() { _, _ = lm.Enter(ctx, Request{Class: "confirm"}) }()
+		go func() { _, _ = lm.Acquire(ctx, Request{Class: "confirm"}) }()
 		synctest.Wait()
 		if ld := lm.Load(); ld.Waiting != 3 {
 			t.Errorf("%d wait, want 3", ld.Waiting)
@@ -185,10 +185,10 @@
 	held := acquireN(t, lm, "lookup", 4)
 	lm.Configure(1, nil)
 	for i, sl := range held {
-		if _, rf := lm.Enter(t.Context(), Request{Class: "lookup"}); rf == nil {
+		if _, rf := lm.Acquire(t.Context(), Request{Class: "lookup"}); rf == nil {
 			t.Fatalf("admitted with %d running in 1 slot", len(held)-i)
 		}
-		sl.Leave()
+		sl.Release()
 	}
 	acquireN(t, lm, "lookup", 1)
 }
@@ -199,8 +199,8 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			if sl, rf := lm.Enter(b.Context(), Request{Class: "lookup"}); rf == nil {
-				sl.Leave()
+			if sl, rf := lm.Acquire(b.Context(), Request{Class: "lookup"}); rf == nil {
+				sl.Release()
 			}
 		}
 	})
@@ -226,22 +226,22 @@
 			lm := New()
 			lm.Configure(9, []Class{{Name: "", Queue: 16}})
 			for range 9 {
-				sl, rf := lm.Enter(t.Context(), Request{})
+				sl, rf := lm.Acquire(t.Context(), Request{})
 				if rf != nil {
 					t.Fatal(rf)
 				}
-				time.AfterFunc(160*time.Millisecond, sl.Leave)
+				time.AfterFunc(160*time.Millisecond, sl.Release)
 			}
 			time.Sleep(time.Second)
 			for range 9 {
-				if _, rf := lm.Enter(t.Context(), Request{}); rf != nil {
+				if _, rf := lm.Acquire(t.Context(), Request{}); rf != nil {
 					t.Fatal(rf)
 				}
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			var wg conc.WaitGroup
 			for range 30 {
-				wg.Go(func() { _, _ = lm.Enter(ctx, tc.rq) })
+				wg.Go(func() { _, _ = lm.Acquire(ctx, tc.rq) })
 				synctest.Wait()
 			}
 			if got := lm.Load().Waiting; got != tc.want {
@@ -269,10 +269,10 @@
 		ends := make(chan end, 10)
 		enter := func(name string, priority int) {
 			go func() {
-				sl, rf := lm.Enter(t.Context(), Request{Class: "default", Priority: priority, Objective: time.Second})
+				sl, rf := lm.Acquire(t.Context(), Request{Class: "default", Priority: priority, Objective: time.Second})
 				ends <- end{name, rf}
 				if sl != nil {
-					sl.Leave()
+					sl.Release()
 				}
 			}()
 			synctest.Wait()
@@ -288,7 +288,7 @@
 		if got := <-ends; got.name != "another" || got.rf == nil {
 			t.Errorf("%s ended with %+v; want the new request refused", got.name, got.rf)
 		}
-		held[0].Leave()
+		held[0].Release()
 		for _, want := range []string{"call", "document"} {
 			if got := <-ends; got.name != want || got.rf != nil {
 				t.Errorf("%s got the slot, %+v; want %s", got.name, got.rf, want)
@@ -312,13 +312,13 @@
 		var wg conc.WaitGroup
 		send := func(priority int, objective time.Duration) {
 			wg.Go(func() {
-				sl, rf := lm.Enter(ctx, Request{Class: "default", Priority: priority, Objective: objective})
+				sl, rf := lm.Acquire(ctx, Request{Class: "default", Priority: priority, Objective: objective})
 				if rf != nil {
 					return
 				}
 				time.Sleep(10 * time.Millisecond)
 				served[priority].Add(1)
-				sl.Leave()
+				sl.Release()
 			})
 		}
 		for i := range 2000 {
--- a/internal/path/limit/load_test.go
+++ b/internal/path/limit/load_test.go
@@ -74,17 +74,17 @@
 }
 
 // simulateCaller sends one request, with all its tries. rnd varies the pauses between tries.
-func simulateCaller(lm *Gate, fl *flow, work time.Duration, rnd *rand.Rand) (took time.Duration, ok bool) {
+func simulateCaller(lm *Limiter, fl *flow, work time.Duration, rnd *rand.Rand) (took time.Duration, ok bool) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), fl.deadline)
 	defer cancel()
 	for range max(1, fl.tries) {
 		left := max(1, fl.objective-time.Since(began))
 		rq := Request{Class: "default", Kind: fl.name, Priority: fl.priority, Objective: left, Final: fl.final}
-		sl, rf := lm.Enter(ctx, rq)
+		sl, rf := lm.Acquire(ctx, rq)
 		if rf == nil {
 			time.Sleep(work)
-			sl.Leave()
+			sl.Release()
 			return time.Since(began), true
 		}
 		time.Sleep(fl.retryDelay/2 + time.Duration(rnd.Int64N(int64(fl.retryDelay)+1)))
--- a/internal/path/outlet/attempt.go
+++ b/internal/path/outlet/attempt.go
@@ -41,25 +41,25 @@
 		_, _ = io.Copy(io.Discard, io.LimitReader(at.Response.Body, 4<<10))
 		return rf
 	}
-	vd := pick.Good
+	vd := pick.Success
 	if at.Response.StatusCode >= http.StatusInternalServerError {
-		vd = pick.Bad
+		vd = pick.Failure
 		rq.ou.callerTries.Failed(rq.callerTry, time.Now(), false, &rq.rs.callerRetries)
 	}
 	rq.spent = result.ParseSpent(at.Response.Header.Get(result.SpentHeader))
-	if vd == pick.Good {
-		ep.Measured(rq.spent.Held, rq.rs.recordHeld(rq.spent.Held))
+	if vd == pick.Success {
+		ep.RecordServiceTime(rq.spent.Held, rq.rs.recordHeld(rq.spent.Held))
 	}
 	if rf := rq.bufferAnswer(at); rf != nil {
 		ep.End(time.Now(), verdictOf(rf), rq.gp)
 		return rf
 	}
 	rq.rs.recordSize(headBytes + knownBodySize(rq.r) + max(0, at.Response.ContentLength))
-	proxy.CopyHead(rq.w, at.Response, nil)
+	proxy.CopyHeader(rq.w, at.Response, nil)
 	err := proxy.Copy(rq.w, at, proxy.Pace{})
 	var ce *proxy.CopyError
-	if errors.As(err, &ce) && ce.Reading && rq.ctx.Err() == nil {
-		vd = pick.Bad
+	if errors.As(err, &ce) && ce.ReadFailed && rq.ctx.Err() == nil {
+		vd = pick.Failure
 	}
 	ep.End(time.Now(), vd, rq.gp)
 	if err != nil {
@@ -73,7 +73,7 @@
 // until a probe connects to it, so that no request is used to find out.
 func (rq *request) endAttempt(ep *pick.Endpoint, vd pick.Verdict) {
 	now := time.Now()
-	wasEjected := ep.Out(now)
+	wasEjected := ep.Ejected(now)
 	ep.End(now, vd, rq.gp)
 	if vd == pick.Unreachable && !wasEjected {
 		go rq.ou.probeUntilReachable(ep)
@@ -98,14 +98,14 @@
 		case <-ou.ctx.Done():
 			return
 		}
-		if !ep.Out(time.Now()) {
+		if !ep.Ejected(time.Now()) {
 			return
 		}
-		if ou.fw.Reach(ou.ctx, ep.Inlet) {
-			ep.Return()
+		if ou.fw.Reachable(ou.ctx, ep.Inlet) {
+			ep.Reinstate()
 			return
 		}
-		ep.KeepOut(time.Now())
+		ep.EjectAgain(time.Now())
 	}
 }
 
@@ -117,7 +117,7 @@
 // middle of an answer, a request that may be retried can still be sent again, as long as nothing
 // was forwarded; otherwise the caller would lose its connection.
 func (rq *request) bufferAnswer(at *proxy.Attempt) *result.Refusal {
-	if err := at.Hold(maxBufferedAnswer); err != nil {
+	if err := at.Buffer(maxBufferedAnswer); err != nil {
 		rf := rq.failure(at, result.MayHaveRun, result.ReasonBroken)
 		rf.Cause = err
 		return rf
@@ -147,7 +147,7 @@
 			return pick.Busy
 		}
 	}
-	return pick.Bad
+	return pick.Failure
 }
 
 // failure describes an attempt that got no answer.
@@ -196,7 +196,7 @@
 		out.Header[result.SizeHeader] = []string{strconv.FormatInt(size, 10)}
 		// largeAnswers includes this request.
 		others := int(rq.ou.largeAnswers.Load()) - 1
-		if rate := pacer.Share(rq.ou.linkRate, others); rate > 0 {
+		if rate := pacer.ReceiverRate(rq.ou.linkRate, others); rate > 0 {
 			out.Header[result.RateHeader] = []string{strconv.Itoa(rate)}
 		}
 	}
--- a/internal/path/outlet/body.go
+++ b/internal/path/outlet/body.go
@@ -46,11 +46,11 @@
 }
 
 // read buffers a small body if bodies has enough left; any other body is streamed.
-func (rb *requestBody) read(w http.ResponseWriter, r *http.Request, bodies *proxy.Bound) *result.Refusal {
+func (rb *requestBody) read(w http.ResponseWriter, r *http.Request, bodies *proxy.Budget) *result.Refusal {
 	if r.ContentLength == 0 {
 		return nil
 	}
-	if r.ContentLength < 0 || r.ContentLength > maxBufferedBody || !bodies.Take(r.ContentLength) {
+	if r.ContentLength < 0 || r.ContentLength > maxBufferedBody || !bodies.TryAcquire(r.ContentLength) {
 		rb.stream = &stream{r: http.MaxBytesReader(w, r.Body, proxy.MaxBody)}
 		return nil
 	}
@@ -68,7 +68,7 @@
 }
 
 // release returns the buffered bytes to bodies.
-func (rb *requestBody) release(bodies *proxy.Bound) { bodies.Give(int64(len(rb.buffered))) }
+func (rb *requestBody) release(bodies *proxy.Budget) { bodies.Release(int64(len(rb.buffered))) }
 
 // attach sets the body of an attempt.
 func (rb *requestBody) attach(out, r *http.Request) {
@@ -95,7 +95,7 @@
 	if rb.stream == nil {
 		return rb.buffered, true
 	}
-	prefix, err := io.ReadAll(io.LimitReader(rb.stream.r, ident.LeadBytes))
+	prefix, err := io.ReadAll(io.LimitReader(rb.stream.r, ident.MaxPrefixBytes))
 	rb.stream.r = io.MultiReader(bytes.NewReader(prefix), rb.stream.r)
 	return prefix, err == nil
 }
--- a/internal/path/outlet/load_test.go
+++ b/internal/path/outlet/load_test.go
@@ -113,7 +113,7 @@
 	front    http.Handler
 	rules    string
 	recs     []*member.Record
-	gates    []*limit.Gate
+	gates    []*limit.Limiter
 	inlets   []*countingHandler
 	backends []*backend
 	stops    []func()
--- a/internal/path/outlet/outlet.go
+++ b/internal/path/outlet/outlet.go
@@ -35,7 +35,7 @@
 	token      string
 	names      result.Names
 	service    string
-	work       func() limit.Work
+	work       func() limit.Activity
 	retryBound retry.Bound
 	poison     func() *poison.View
 	// poisonJitter is this outlet's random delay, at most poison.RefuseSpread, before it tries a
@@ -53,9 +53,9 @@
 	linkRate     float64
 	largeAnswers atomic.Int32
 	// activeRequests and bufferedBytes bound the memory that callers can make the outlet use.
-	activeRequests, bufferedBytes proxy.Bound
+	activeRequests, bufferedBytes proxy.Budget
 	// callerTries remembers failed requests, so that a caller's retry of one is recognised.
-	callerTries again.Memory
+	callerTries again.Tracker
 }
 
 // routing is a table with the state kept for its services and routes.
@@ -72,18 +72,18 @@
 	Forwarder *proxy.Forwarder
 	Log       *slog.Logger
 	// LogSample is the share of answered requests, 0 to 1, that are logged.
-	Sample float64
+	LogSample float64
 	// Token is the mesh token that inlets require, empty for none.
 	Token string
 	// Names are the names of the headers that callers use.
 	Names result.Names
 	// LinkRate is the rate of the VM's link in bits per second, 0 if unknown.
-	Link float64
+	LinkRate float64
 	// Work returns what the VM's own backend server is doing; nil if the VM has none.
-	Work func() limit.Work
+	Work func() limit.Activity
 	// RetryBound bounds the retries to each service, summed over all outlets; nil stands for
 	// retry.Default.
-	Repeats *retry.Bound
+	RetryBound *retry.Bound
 	// Poison returns the requests during which backend servers exited; nil if they are not tracked.
 	Poison func() *poison.View
 	// Service is the service that runs on this VM. Backend servers are told that it is the caller.
@@ -92,19 +92,19 @@
 
 // New returns an outlet without a table. It refuses requests until SetTable is called.
 func New(op Options) *Outlet {
-	ou := &Outlet{fw: op.Forwarder, log: op.Log, token: op.Token, names: op.Names.Or(), service: op.Service, linkRate: op.Link, work: op.Work, retryBound: retry.Default, poison: op.Poison, poisonJitter: rand.N(poison.RefuseSpread), started: time.Now()}
+	ou := &Outlet{fw: op.Forwarder, log: op.Log, token: op.Token, names: op.Names.Or(), service: op.Service, linkRate: op.LinkRate, work: op.Work, retryBound: retry.Default, poison: op.Poison, poisonJitter: rand.N(poison.RefuseSpread), started: time.Now()}
 	if ou.poison == nil {
 		ou.poison = func() *poison.View { return nil }
 	}
-	if op.Repeats != nil {
-		ou.retryBound = *op.Repeats
+	if op.RetryBound != nil {
+		ou.retryBound = *op.RetryBound
 	}
 	if ou.work == nil {
-		ou.work = func() limit.Work { return limit.Work{} }
+		ou.work = func() limit.Activity { return limit.Activity{} }
 	}
 	ou.ctx, ou.cancel = context.WithCancel(context.Background())
-	ou.SetSample(op.Sample)
-	ou.activeRequests.Most, ou.bufferedBytes.Most = maxRequests, maxBufferedBytes
+	ou.SetLogSample(op.LogSample)
+	ou.activeRequests.Limit, ou.bufferedBytes.Limit = maxRequests, maxBufferedBytes
 	if ou.fw == nil {
 		ou.fw = proxy.New(proxy.Options{})
 	}
@@ -115,7 +115,7 @@
 }
 
 // SetLogSample sets the share of answered requests, 0 to 1, that are logged.
-func (ou *Outlet) SetSample(share float64) { ou.logSample.Store(math.Float64bits(share)) }
+func (ou *Outlet) SetLogSample(share float64) { ou.logSample.Store(math.Float64bits(share)) }
 
 // LogSample returns the share of answered requests, 0 to 1, that are logged.
 func (ou *Outlet) LogSample() float64 { return math.Float64frombits(ou.logSample.Load()) }
@@ -126,7 +126,7 @@
 	old := ou.routing.Get()
 	if old != nil {
 		for _, bu := range old.budgets {
-			bu.Limit(ou.retryBound, tb.Outlets)
+			bu.SetBound(ou.retryBound, tb.Outlets)
 		}
 	}
 	if old != nil && old.tb.Snap == tb.Snap {
@@ -195,11 +195,11 @@
 		ou.refuse(w, r, rf)
 		return
 	}
-	if !ou.activeRequests.Take(1) {
+	if !ou.activeRequests.TryAcquire(1) {
 		ou.refuse(w, r, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonOutletFull, RetryAfter: time.Second})
 		return
 	}
-	defer ou.activeRequests.Give(1)
+	defer ou.activeRequests.Release(1)
 	rt, route := ou.findRoute(r)
 	if rt == nil {
 		ou.refuse(w, r, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonNoConfig, RetryAfter: time.Second})
@@ -216,17 +216,17 @@
 	if ok {
 		limit = min(limit, timeout)
 	}
-	callerTry, callerRetry := ou.callerTries.Came(r, start, timeout, &rs.callerRetries)
-	elapsed, final := start.Sub(callerTry.First), false
+	callerTry, callerRetry := ou.callerTries.Arrived(r, start, timeout, &rs.callerRetries)
+	elapsed, final := start.Sub(callerTry.FirstAt), false
 	priority, parentRetry := route.Priority, 0.0
-	if wk := ou.work(); rs.callerRetries.Came(start, shorter && !callerRetry, wk.Running > 0) {
+	if wk := ou.work(); rs.callerRetries.CountArrival(start, shorter && !callerRetry, wk.Running > 0) {
 		final, priority, parentRetry = true, wk.Priority, wk.Repeats
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), start.Add(limit))
 	defer cancel()
 	sv := route.Target(rand.IntN(route.Total()))
 	rq := &request{
-		ou: ou, route: route, sv: sv, base: rt.tb.Group(sv), gp: rt.tb.Group(sv).For(start, rand.Float64()), bu: rt.budgets[sv.Index],
+		ou: ou, route: route, sv: sv, base: rt.tb.Group(sv), gp: rt.tb.Group(sv).ForRequest(start, rand.Float64()), bu: rt.budgets[sv.Index],
 		version: rt.tb.Snap.Version, rs: rs, th: rt.throttles[sv.Index][route.Class.Index], w: w, r: r, ctx: ctx, start: start, queued: time.Since(start), limit: limit, elapsed: elapsed, final: final, priority: priority, parentRetry: parentRetry, callerRetry: callerRetry, callerTry: callerTry,
 	}
 	undo := ou.setDeadlines(w, start.Add(limit))
@@ -251,7 +251,7 @@
 
 // Retryable reports whether a request may be run again if its answer is lost, so that it may also
 // be started before earlier requests on its connection are answered.
-func (ou *Outlet) Repeatable(r *http.Request) bool {
+func (ou *Outlet) Retryable(r *http.Request) bool {
 	_, route := ou.match(r)
 	return route != nil && retry.Allowed(result.MayHaveRun, route.Repeat, r.Method)
 }
--- a/internal/path/outlet/poison.go
+++ b/internal/path/outlet/poison.go
@@ -24,7 +24,7 @@
 		// The body could not be read; the attempt will fail for the same reason.
 		return nil
 	}
-	key := ident.Of(rq.r, prefix)
+	key := ident.KeyOf(rq.r, prefix)
 	rq.serverExits = vw.Ends(key)
 	if !vw.Refuses(key, time.Now(), rq.ou.poisonJitter) {
 		return nil
--- a/internal/path/outlet/request.go
+++ b/internal/path/outlet/request.go
@@ -70,7 +70,7 @@
 }
 
 func (rq *request) serve() {
-	rq.bu.Request()
+	rq.bu.AddRequest()
 	if rq.parentRetry > 0 {
 		rq.bu.Charge(rq.parentRetry)
 	}
@@ -85,11 +85,11 @@
 	}
 	// A caller's retry bypasses the throttle: throttling it would refuse the same request twice
 	// without any benefit.
-	if !rq.final && !rq.callerRetry && !rq.th.Offer(rq.priority, rq.start, rand.Float64()) {
+	if !rq.final && !rq.callerRetry && !rq.th.Allow(rq.priority, rq.start, rand.Float64()) {
 		rq.refuse(&result.Refusal{Outcome: result.NotRun, Reason: result.ReasonFull})
 		return
 	}
-	rq.th.Done(rq.priority, time.Now(), rq.send())
+	rq.th.RecordOutcome(rq.priority, time.Now(), rq.send())
 }
 
 // send makes attempts until the request is answered or given up. It reports whether an inlet
@@ -133,10 +133,10 @@
 }
 
 // criteria returns the properties of the request by which a server is picked.
-func (rq *request) criteria() pick.Want {
-	return pick.Want{
-		Size: rq.rs.expectedSize(), Stay: pacer.Narrow(rq.ou.linkRate),
-		Rank: result.Rank(rq.priority, rq.final), Held: time.Duration(rq.rs.held.Load()), Reached: rq.rejections > 0,
+func (rq *request) criteria() pick.Criteria {
+	return pick.Criteria{
+		Size: rq.rs.expectedSize(), StayInDomain: pacer.IsNarrow(rq.ou.linkRate),
+		Rank: result.Rank(rq.priority, rq.final), ServiceTime: time.Duration(rq.rs.held.Load()), FoundFull: rq.rejections > 0,
 	}
 }
 
@@ -331,7 +331,7 @@
 
 // logAttempt logs a failed attempt with the load that the server was believed to have.
 func (rq *request) logAttempt(ep *pick.Endpoint, rf *result.Refusal) {
-	load, age := ep.Believed(time.Now())
+	load, age := ep.EstimatedLoad(time.Now())
 	rq.ou.log.LogAttrs(context.Background(), slog.LevelInfo, logs.Attempt, slog.String(logs.ID, rq.id()),
 		slog.String(logs.VM, ep.VM), slog.String(logs.Outcome, rf.Outcome.String()), slog.String(logs.Reason, string(rf.Reason)),
 		slog.Float64(logs.Load, load), slog.Duration(logs.LoadAge, age), slog.Duration(logs.Took, time.Since(rq.start)), rf.CauseAttr())
--- a/internal/path/outlet/routestats.go
+++ b/internal/path/outlet/routestats.go
@@ -19,7 +19,7 @@
 	// held is the moving average of the time for which a request holds a slot.
 	held atomic.Int64
 	// callerRetries tracks whether callers retry after a refusal.
-	callerRetries again.Route
+	callerRetries again.RetryStats
 }
 
 // sizeDivisor is the inverse weight of one answer in the moving average of sizes.
--- a/internal/path/outlet/validate.go
+++ b/internal/path/outlet/validate.go
@@ -19,7 +19,7 @@
 	if r.Method == http.MethodConnect || proxy.Upgrades(r.Header) {
 		return refuse(result.ReasonUpgrade, "CONNECT and protocol upgrades are not supported")
 	}
-	if name := proxy.Forged(r.Header); name != "" {
+	if name := proxy.ReservedHeader(r.Header); name != "" {
 		return refuse(result.ReasonBadRequest, "callers must not set the header %s", name)
 	}
 	if _, ok := ou.callerTimeout(r.Header); !ok && r.Header.Get(ou.names.Timeout) != "" {
--- a/internal/path/pacer/pacer.go
+++ b/internal/path/pacer/pacer.go
@@ -62,11 +62,11 @@
 }
 
 // IsNarrow reports whether a link of the given rate is paced; 0 means unbounded.
-func Narrow(bitsPerSecond float64) bool { return bitsPerSecond > 0 && bitsPerSecond/8 < fastRate }
+func IsNarrow(bitsPerSecond float64) bool { return bitsPerSecond > 0 && bitsPerSecond/8 < fastRate }
 
 // New returns a Pacer for a link of the given rate, or nil if it is not narrow; 0 means unbounded.
 func New(bitsPerSecond float64) *Pacer {
-	if !Narrow(bitsPerSecond) {
+	if !IsNarrow(bitsPerSecond) {
 		return nil
 	}
 	return &Pacer{rate: bitsPerSecond / 8 * maxUtilization}
@@ -84,8 +84,8 @@
 
 // ReceiverRate returns the rate, in bytes per second, that one more response should be sent at over
 // a link on which others large responses are in progress; 0 for a link that is not narrow.
-func Share(bitsPerSecond float64, others int) int {
-	if !Narrow(bitsPerSecond) {
+func ReceiverRate(bitsPerSecond float64, others int) int {
+	if !IsNarrow(bitsPerSecond) {
 		return 0
 	}
 	return int(bitsPerSecond / 8 * max(minReceiverShare, min(maxReceiverShare, 1/float64(1+others))))
--- a/internal/path/pacer/pacer_test.go
+++ b/internal/path/pacer/pacer_test.go
@@ -149,7 +149,7 @@
 			pa := New(5e6)
 			wg.Go(func() {
 				time.Sleep(time.Duration(i) * 3 * time.Millisecond)
-				rs := pa.Reserve(90_000, float64(Share(5e6, i)))
+				rs := pa.Reserve(90_000, float64(ReceiverRate(5e6, i)))
 				defer rs.Release()
 				for rest := 90_000; rest > 0; rest -= pa.ChunkSize() {
 					if err := rs.Wait(t.Context(), pa.ChunkSize()); err != nil {
@@ -169,11 +169,11 @@
 			t.Errorf("a small response took up to %v beside two large ones", got)
 		}
 		for others, want := range map[int]int{0: 312_500, 1: 312_500, 2: 208_333, 3: 156_250, 9: 156_250} {
-			if got := Share(5e6, others); got != want {
+			if got := ReceiverRate(5e6, others); got != want {
 				t.Errorf("beside %d others: %d bytes per second, want %d", others, got, want)
 			}
 		}
-		if got := Share(1e9, 5); got != 0 {
+		if got := ReceiverRate(1e9, 5); got != 0 {
 			t.Errorf("a fast link has a receiver rate of %d bytes per second, want 0", got)
 		}
 	})
--- a/internal/path/pick/cut_test.go
+++ b/internal/path/pick/cut_test.go
@@ -57,7 +57,7 @@
 			tried.Add(near)
 		}
 		got := ""
-		if ep := gp.Pick(now, Want{Size: 1000, Reached: tc.full}, &tried, zero); ep != nil {
+		if ep := gp.Pick(now, Criteria{Size: 1000, FoundFull: tc.full}, &tried, zero); ep != nil {
 			got = ep.VM
 		}
 		if got != tc.want {
@@ -75,11 +75,11 @@
 	ep.Begin(now)
 	ep.End(now, Unreachable, gp)
 	var tried Tried
-	pick := func() *Endpoint { return gp.Pick(now, Want{}, &tried, func(int) int { return 0 }) }
+	pick := func() *Endpoint { return gp.Pick(now, Criteria{}, &tried, func(int) int { return 0 }) }
 	if got := pick(); got != nil {
 		t.Errorf("picked %s, which is unreachable", got.VM)
 	}
-	ep.Return()
+	ep.Reinstate()
 	if got := pick(); got != ep {
 		t.Errorf("picked %v after the ejection ended, want the reinstated server", got)
 	}
--- a/internal/path/pick/endpoint.go
+++ b/internal/path/pick/endpoint.go
@@ -104,13 +104,13 @@
 // The verdicts.
 const (
 	// Success is a response.
-	Good Verdict = iota
+	Success Verdict = iota
 	// Busy is a refusal for lack of capacity, which does not count as a failure.
 	Busy
 	// Shed is a refusal by the backend server itself, which may have free slots.
 	Shed
 	// Failure is a failed attempt, or a response that reports a server error.
-	Bad
+	Failure
 	// Unreachable means that no connection could be made.
 	Unreachable
 )
@@ -134,7 +134,7 @@
 		if gp.mayEject(ep, now) {
 			ep.live.ejected.Store(steady.Nanos(now.Add(shedEjection)))
 		}
-	case Bad:
+	case Failure:
 		if ep.recordOutcome(fixedOne) > ejectFailureRate && gp.mayEject(ep, now) {
 			ep.eject(now)
 		}
@@ -162,7 +162,7 @@
 // route over all servers. A plain mean service time would reflect the kind of requests a server has
 // run rather than its speed: one that has run short calls would look faster than one that has run
 // long record requests, and attract the requests of all outlets.
-func (ep *Endpoint) Measured(serviceTime, typical time.Duration) {
+func (ep *Endpoint) RecordServiceTime(serviceTime, typical time.Duration) {
 	if serviceTime <= 0 || typical <= 0 {
 		return
 	}
@@ -210,13 +210,13 @@
 }
 
 // Ejected reports whether the server is ejected.
-func (ep *Endpoint) Out(now time.Time) bool { return ep.live.ejected.Load() > steady.Nanos(now) }
+func (ep *Endpoint) Ejected(now time.Time) bool { return ep.live.ejected.Load() > steady.Nanos(now) }
 
 // EjectAgain prolongs the ejection of an unreachable server.
-func (ep *Endpoint) KeepOut(now time.Time) { ep.live.ejected.Store(steady.Nanos(now.Add(minEject))) }
+func (ep *Endpoint) EjectAgain(now time.Time) { ep.live.ejected.Store(steady.Nanos(now.Add(minEject))) }
 
 // Reinstate ends the ejection of an unreachable server after a connection was made.
-func (ep *Endpoint) Return() {
+func (ep *Endpoint) Reinstate() {
 	ep.live.unreachable.Store(false)
 	ep.live.ejected.Store(0)
 }
@@ -262,7 +262,7 @@
 
 // EstimatedLoad returns the estimated load of the server and the age of its last report, for the
 // log.
-func (ep *Endpoint) Believed(now time.Time) (load float64, age time.Duration) {
+func (ep *Endpoint) EstimatedLoad(now time.Time) (load float64, age time.Duration) {
 	rep := ep.live.reported.Load()
 	return ep.load(now, 0), time.Duration(uint32(steady.Millis(now))-uint32(rep)) * time.Millisecond
 }
@@ -288,10 +288,10 @@
 // slots alone do not show which one responds first. The cost increases with the failure rate, since
 // failed requests have to be sent again, and with the load, since servers slow down when nearly
 // full.
-func (ep *Endpoint) cost(now time.Time, cr *Want, meanUse float64) time.Duration {
+func (ep *Endpoint) cost(now time.Time, cr *Criteria, meanUse float64) time.Duration {
 	slots := float64(max(1, ep.Slots))
 	load := ep.load(now, meanUse)
-	serviceTime := float64(ep.serviceTime(now, cr.Held))
+	serviceTime := float64(ep.serviceTime(now, cr.ServiceTime))
 	use := min(1, load/slots)
 	cost := waitWeight*ep.wait(now, cr.Rank, load, serviceTime) + serviceTime*(1+fullSlowdown*use)
 	cost *= 1 + failureWeight*ep.failureRate()
--- a/internal/path/pick/pick.go
+++ b/internal/path/pick/pick.go
@@ -18,8 +18,8 @@
 	// Outlets is the number of live daemons, each of which runs an outlet.
 	Outlets int
 	// RebuildAt is when the table must be rebuilt even if nothing else changes, zero for never.
-	Next   time.Time
-	groups []*Group // indexed by snap.Service.Index
+	RebuildAt time.Time
+	groups    []*Group // indexed by snap.Service.Index
 }
 
 // Group holds the backend servers of one service.
@@ -87,7 +87,7 @@
 			continue
 		}
 		others++
-		if ep.Out(now) {
+		if ep.Ejected(now) {
 			ejected++
 		} else {
 			sum += ep.failureRate()
@@ -145,44 +145,44 @@
 )
 
 // Criteria describes a request for the selection of its server.
-type Want struct {
+type Criteria struct {
 	// Size is the expected size of the response in bytes.
 	Size int64
 	// StayInDomain keeps a request with a large response in the failure domain as long as a server
 	// there is alive. It is set where links are narrow: those of the other failure domains are
 	// equally busy, so a large response that finds no capacity here would take it from others
 	// there.
-	Stay bool
+	StayInDomain bool
 	// Rank is the request's rank in the queue of an inlet (result.Rank), ServiceTime how long
 	// requests of its route usually hold a slot.
-	Rank int
-	Held time.Duration
+	Rank        int
+	ServiceTime time.Duration
 	// FoundFull is set if a reachable server has refused the request for lack of capacity. The
 	// request is then not sent to a server that may be unreachable: it already has a definite
 	// answer, the refusal.
-	Reached bool
+	FoundFull bool
 }
 
 // Pick returns the server for a request, or nil if the group has no suitable server left. It
 // samples each tier at random, takes the cheapest server of the sample, and adds a cost for each
 // more preferred tier that is passed over. The cheapest server over all tiers wins. If the
 // configuration does not let requests spill over, only the first tier with a server is used.
-func (gp *Group) Pick(now time.Time, cr Want, tried *Tried, rnd Random) *Endpoint {
-	if cr.Held <= 0 {
-		cr.Held = defaultServiceTime
+func (gp *Group) Pick(now time.Time, cr Criteria, tried *Tried, rnd Random) *Endpoint {
+	if cr.ServiceTime <= 0 {
+		cr.ServiceTime = defaultServiceTime
 	}
 	var best *Endpoint
 	var bestCost time.Duration
 	for i := range gp.tiers {
 		for j, pl := range [2]*pool{&gp.tiers[i].reachable, &gp.tiers[i].suspect} {
-			if j > 0 && cr.Reached {
+			if j > 0 && cr.FoundFull {
 				break
 			}
 			ep, cost := pl.cheapest(now, &cr, gp.meanUse.mean(), tried, rnd)
 			if ep == nil {
 				continue
 			}
-			crossDomainCost := crossDomainLatency + time.Duration(cr.Size)*crossDomainPerByte + time.Duration(crossDomainServiceShare*float64(cr.Held))
+			crossDomainCost := crossDomainLatency + time.Duration(cr.Size)*crossDomainPerByte + time.Duration(crossDomainServiceShare*float64(cr.ServiceTime))
 			cost += time.Duration(i)*crossDomainCost + time.Duration(j)*suspectCost
 			if best == nil || cost < bestCost {
 				best, bestCost = ep, cost
@@ -191,11 +191,11 @@
 		if !gp.spill && best != nil {
 			return best
 		}
-		if cr.Stay && Large(cr.Size) && gp.tiers[i].hasAvailable(now) {
+		if cr.StayInDomain && Large(cr.Size) && gp.tiers[i].hasAvailable(now) {
 			return best
 		}
 	}
-	if best != nil || cr.Reached {
+	if best != nil || cr.FoundFull {
 		return best
 	}
 	return gp.lastResort(now, tried, rnd)
@@ -204,7 +204,7 @@
 // hasAvailable reports whether the tier has a reachable server that is not ejected.
 func (tr *tier) hasAvailable(now time.Time) bool {
 	for _, ep := range tr.reachable.list {
-		if !ep.Out(now) {
+		if !ep.Ejected(now) {
 			return true
 		}
 	}
@@ -221,7 +221,7 @@
 
 // cheapest returns the cheapest of a sample of the pool's servers, and its cost. It samples the
 // servers outside the subset only if none within it is available.
-func (pl *pool) cheapest(now time.Time, cr *Want, meanUse float64, tried *Tried, rnd Random) (*Endpoint, time.Duration) {
+func (pl *pool) cheapest(now time.Time, cr *Criteria, meanUse float64, tried *Tried, rnd Random) (*Endpoint, time.Duration) {
 	if len(pl.list) == 0 {
 		return nil, 0
 	}
@@ -257,7 +257,7 @@
 	for i := range list {
 		ep := list[(start+i)%len(list)]
 		switch {
-		case ep.Out(now) || tried.has(ep):
+		case ep.Ejected(now) || tried.has(ep):
 			continue
 		case ep.skipInSlowStart(now, rnd):
 			skipped = ep
@@ -285,7 +285,7 @@
 	start := rnd(len(gp.all))
 	for i := range gp.all {
 		ep := gp.all[(start+i)%len(gp.all)]
-		if !tried.has(ep) && !(ep.live.unreachable.Load() && ep.Out(now)) {
+		if !tried.has(ep) && !(ep.live.unreachable.Load() && ep.Ejected(now)) {
 			return ep
 		}
 	}
--- a/internal/path/pick/pick_test.go
+++ b/internal/path/pick/pick_test.go
@@ -24,16 +24,16 @@
 	zero := func(int) int { return 0 }
 	for _, tc := range []struct {
 		name  string
-		cr    Want
+		cr    Criteria
 		tried Tried
 		out   bool
 		want  *Endpoint
 	}{
-		{"a document", Want{Size: 90_000, Stay: true}, Tried{}, false, near},
-		{"a document without capacity", Want{Size: 90_000, Stay: true}, busy, false, nil},
-		{"a document over wide links without capacity", Want{Size: 90_000}, busy, false, far},
-		{"a lookup without capacity", Want{Size: 1000, Stay: true}, busy, false, far},
-		{"a document, the server is dead", Want{Size: 90_000, Stay: true}, Tried{}, true, far},
+		{"a document", Criteria{Size: 90_000, StayInDomain: true}, Tried{}, false, near},
+		{"a document without capacity", Criteria{Size: 90_000, StayInDomain: true}, busy, false, nil},
+		{"a document over wide links without capacity", Criteria{Size: 90_000}, busy, false, far},
+		{"a lookup without capacity", Criteria{Size: 1000, StayInDomain: true}, busy, false, far},
+		{"a document, the server is dead", Criteria{Size: 90_000, StayInDomain: true}, Tried{}, true, far},
 	} {
 		near.live.ejected.Store(0)
 		if tc.out {
--- a/internal/path/pick/table.go
+++ b/internal/path/pick/table.go
@@ -56,8 +56,8 @@
 		}
 		gp, next := fl.group(sv, byService[i], meanUse)
 		tb.groups[i] = gp
-		if !next.IsZero() && (tb.Next.IsZero() || next.Before(tb.Next)) {
-			tb.Next = next
+		if !next.IsZero() && (tb.RebuildAt.IsZero() || next.Before(tb.RebuildAt)) {
+			tb.RebuildAt = next
 		}
 	}
 	return tb
@@ -190,7 +190,7 @@
 
 // ForRequest returns the servers for a request, given a random number in [0, 1): those of the
 // version being rolled out for its share of the requests, otherwise those of the previous version.
-func (gp *Group) For(now time.Time, draw float64) *Group {
+func (gp *Group) ForRequest(now time.Time, draw float64) *Group {
 	if gp.target == nil {
 		return gp
 	}
--- a/internal/path/proxy/header.go
+++ b/internal/path/proxy/header.go
@@ -46,7 +46,7 @@
 
 // ReservedHeader returns a header of this system in hdr that callers may not set, or "" if there is
 // none.
-func Forged(hdr http.Header) string {
+func ReservedHeader(hdr http.Header) string {
 	for name := range hdr {
 		if result.IsControl(name) && name != result.TimeoutMs {
 			return name
--- a/internal/path/proxy/proxy.go
+++ b/internal/path/proxy/proxy.go
@@ -78,7 +78,7 @@
 }
 
 // Reachable reports whether a connection to addr can be opened.
-func (fw *Forwarder) Reach(ctx context.Context, addr string) bool {
+func (fw *Forwarder) Reachable(ctx context.Context, addr string) bool {
 	nc, err := fw.dial(ctx, addr)
 	if err != nil {
 		return false
@@ -225,7 +225,7 @@
 
 // Buffer reads the whole response body into memory if its length is known and at most limit. If the
 // body is truncated, Buffer returns the error and closes the attempt's connection.
-func (at *Attempt) Hold(limit int64) error {
+func (at *Attempt) Buffer(limit int64) error {
 	res := at.Response
 	// The response to a HEAD request has the length of a body that is not sent.
 	if res.ContentLength <= 0 || res.ContentLength > limit || res.Body == http.NoBody {
@@ -245,13 +245,13 @@
 // CopyError tells which side of a copy failed.
 type CopyError struct {
 	// ReadFailed is set if reading the response failed, and unset if writing it to the caller did.
-	Reading bool
-	Err     error
+	ReadFailed bool
+	Err        error
 }
 
 // Error returns the failed side and the cause.
 func (er *CopyError) Error() string {
-	if er.Reading {
+	if er.ReadFailed {
 		return "reading response: " + er.Err.Error()
 	}
 	return "writing response to caller: " + er.Err.Error()
@@ -295,7 +295,7 @@
 			break
 		}
 		if err != nil {
-			return &CopyError{Reading: true, Err: err}
+			return &CopyError{ReadFailed: true, Err: err}
 		}
 	}
 	for name, values := range res.Trailer {
@@ -307,7 +307,7 @@
 }
 
 // CopyHeader sends the response's status and header to a caller; extra may add headers first.
-func CopyHead(w http.ResponseWriter, res *http.Response, extra func(http.Header)) {
+func CopyHeader(w http.ResponseWriter, res *http.Response, extra func(http.Header)) {
 	hdr := w.Header()
 	SanitizeHeader(res.Header)
 	for name, values := range res.Header {
--- a/internal/path/retry/budget.go
+++ b/internal/path/retry/budget.go
@@ -57,7 +57,7 @@
 // New returns the budget of one of the given number of outlets.
 func New(bo Bound, outlets int) *Budget {
 	var bu Budget
-	bu.Limit(bo, outlets)
+	bu.SetBound(bo, outlets)
 	if maxBalance := bu.maxBalance.Load(); maxBalance > 0 {
 		bu.initialCredit.Store(max(unit, maxBalance/initialDivisor))
 		bu.balance.Store(bu.initialCredit.Load())
@@ -68,7 +68,7 @@
 // SetBound sets the bound and the number of outlets that share it. An outlet that lost its
 // connections and counts too few outlets does little harm: its balance grows with its own requests
 // only, and is capped again with the next, higher number.
-func (bu *Budget) Limit(bo Bound, outlets int) {
+func (bu *Budget) SetBound(bo Bound, outlets int) {
 	// An outlet with a maximum balance of less than one repeat could never send one.
 	share := math.Max(1, bo.Spare/float64(max(1, outlets)))
 	if bo.Ratio <= 0 {
@@ -80,7 +80,7 @@
 }
 
 // AddRequest adds the allowance of a new request.
-func (bu *Budget) Request() {
+func (bu *Budget) AddRequest() {
 	n := bu.perRequest.Load()
 	if bu.initialCredit.Load() > 0 && bu.initialCredit.Add(-n) >= 0 {
 		return
--- a/internal/path/shed/shed.go
+++ b/internal/path/shed/shed.go
@@ -72,7 +72,7 @@
 
 // Allow reports whether a request of the given priority should be offered. draw is a random number
 // in [0, 1).
-func (th *Throttle) Offer(priority int, now time.Time, draw float64) bool {
+func (th *Throttle) Allow(priority int, now time.Time, draw float64) bool {
 	co := &th.counters[priorityIndex(priority)]
 	requests, accepts, _ := co.read(now)
 	excess := requests - offersPerAccept*accepts - minOffers
@@ -84,7 +84,7 @@
 }
 
 // RecordOutcome records whether an offered request was accepted.
-func (th *Throttle) Done(priority int, now time.Time, accepted bool) {
+func (th *Throttle) RecordOutcome(priority int, now time.Time, accepted bool) {
 	n := 0.0
 	if accepted {
 		n = 1
