--- a/internal/mesh/board/board.go
+++ b/internal/mesh/board/board.go
@@ -145,15 +145,15 @@
 
 // EnterEpoch takes an epoch of the platform's store if it is newer than the one known. It
 // reports whether it was, and whether an earlier one was known.
-func (bd *Board) EnterEpoch(ep store.Epoch) (entered, again bool) {
+func (bd *Board) EnterEpoch(ep store.Epoch) (advanced, hadEarlier bool) {
 	bd.Epoch.Update(func(cur *store.Epoch) *store.Epoch {
-		if entered = ep > 0 && (cur == nil || ep > *cur); !entered {
+		if advanced = ep > 0 && (cur == nil || ep > *cur); !advanced {
 			return cur
 		}
-		again = cur != nil
+		hadEarlier = cur != nil
 		return &ep
 	})
-	return entered, again
+	return advanced, hadEarlier
 }
 
 // KnownEpoch returns the newest epoch known, 0 for none.
--- a/internal/mesh/expire/expire.go
+++ b/internal/mesh/expire/expire.go
@@ -11,20 +11,20 @@
 	After = 6 * time.Second
 	// Tick is how often Due should be called.
 	Tick = 500 * time.Millisecond
-	// pause is the gap between two calls of Due above which the observer takes
+	// maxCheckGap is the gap between two calls of Due above which the observer takes
 	// itself for the one that was away.
-	pause = 4 * Tick
+	maxCheckGap = 4 * Tick
 )
 
-// doubtCount and doubtShare say when too many members go silent at once for it
+// isolationMinCount and isolationDivisor say when too many members go silent at once for it
 // to be their own failure: at least so many, and one in so many of all.
 const (
-	doubtCount = 3
-	doubtShare = 2
+	isolationMinCount = 3
+	isolationDivisor  = 2
 )
 
-// Verdict lists the members that have become due.
-type Verdict struct {
+// Result lists the members that have become due.
+type Result struct {
 	// Gone are taken for dead, Silent only for unheard.
 	Gone, Silent []string
 }
@@ -32,39 +32,39 @@
 // Watch keeps when the members of one failure domain were last heard. It is not
 // safe for concurrent use.
 type Watch struct {
-	heard    map[string]time.Time
-	silent   map[string]bool
-	lastTick time.Time
+	lastHeard map[string]time.Time
+	silent    map[string]bool
+	lastCheck time.Time
 }
 
 // New returns a watch that knows no members.
 func New() *Watch {
-	return &Watch{heard: map[string]time.Time{}, silent: map[string]bool{}}
+	return &Watch{lastHeard: map[string]time.Time{}, silent: map[string]bool{}}
 }
 
 // Expect sets the members that should be heard. The time of a new one starts
 // now; others are forgotten.
-func (wa *Watch) Expect(vms []string, now time.Time) {
+func (dt *Watch) Expect(vms []string, now time.Time) {
 	next := make(map[string]time.Time, len(vms))
 	for _, vm := range vms {
-		at, ok := wa.heard[vm]
+		at, ok := dt.lastHeard[vm]
 		if !ok {
 			at = now
 		}
 		next[vm] = at
 	}
-	wa.heard = next
-	for vm := range wa.silent {
+	dt.lastHeard = next
+	for vm := range dt.silent {
 		if _, ok := next[vm]; !ok {
-			delete(wa.silent, vm)
+			delete(dt.silent, vm)
 		}
 	}
 }
 
 // Heard says that a member lives.
-func (wa *Watch) Heard(vm string, now time.Time) {
-	wa.heard[vm] = now
-	delete(wa.silent, vm)
+func (dt *Watch) Heard(vm string, now time.Time) {
+	dt.lastHeard[vm] = now
+	delete(dt.silent, vm)
 }
 
 // Due returns the members whose time has run out.
@@ -75,35 +75,35 @@
 // members get their time anew. If the observer was cut off, many go silent at
 // once: they are marked as silent, which keeps them in use at a lower
 // preference, and not as gone.
-func (wa *Watch) Due(now time.Time) Verdict {
-	gap := now.Sub(wa.lastTick)
-	if !wa.lastTick.IsZero() && (gap > pause || gap < 0) {
-		for vm := range wa.heard {
-			wa.heard[vm] = now
+func (dt *Watch) Due(now time.Time) Result {
+	gap := now.Sub(dt.lastCheck)
+	if !dt.lastCheck.IsZero() && (gap > maxCheckGap || gap < 0) {
+		for vm := range dt.lastHeard {
+			dt.lastHeard[vm] = now
 		}
 	}
-	wa.lastTick = now
+	dt.lastCheck = now
 	var due []string
 	unheard := 0
-	for vm, at := range wa.heard {
+	for vm, at := range dt.lastHeard {
 		age := now.Sub(at)
 		// Those that follow at once count as one event with the due.
 		if age >= After/2 {
 			unheard++
 		}
-		if age >= After && !wa.silent[vm] {
+		if age >= After && !dt.silent[vm] {
 			due = append(due, vm)
 		}
 	}
 	if due == nil {
-		return Verdict{}
+		return Result{}
 	}
 	slices.Sort(due)
-	if unheard >= doubtCount && unheard*doubtShare >= len(wa.heard) {
+	if unheard >= isolationMinCount && unheard*isolationDivisor >= len(dt.lastHeard) {
 		for _, vm := range due {
-			wa.silent[vm] = true
+			dt.silent[vm] = true
 		}
-		return Verdict{Silent: due}
+		return Result{Silent: due}
 	}
-	return Verdict{Gone: due}
+	return Result{Gone: due}
 }
--- a/internal/mesh/expire/expire_test.go
+++ b/internal/mesh/expire/expire_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func names(n int) []string {
+func vmNames(n int) []string {
 	var list []string
 	for i := range n {
 		list = append(list, fmt.Sprint("vm-", i))
@@ -17,32 +17,32 @@
 	return list
 }
 
-// drive runs a watch for a time; heard tells who is heard at each tick, and
+// runDetector runs a watch for a time; heard tells who is heard at each tick, and
 // away for how long the observer does not run from a tick on.
-func drive(members int, span time.Duration, heard func(vm string, at time.Duration) bool, away func(at time.Duration) time.Duration) (gone, silent []string) {
-	wa := New()
+func runDetector(members int, span time.Duration, heard func(vm string, at time.Duration) bool, away func(at time.Duration) time.Duration) (gone, silent []string) {
+	dt := New()
 	start := time.Unix(1000, 0)
-	vms := names(members)
+	vms := vmNames(members)
 	for at := time.Duration(0); at < span; at += Tick {
 		if away != nil {
 			at += away(at)
 		}
 		now := start.Add(at)
-		wa.Expect(slices.DeleteFunc(slices.Clone(vms), func(vm string) bool { return slices.Contains(gone, vm) }), now)
+		dt.Expect(slices.DeleteFunc(slices.Clone(vms), func(vm string) bool { return slices.Contains(gone, vm) }), now)
 		// News that comes while the observer is away is read after the tick.
-		due := wa.Due(now)
+		due := dt.Due(now)
 		gone = append(gone, due.Gone...)
 		silent = append(silent, due.Silent...)
 		for _, vm := range vms {
 			if heard(vm, at) {
-				wa.Heard(vm, now)
+				dt.Heard(vm, now)
 			}
 		}
 	}
 	return gone, silent
 }
 
-func TestDue(t *testing.T) {
+func TestCheck(t *testing.T) {
 	dead := func(vms ...string) func(string, time.Duration) bool {
 		return func(vm string, at time.Duration) bool { return at < 10*time.Second || !slices.Contains(vms, vm) }
 	}
@@ -59,7 +59,7 @@
 		{"the only other one dies", 1, dead("vm-0"), nil, []string{"vm-0"}, nil},
 		// The observer was cut off, not the members.
 		{"most go silent at once", 5, dead("vm-0", "vm-1", "vm-2"), nil, nil, []string{"vm-0", "vm-1", "vm-2"}},
-		{"all go silent at once", 9, dead(names(9)...), nil, nil, names(9)},
+		{"all go silent at once", 9, dead(vmNames(9)...), nil, nil, vmNames(9)},
 		// The observer was frozen, and the news lies unread.
 		{"a frozen observer", 5, dead(), func(at time.Duration) time.Duration {
 			if at == 20*time.Second {
@@ -87,7 +87,7 @@
 					return d
 				}
 			}
-			gone, silent := drive(tc.members, 90*time.Second, tc.heard, away)
+			gone, silent := runDetector(tc.members, 90*time.Second, tc.heard, away)
 			if !slices.Equal(gone, tc.gone) || !slices.Equal(silent, tc.silent) {
 				t.Errorf("gone %v, silent %v; want %v, %v", gone, silent, tc.gone, tc.silent)
 			}
@@ -95,9 +95,9 @@
 	}
 }
 
-// TestNeverWrong: a member that is heard at least every half of After is never
+// TestHeardMembersStay: a member that is heard at least every half of After is never
 // marked, whoever dies beside it and whenever the observer is away.
-func TestNeverWrong(t *testing.T) {
+func TestHeardMembersStay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(1, 8).Draw(t, "members")
 		dies := rapid.SliceOfN(rapid.IntRange(0, 60), members, members).Draw(t, "dies")
@@ -108,7 +108,7 @@
 			_, _ = fmt.Sscanf(vm, "vm-%d", &i)
 			return at < time.Duration(dies[i])*time.Second
 		}
-		gone, silent := drive(members, time.Minute, alive, func(time.Duration) time.Duration {
+		gone, silent := runDetector(members, time.Minute, alive, func(time.Duration) time.Duration {
 			tick++
 			if pauses[tick%200] == 7 {
 				return 20 * time.Second
--- a/internal/mesh/follow/follow.go
+++ b/internal/mesh/follow/follow.go
@@ -16,57 +16,57 @@
 	// TellEvery is how often one who follows says so. That it no longer does is said at
 	// once, and a link to it that breaks tells as much.
 	TellEvery = 3 * time.Second
-	// Fresh is for how long such word counts, which comes over two links with the next
+	// AnnounceTTL is for how long such word counts, which comes over two links with the next
 	// packet of each, a second later at most. It is for those who fell silent without
 	// a link that broke.
-	Fresh = TellEvery + 2500*time.Millisecond
-	// rounding is by how much the same answer seems to come later over other links, as
+	AnnounceTTL = TellEvery + 2500*time.Millisecond
+	// ageTolerance is by how much the same answer seems to come later over other links, as
 	// each rounds its age.
-	rounding = 200 * time.Millisecond
-	// step is how long one who could stand in leaves it to the next before it: a read
+	ageTolerance = 200 * time.Millisecond
+	// takeoverDelay is how long one who could stand in leaves it to the next before it: a read
 	// of a large version, and the way of the news.
-	step = 150 * time.Millisecond
+	takeoverDelay = 150 * time.Millisecond
 )
 
 // Heard is when the store last answered each daemon that follows it, as far as it is
 // known here. The zero value knows of none.
 type Heard struct {
-	at map[string]time.Time
+	lastAnswer map[string]time.Time
 }
 
 // Answered notes that the store answered a daemon, and reports whether that is news.
-func (he *Heard) Answered(vm string, at time.Time) bool {
-	if he.at == nil {
-		he.at = map[string]time.Time{}
+func (fw *Heard) Answered(vm string, at time.Time) bool {
+	if fw.lastAnswer == nil {
+		fw.lastAnswer = map[string]time.Time{}
 	}
-	if last, ok := he.at[vm]; ok && at.Sub(last) < rounding {
+	if last, ok := fw.lastAnswer[vm]; ok && at.Sub(last) < ageTolerance {
 		return false
 	}
-	he.at[vm] = at
+	fw.lastAnswer[vm] = at
 	return true
 }
 
 // Lost notes that the store no longer answers a daemon, unless it did so after the time
 // given. It reports whether that is news.
-func (he *Heard) Lost(vm string, at time.Time) bool {
-	last, ok := he.at[vm]
+func (fw *Heard) Lost(vm string, at time.Time) bool {
+	last, ok := fw.lastAnswer[vm]
 	if !ok || last.After(at) {
 		return false
 	}
-	delete(he.at, vm)
+	delete(fw.lastAnswer, vm)
 	return true
 }
 
-// fresh reports whether a daemon follows the store.
-func (he *Heard) fresh(vm string, now time.Time) bool {
-	at, ok := he.at[vm]
-	return ok && now.Sub(at) <= Fresh
+// active reports whether a daemon follows the store.
+func (fw *Heard) active(vm string, now time.Time) bool {
+	at, ok := fw.lastAnswer[vm]
+	return ok && now.Sub(at) <= AnnounceTTL
 }
 
 // Each calls yield for each daemon that follows the store, with when it was answered.
-func (he *Heard) Each(now time.Time, yield func(vm string, at time.Time)) {
-	for vm, at := range he.at {
-		if he.fresh(vm, now) {
+func (fw *Heard) Each(now time.Time, yield func(vm string, at time.Time)) {
+	for vm, at := range fw.lastAnswer {
+		if fw.active(vm, now) {
 			yield(vm, at)
 		}
 	}
@@ -79,9 +79,9 @@
 	var list []string
 	for rank := 0; ; rank++ {
 		more := false
-		for _, own := range relays {
-			if rank < len(own) {
-				list = append(list, own[rank])
+		for _, members := range relays {
+			if rank < len(members) {
+				list = append(list, members[rank])
 				more = true
 			}
 		}
@@ -93,41 +93,41 @@
 
 // Turn decides for one daemon whether it follows. The zero value is ready for use.
 type Turn struct {
-	// vacant is since when too few follow before this one.
-	vacant time.Time
+	// vacantSince is since when too few follow before this one.
+	vacantSince time.Time
 }
 
 // Vacant reports whether too few followed before this one when it was asked last.
-func (tu *Turn) Vacant() bool { return !tu.vacant.IsZero() }
+func (ca *Turn) Vacant() bool { return !ca.vacantSince.IsZero() }
 
 // Due reports whether the daemon me follows the store now. Whoever stands in waits
 // for those before it in order, so that one vacancy is not filled by all at once.
-func (tu *Turn) Due(me string, order []string, he *Heard, now time.Time) bool {
-	before, silent := 0, 0
+func (ca *Turn) Due(self string, order []string, fw *Heard, now time.Time) bool {
+	active, inactive := 0, 0
 	for _, vm := range order {
-		if vm == me {
+		if vm == self {
 			break
 		}
-		if he.fresh(vm, now) {
-			before++
+		if fw.active(vm, now) {
+			active++
 		} else {
-			silent++
+			inactive++
 		}
 	}
-	if before >= Enough {
-		tu.vacant = time.Time{}
+	if active >= Enough {
+		ca.vacantSince = time.Time{}
 		return false
 	}
-	if tu.vacant.IsZero() {
-		tu.vacant = now
+	if ca.vacantSince.IsZero() {
+		ca.vacantSince = now
 	}
-	behind := silent - (Enough - before) + 1
-	return now.Sub(tu.vacant) >= time.Duration(max(0, behind))*step
+	turnsAhead := inactive - (Enough - active) + 1
+	return now.Sub(ca.vacantSince) >= time.Duration(max(0, turnsAhead))*takeoverDelay
 }
 
 // Position returns the place of a daemon in an order, its length where it is not in it.
-func Position(me string, order []string) int {
-	if i := slices.Index(order, me); i >= 0 {
+func Position(vm string, order []string) int {
+	if i := slices.Index(order, vm); i >= 0 {
 		return i
 	}
 	return len(order)
--- a/internal/mesh/follow/follow_test.go
+++ b/internal/mesh/follow/follow_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// TestDue is a table of who follows, by who was heard and since when it is vacant.
-func TestDue(t *testing.T) {
+// TestShouldFollow is a table of who follows, by who was heard and since when it is vacant.
+func TestShouldFollow(t *testing.T) {
 	order := []string{"a", "b", "c", "d", "e"}
 	const ms = time.Millisecond
 	for _, tc := range []struct {
@@ -34,23 +34,23 @@
 		{"and others take its place in turn", map[string]time.Duration{"a": 5800 * ms, "b": 200 * ms}, 160 * ms, []string{"a", "b", "c"}},
 		{"one has taken its place", map[string]time.Duration{"b": 200 * ms, "c": 100 * ms}, time.Second, []string{"a", "b", "c"}},
 		{"the first is back", map[string]time.Duration{"a": 50 * ms, "b": 200 * ms, "c": 100 * ms}, time.Second, []string{"a", "b"}},
-		{"heard just long enough ago", map[string]time.Duration{"a": Fresh, "b": Fresh}, time.Second, []string{"a", "b"}},
+		{"heard just long enough ago", map[string]time.Duration{"a": AnnounceTTL, "b": AnnounceTTL}, time.Second, []string{"a", "b"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			began := time.Unix(1000, 0)
-			now := began.Add(tc.after)
-			var he Heard
+			start := time.Unix(1000, 0)
+			now := start.Add(tc.after)
+			var fw Heard
 			for vm, ago := range tc.heard {
-				he.Answered(vm, now.Add(-ago))
+				fw.Answered(vm, now.Add(-ago))
 			}
 			var got []string
 			for _, vm := range order {
-				var tu Turn
-				first := tu.Due(vm, order, &he, began)
+				var ca Turn
+				follows := ca.Due(vm, order, &fw, start)
 				if tc.after > 0 {
-					first = tu.Due(vm, order, &he, now)
+					follows = ca.Due(vm, order, &fw, now)
 				}
-				if first {
+				if follows {
 					got = append(got, vm)
 				}
 			}
@@ -61,21 +61,21 @@
 	}
 }
 
-// TestHeard: news come late and crossed. An answer that is older than one which is known
+// TestFollowers: news come late and crossed. An answer that is older than one which is known
 // changes nothing, nor does a loss that was said before the last answer.
-func TestHeard(t *testing.T) {
+func TestFollowers(t *testing.T) {
 	at := time.Unix(1000, 0)
-	var he Heard
-	if he.Lost("a", at) {
+	var fw Heard
+	if fw.Lost("a", at) {
 		t.Error("one that never followed was lost")
 	}
-	if !he.Answered("a", at) || he.Answered("a", at) || he.Answered("a", at.Add(-time.Second)) {
+	if !fw.Answered("a", at) || fw.Answered("a", at) || fw.Answered("a", at.Add(-time.Second)) {
 		t.Error("only a later answer is news")
 	}
-	if he.Lost("a", at.Add(-time.Second)) || !he.fresh("a", at) {
+	if fw.Lost("a", at.Add(-time.Second)) || !fw.active("a", at) {
 		t.Error("an old loss undid a later answer")
 	}
-	if !he.Lost("a", at.Add(time.Second)) || he.fresh("a", at) || he.Lost("a", at.Add(time.Second)) {
+	if !fw.Lost("a", at.Add(time.Second)) || fw.active("a", at) || fw.Lost("a", at.Add(time.Second)) {
 		t.Error("a loss is news once")
 	}
 }
--- a/internal/mesh/link/ends.go
+++ b/internal/mesh/link/crash.go
@@ -8,9 +8,9 @@
 	"github.com/flamingomast/flamingomast/internal/path/ident"
 )
 
-// maxEnds is how many reports of requests that servers ended under wait on a link; of
+// maxCrashReports is how many reports of requests that servers ended under wait on a link; of
 // more the peer hears by another way, or not before the next end.
-const maxEnds = 4096
+const maxCrashReports = 4096
 
 // SendEnds sends reports of requests under which servers ended, at once: until they have
 // come, the request may end one more server behind the peer.
@@ -18,32 +18,32 @@
 	if len(list) == 0 {
 		return
 	}
-	pr.change(func() {
-		if pr.ends == nil {
-			pr.ends = map[poison.Report]bool{}
+	pr.enqueue(func() {
+		if pr.crashes == nil {
+			pr.crashes = map[poison.Report]bool{}
 		}
 		for _, re := range list {
-			if len(pr.ends) < maxEnds {
-				pr.ends[re] = true
+			if len(pr.crashes) < maxCrashReports {
+				pr.crashes[re] = true
 			}
 		}
-		pr.now = true
+		pr.sendNow = true
 	})
 }
 
-// packEnds puts the requests of one end together.
-func packEnds(ends map[poison.Report]bool, now time.Time) (list []*wirepb.ServerEnd) {
-	type kind struct {
-		end      poison.End
+// groupCrashes puts the requests of one end together.
+func groupCrashes(crashes map[poison.Report]bool, now time.Time) (list []*wirepb.ServerEnd) {
+	type groupKey struct {
+		crash    poison.End
 		answered bool
 	}
-	of := map[kind]*wirepb.ServerEnd{}
-	for re := range ends {
-		ki := kind{re.End, re.Answered}
-		se := of[ki]
+	groups := map[groupKey]*wirepb.ServerEnd{}
+	for re := range crashes {
+		gk := groupKey{re.End, re.Answered}
+		se := groups[gk]
 		if se == nil {
 			se = &wirepb.ServerEnd{End: uint64(re.End), AgeMs: uint64(max(0, now.Sub(re.At).Milliseconds())), Answered: re.Answered}
-			of[ki] = se
+			groups[gk] = se
 			list = append(list, se)
 		}
 		se.Heads, se.Keys = append(se.Heads, re.Head), append(se.Keys, uint64(re.Key))
--- a/internal/mesh/link/link.go
+++ b/internal/mesh/link/link.go
@@ -27,12 +27,12 @@
 	// It is below the three seconds after which a daemon whose connections went
 	// silent without a reset must follow new versions again.
 	Silence = 2500 * time.Millisecond
-	// gather is how long news waits for more of it before a packet is sent.
-	gather = 20 * time.Millisecond
-	// gatherMany is how much longer it waits once many records wait, as when a fleet
+	// batchDelay is how long news waits for more of it before a packet is sent.
+	batchDelay = 20 * time.Millisecond
+	// bulkBatchDelay is how much longer it waits once many records wait, as when a fleet
 	// starts: each daemon then hears of each other one in several statements, and a
 	// packet for each of them is most of what the herd costs.
-	gatherMany = 130 * time.Millisecond
+	bulkBatchDelay = 130 * time.Millisecond
 )
 
 // ErrSilent says that a peer sent nothing for the time Silence.
@@ -64,29 +64,29 @@
 	// Sent, if set, is told of each packet that was sent. It is set before Run.
 	Sent func(pr *Peer, pk *wirepb.Packet)
 
-	heard  atomic.Pointer[time.Time] // when the last packet came
-	silent atomic.Pointer[time.Timer]
-	offer  func(pr *Peer, base pack.Digest) *wirepb.Version
-	stream Stream
-	wake   chan struct{}
+	lastHeard atomic.Pointer[time.Time] // when the last packet came
+	idleTimer atomic.Pointer[time.Timer]
+	makeOffer func(pr *Peer, base pack.Digest) *wirepb.Version
+	stream    Stream
+	wake      chan struct{}
 
 	mu sync.Mutex
 	// version and digest are the newest that the peer is known to have.
 	version uint64
 	digest  pack.Digest
-	// dirty says that something waits to be sent, now that it must not wait
-	// for more, offerNext that the newest version is to be offered.
-	dirty, now, offerNext bool
+	// pending says that something waits to be sent, now that it must not wait
+	// for more, offerPending that the newest version is to be offered.
+	pending, sendNow, offerPending bool
 	// What waits: the next packet and the newest of each kind.
-	next      *wirepb.Packet
-	records   map[string]*member.Record
-	held      map[string]*wirepb.Held
-	summaries map[string]*wirepb.Summary
-	reach     map[string]*wirepb.Reach
-	follows   map[string]Follow
-	ends      map[poison.Report]bool
-	rollouts  map[string]*canary.Rollout
-	tallies   map[tallyKey]*wirepb.Tally
+	nextPacket *wirepb.Packet
+	records    map[string]*member.Record
+	held       map[string]*wirepb.Held
+	summaries  map[string]*wirepb.Summary
+	reach      map[string]*wirepb.Reach
+	follows    map[string]Follow
+	crashes    map[poison.Report]bool
+	rollouts   map[string]*canary.Rollout
+	tallies    map[tallyKey]*wirepb.Tally
 }
 
 // Follow says when the store answered a daemon that follows it, or that it no longer
@@ -102,8 +102,8 @@
 
 // New returns a peer. The function offer makes the version packet for a peer
 // whose newest content is base, or nil if there is nothing newer.
-func New(st Stream, offer func(pr *Peer, base pack.Digest) *wirepb.Version) *Peer {
-	return &Peer{stream: st, offer: offer, wake: make(chan struct{}, 1), next: &wirepb.Packet{}}
+func New(st Stream, makeOffer func(pr *Peer, base pack.Digest) *wirepb.Version) *Peer {
+	return &Peer{stream: st, makeOffer: makeOffer, wake: make(chan struct{}, 1), nextPacket: &wirepb.Packet{}}
 }
 
 // Run sends and receives until the link ends, ctx ends or the peer is silent.
@@ -113,11 +113,11 @@
 	defer cancel(nil)
 	stop := context.AfterFunc(ctx, pr.stream.Abort)
 	defer stop()
-	silent := time.AfterFunc(Silence, func() { cancel(ErrSilent) })
-	defer silent.Stop()
-	pr.silent.Store(silent)
+	idleTimer := time.AfterFunc(Silence, func() { cancel(ErrSilent) })
+	defer idleTimer.Stop()
+	pr.idleTimer.Store(idleTimer)
 	var wg conc.WaitGroup
-	wg.Go(func() { cancel(pr.sendAll(ctx)) })
+	wg.Go(func() { cancel(pr.sendLoop(ctx)) })
 	for {
 		pk, err := pr.stream.Receive()
 		if err != nil {
@@ -134,47 +134,47 @@
 // Alive notes that the peer was heard, also on another stream: bytes of a large answer on the
 // same connection hold up its packets.
 func (pr *Peer) Alive() {
-	if silent := pr.silent.Load(); silent != nil {
-		silent.Reset(Silence)
+	if timer := pr.idleTimer.Load(); timer != nil {
+		timer.Reset(Silence)
 	}
 	now := time.Now()
-	pr.heard.Store(&now)
+	pr.lastHeard.Store(&now)
 }
 
 // Heard returns when the last packet came, the zero time for none.
 func (pr *Peer) Heard() time.Time {
-	if at := pr.heard.Load(); at != nil {
+	if at := pr.lastHeard.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
 }
 
-func (pr *Peer) sendAll(ctx context.Context) error {
-	beat := time.NewTimer(Beat)
-	defer beat.Stop()
+func (pr *Peer) sendLoop(ctx context.Context) error {
+	heartbeat := time.NewTimer(Beat)
+	defer heartbeat.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-beat.C:
+		case <-heartbeat.C:
 		case <-pr.wake:
-			if !pr.urgent() {
-				if err := sleep(ctx, gather); err != nil {
+			if !pr.isUrgent() {
+				if err := sleep(ctx, batchDelay); err != nil {
 					return err
 				}
-				if err := pr.waitForMore(ctx); err != nil {
+				if err := pr.waitForBulk(ctx); err != nil {
 					return err
 				}
 			}
 		}
-		pk := pr.compose()
+		pk := pr.buildPacket()
 		if err := pr.stream.Send(pk); err != nil {
 			return err
 		}
 		if pr.Sent != nil {
 			pr.Sent(pr, pk)
 		}
-		beat.Reset(Beat)
+		heartbeat.Reset(Beat)
 	}
 }
 
@@ -187,29 +187,29 @@
 	}
 }
 
-// waitForMore waits while many records wait and nothing that must not.
-func (pr *Peer) waitForMore(ctx context.Context) error {
+// waitForBulk waits while many records wait and nothing that must not.
+func (pr *Peer) waitForBulk(ctx context.Context) error {
 	pr.mu.Lock()
-	many := len(pr.records) >= packMany && !pr.now && !pr.offerNext
+	bulk := len(pr.records) >= packThreshold && !pr.sendNow && !pr.offerPending
 	pr.mu.Unlock()
-	if !many {
+	if !bulk {
 		return nil
 	}
-	return sleep(ctx, gatherMany)
+	return sleep(ctx, bulkBatchDelay)
 }
 
-func (pr *Peer) urgent() bool {
+func (pr *Peer) isUrgent() bool {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
-	return pr.now
+	return pr.sendNow
 }
 
-// compose takes all that waits into one packet.
-func (pr *Peer) compose() *wirepb.Packet {
+// buildPacket takes all that waits into one packet.
+func (pr *Peer) buildPacket() *wirepb.Packet {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
-	pk := pr.next
-	pr.next = &wirepb.Packet{}
+	pk := pr.nextPacket
+	pr.nextPacket = &wirepb.Packet{}
 	packRecords(pk, pr.records)
 	for _, hd := range pr.held {
 		pk.Held = append(pk.Held, hd)
@@ -224,28 +224,28 @@
 		age := max(0, time.Since(fo.At))
 		pk.Follows = append(pk.Follows, &wirepb.Follow{Vm: fo.VM, AgeMs: uint64(age.Milliseconds()), Lost: fo.Lost, Version: fo.Version, Behind: fo.Behind})
 	}
-	pk.Ends = packEnds(pr.ends, time.Now())
-	pr.packRolls(pk, time.Now())
-	clear(pr.ends)
+	pk.Ends = groupCrashes(pr.crashes, time.Now())
+	pr.addRollouts(pk, time.Now())
+	clear(pr.crashes)
 	clear(pr.records)
 	clear(pr.held)
 	clear(pr.summaries)
 	clear(pr.reach)
 	clear(pr.follows)
-	if pr.offerNext {
-		pr.offerNext = false
-		pk.Version = pr.offer(pr, pr.digest)
+	if pr.offerPending {
+		pr.offerPending = false
+		pk.Version = pr.makeOffer(pr, pr.digest)
 		if vn := pk.Version; vn != nil {
 			pr.version, pr.digest = vn.Number, pack.Digest(vn.Digest)
 		}
 	}
-	pk.Beat = !pr.dirty
-	pr.dirty, pr.now = false, false
+	pk.Beat = !pr.pending
+	pr.pending, pr.sendNow = false, false
 	return pk
 }
 
-// packMany is how many records are compressed together; fewer gain nothing.
-const packMany = 8
+// packThreshold is how many records are compressed together; fewer gain nothing.
+const packThreshold = 8
 
 // packRecords puts records into a packet, compressed where they are many.
 func packRecords(pk *wirepb.Packet, records map[string]*member.Record) {
@@ -253,7 +253,7 @@
 	for _, rc := range records {
 		list = append(list, rc.ToWire())
 	}
-	if len(list) < packMany {
+	if len(list) < packThreshold {
 		pk.Records = list
 		return
 	}
@@ -284,11 +284,11 @@
 	return recs
 }
 
-// change applies fn to what waits and wakes the sender.
-func (pr *Peer) change(fn func()) {
+// enqueue applies fn to what waits and wakes the sender.
+func (pr *Peer) enqueue(fn func()) {
 	pr.mu.Lock()
 	fn()
-	pr.dirty = true
+	pr.pending = true
 	pr.mu.Unlock()
 	select {
 	case pr.wake <- struct{}{}:
@@ -298,9 +298,9 @@
 
 // Next changes the next packet; it is sent at once.
 func (pr *Peer) Next(fn func(*wirepb.Packet)) {
-	pr.change(func() {
-		fn(pr.next)
-		pr.now = true
+	pr.enqueue(func() {
+		fn(pr.nextPacket)
+		pr.sendNow = true
 	})
 }
 
@@ -310,7 +310,7 @@
 	behind := pr.version < latest
 	pr.mu.Unlock()
 	if behind {
-		pr.change(func() { pr.offerNext = true })
+		pr.enqueue(func() { pr.offerPending = true })
 	}
 }
 
@@ -329,7 +329,7 @@
 	if len(list) == 0 {
 		return
 	}
-	pr.change(func() {
+	pr.enqueue(func() {
 		if pr.records == nil {
 			pr.records = map[string]*member.Record{}
 		}
@@ -343,7 +343,7 @@
 
 // SendHeld sends what VMs hold, the newest statement of each.
 func (pr *Peer) SendHeld(list ...*wirepb.Held) {
-	pr.change(func() {
+	pr.enqueue(func() {
 		if pr.held == nil {
 			pr.held = map[string]*wirepb.Held{}
 		}
@@ -355,7 +355,7 @@
 
 // SendSummary sends a summary, the newest one of each failure domain.
 func (pr *Peer) SendSummary(su *wirepb.Summary) {
-	pr.change(func() {
+	pr.enqueue(func() {
 		if pr.summaries == nil {
 			pr.summaries = map[string]*wirepb.Summary{}
 		}
@@ -365,7 +365,7 @@
 
 // SendReach sends whether a failure domain can be reached.
 func (pr *Peer) SendReach(re *wirepb.Reach) {
-	pr.change(func() {
+	pr.enqueue(func() {
 		if pr.reach == nil {
 			pr.reach = map[string]*wirepb.Reach{}
 		}
@@ -383,7 +383,7 @@
 		pr.follows[fo.VM] = fo
 	}
 	if fo.Lost {
-		pr.change(set)
+		pr.enqueue(set)
 		return
 	}
 	pr.mu.Lock()
--- a/internal/mesh/link/rolls.go
+++ b/internal/mesh/link/rollout.go
@@ -9,16 +9,16 @@
 	"github.com/flamingomast/flamingomast/internal/roll/tally"
 )
 
-// maxSpan bounds times that a peer states, so that they do not overflow.
-const maxSpan = 24 * time.Hour
+// maxDuration bounds times that a peer states, so that they do not overflow.
+const maxDuration = 24 * time.Hour
 
-func fromMs(ms uint64) time.Duration {
-	return time.Duration(min(ms, uint64(maxSpan.Milliseconds()))) * time.Millisecond
+func durationFromMs(ms uint64) time.Duration {
+	return time.Duration(min(ms, uint64(maxDuration.Milliseconds()))) * time.Millisecond
 }
 
 // SendRollout sends how far a rollout is, the newest statement of each service.
 func (pr *Peer) SendRollout(ro *canary.Rollout) {
-	pr.change(func() {
+	pr.enqueue(func() {
 		if pr.rollouts == nil {
 			pr.rollouts = map[string]*canary.Rollout{}
 		}
@@ -28,7 +28,7 @@
 
 // SendTally sends counts, the newest of each VM or failure domain.
 func (pr *Peer) SendTally(ta *wirepb.Tally) {
-	pr.change(func() {
+	pr.enqueue(func() {
 		if pr.tallies == nil {
 			pr.tallies = map[tallyKey]*wirepb.Tally{}
 		}
@@ -38,8 +38,8 @@
 
 type tallyKey struct{ service, domain, vm string }
 
-// packRolls puts the rollouts and tallies that wait into a packet; pr.mu is held.
-func (pr *Peer) packRolls(pk *wirepb.Packet, now time.Time) {
+// addRollouts puts the rollouts and tallies that wait into a packet; pr.mu is held.
+func (pr *Peer) addRollouts(pk *wirepb.Packet, now time.Time) {
 	for _, ro := range pr.rollouts {
 		pk.Rollouts = append(pk.Rollouts, rolloutToWire(ro, now))
 	}
@@ -70,12 +70,12 @@
 		}
 		list = append(list, &canary.Rollout{
 			Order: canary.Order{
-				Service: pb.Service, Target: pb.Target, Duration: fromMs(pb.DurationMs),
+				Service: pb.Service, Target: pb.Target, Duration: durationFromMs(pb.DurationMs),
 				Revision: store.Revision{Epoch: store.Epoch(pb.Epoch), Number: pb.Number},
 			},
-			State: st, Baseline: pb.Baseline, Began: now.Add(-fromMs(pb.AgeMs)), Stored: pb.Stored,
+			State: st, Baseline: pb.Baseline, Began: now.Add(-durationFromMs(pb.AgeMs)), Stored: pb.Stored,
 			Share: float64(min(pb.Share, 1000)) / 1000, Servers: int(pb.Servers),
-			Until: now.Add(min(fromMs(pb.TtlMs), canary.TTL)), Seq: pb.Seq,
+			Until: now.Add(min(durationFromMs(pb.TtlMs), canary.TTL)), Seq: pb.Seq,
 		})
 	}
 	return list
--- a/internal/mesh/member/member.go
+++ b/internal/mesh/member/member.go
@@ -230,26 +230,26 @@
 // Merge returns the view with those of the records that are newer than what it
 // has, and lists them. It returns vw itself when none is.
 func (vw *View) Merge(records []*Record) (*View, []*Record) {
-	var news []*Record
+	var newer []*Record
 	for _, rc := range records {
 		if cur := vw.Get(rc.VM); rc.VM != "" && (cur == nil || rc.Compare(cur) > 0) {
-			news = append(news, rc)
+			newer = append(newer, rc)
 		}
 	}
-	if news == nil {
+	if newer == nil {
 		return vw, nil
 	}
-	next := &View{byVM: make(map[string]*Record, vw.Len()+len(news))}
+	next := &View{byVM: make(map[string]*Record, vw.Len()+len(newer))}
 	for rc := range vw.All {
 		next.byVM[rc.VM] = rc
 	}
-	for _, rc := range news {
+	for _, rc := range newer {
 		if cur := next.byVM[rc.VM]; cur == nil || rc.Compare(cur) > 0 {
 			next.byVM[rc.VM] = rc
 		}
 	}
-	next.sumUp()
-	return next, news
+	next.buildIndexes()
+	return next, newer
 }
 
 // Without returns the view without the records of VMs that are not live and
@@ -264,7 +264,7 @@
 	if len(next.byVM) == vw.Len() {
 		return vw
 	}
-	next.sumUp()
+	next.buildIndexes()
 	return next
 }
 
@@ -277,19 +277,19 @@
 			dead = append(dead, rc)
 		}
 	}
-	over := len(dead) - (vw.Len() - len(dead)) - spare
-	if over <= 0 {
+	excess := len(dead) - (vw.Len() - len(dead)) - spare
+	if excess <= 0 {
 		return vw
 	}
 	slices.SortFunc(dead, func(a, b *Record) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
-	drop := make(map[string]bool, over)
-	for _, rc := range dead[:over] {
+	drop := make(map[string]bool, excess)
+	for _, rc := range dead[:excess] {
 		drop[rc.VM] = true
 	}
 	return vw.Without(func(vm string) bool { return drop[vm] })
 }
 
-func (vw *View) sumUp() {
+func (vw *View) buildIndexes() {
 	vw.Domains = map[string][]*Record{}
 	vw.Hashes = map[string]uint64{}
 	vw.Controls = make(map[string]bool, len(vw.byVM))
--- a/internal/mesh/member/member_test.go
+++ b/internal/mesh/member/member_test.go
@@ -20,7 +20,7 @@
 	return rc
 }
 
-func records(vw *View) map[string]Record {
+func recordsByVM(vw *View) map[string]Record {
 	m := map[string]Record{}
 	for rc := range vw.All {
 		m[rc.VM] = *rc
@@ -47,7 +47,7 @@
 		for _, i := range rapid.SliceOf(rapid.IntRange(0, len(list)-1)).Draw(t, "again") {
 			b, _ = b.Merge([]*Record{list[i]})
 		}
-		if diff := cmp.Diff(records(a), records(b)); diff != "" {
+		if diff := cmp.Diff(recordsByVM(a), recordsByVM(b)); diff != "" {
 			t.Fatalf("two observers differ:\n%s", diff)
 		}
 		if a.Hashes["d"] != b.Hashes["d"] {
@@ -71,7 +71,7 @@
 		rc, other := drawRecord(t), drawRecord(t)
 		a, _ := (&View{}).Merge([]*Record{rc})
 		b, _ := (&View{}).Merge([]*Record{other})
-		if (a.Hashes["d"] == b.Hashes["d"]) != (cmp.Diff(records(a), records(b)) == "") {
+		if (a.Hashes["d"] == b.Hashes["d"]) != (cmp.Diff(recordsByVM(a), recordsByVM(b)) == "") {
 			t.Fatalf("%+v and %+v have hashes %x and %x", rc, other, a.Hashes["d"], b.Hashes["d"])
 		}
 	})
@@ -96,7 +96,7 @@
 	})
 	next := vw.Without(func(vm string) bool { return vm != "kept" })
 	if next.Get("live") == nil || next.Get("gone") != nil || next.Get("kept") == nil {
-		t.Errorf("left are %v", records(next))
+		t.Errorf("left are %v", recordsByVM(next))
 	}
 }
 
--- a/internal/mesh/poison/keep.go
+++ b/internal/mesh/poison/encode.go
@@ -11,15 +11,15 @@
 	"github.com/flamingomast/flamingomast/internal/path/ident"
 )
 
-// maxKept is of how many refused requests the platform's store is told, the worst first.
-const maxKept = 64
+// maxStored is of how many refused requests the platform's store is told, the worst first.
+const maxStored = 64
 
-// kept is a report as the platform's store has it. Numbers of 64 bits are hexadecimal
+// storedReport is a report as the platform's store has it. Numbers of 64 bits are hexadecimal
 // text, since readers of JSON round large ones.
-type kept struct {
-	Head string `json:"head"`
-	Key  string `json:"request-key"`
-	End  string `json:"end"`
+type storedReport struct {
+	Head  string `json:"head"`
+	Key   string `json:"request-key"`
+	Crash string `json:"end"`
 	// AtMs is the Unix time in milliseconds of the end.
 	AtMs     int64 `json:"at-ms"`
 	Answered bool  `json:"answered,omitempty"`
@@ -28,14 +28,14 @@
 // Refused returns what the platform's store is told: all reports of requests that are not
 // run, for daemons that cannot hear it from each other.
 func (vw *View) Refused() []Report {
-	list := vw.Reports(maxKept)
+	list := vw.Reports(maxStored)
 	return slices.DeleteFunc(list, func(re Report) bool { return vw.Ends(re.Key) < Most })
 }
 
 // Same reports whether two lists say the same. When an end was is not compared: each daemon
 // reckons it by its own clock.
 func Same(a, b []Report) bool {
-	plain := func(list []Report) []Report {
+	normalize := func(list []Report) []Report {
 		list = slices.Clone(list)
 		for i := range list {
 			list[i].At = time.Time{}
@@ -43,14 +43,14 @@
 		slices.SortFunc(list, func(a, b Report) int { return cmp.Or(cmp.Compare(a.Key, b.Key), cmp.Compare(a.End, b.End)) })
 		return list
 	}
-	return slices.Equal(plain(a), plain(b))
+	return slices.Equal(normalize(a), normalize(b))
 }
 
 // Encode returns the reports as the platform's store has them at a moment.
 func Encode(list []Report, now time.Time) ([]byte, error) {
-	rows := make([]kept, len(list))
+	rows := make([]storedReport, len(list))
 	for i, re := range list {
-		rows[i] = kept{Head: hex(re.Head), Key: re.Key.String(), End: hex(uint64(re.End)), AtMs: now.UnixMilli() - now.Sub(re.At).Milliseconds(), Answered: re.Answered}
+		rows[i] = storedReport{Head: hex(re.Head), Key: re.Key.String(), Crash: hex(uint64(re.End)), AtMs: now.UnixMilli() - now.Sub(re.At).Milliseconds(), Answered: re.Answered}
 	}
 	return json.Marshal(rows)
 }
@@ -62,25 +62,25 @@
 	if len(value) == 0 {
 		return nil, nil
 	}
-	var rows []kept
+	var rows []storedReport
 	if err := json.Unmarshal(value, &rows); err != nil {
 		return nil, fmt.Errorf("poison: %w", err)
 	}
-	if len(rows) > maxKept*maxEnds {
-		return nil, fmt.Errorf("poison: %d reports, at most %d are kept", len(rows), maxKept*maxEnds)
+	if len(rows) > maxStored*maxCrashes {
+		return nil, fmt.Errorf("poison: %d reports, at most %d are kept", len(rows), maxStored*maxCrashes)
 	}
 	list := make([]Report, len(rows))
-	for i, ro := range rows {
+	for i, row := range rows {
 		var nums [3]uint64
-		for j, text := range []string{ro.Head, ro.Key, ro.End} {
+		for j, text := range []string{row.Head, row.Key, row.Crash} {
 			n, err := strconv.ParseUint(text, 16, 64)
 			if err != nil {
 				return nil, fmt.Errorf("poison: report %d: %w", i, err)
 			}
 			nums[j] = n
 		}
-		age := min(max(0, time.Duration(now.UnixMilli()-ro.AtMs)*time.Millisecond), keepFor)
-		list[i] = Report{Head: nums[0], Key: ident.Key(nums[1]), End: End(nums[2]), At: now.Add(-age), Answered: ro.Answered}
+		age := min(max(0, time.Duration(now.UnixMilli()-row.AtMs)*time.Millisecond), retention)
+		list[i] = Report{Head: nums[0], Key: ident.Key(nums[1]), End: End(nums[2]), At: now.Add(-age), Answered: row.Answered}
 	}
 	return list, nil
 }
--- a/internal/mesh/poison/keep_test.go
+++ b/internal/mesh/poison/encode_test.go
@@ -7,30 +7,30 @@
 	"github.com/flamingomast/flamingomast/internal/path/ident"
 )
 
-// TestKept: what one daemon writes to the platform's store another one reads, and only
+// TestEncodeDecode: what one daemon writes to the platform's store another one reads, and only
 // requests that are refused are written.
-func TestKept(t *testing.T) {
-	began := time.Unix(1_000_000, 0)
+func TestEncodeDecode(t *testing.T) {
+	start := time.Unix(1_000_000, 0)
 	var list []Report
-	for en := range End(Most) {
-		list = append(list, Report{Head: 1 << 63, Key: 1<<63 + 1, End: en, At: began, Answered: false})
+	for id := range End(Most) {
+		list = append(list, Report{Head: 1 << 63, Key: 1<<63 + 1, End: id, At: start, Answered: false})
 	}
-	list = append(list, Report{Head: 2, Key: 2, End: 1, At: began}, Report{Head: 1 << 63, Key: 1<<63 + 1, End: Most, At: began, Answered: true})
-	vw, _ := (*View)(nil).Merge(list, began)
-	text, err := Encode(vw.Refused(), began)
+	list = append(list, Report{Head: 2, Key: 2, End: 1, At: start}, Report{Head: 1 << 63, Key: 1<<63 + 1, End: Most, At: start, Answered: true})
+	vw, _ := (*View)(nil).Merge(list, start)
+	text, err := Encode(vw.Refused(), start)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := Decode(text, began)
+	got, err := Decode(text, start)
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, _ := (*View)(nil).Merge(got, began)
-	if !read.Refuses(1<<63+1, began, 0) || read.Ends(2) != 0 || len(got) != Most+1 {
+	read, _ := (*View)(nil).Merge(got, start)
+	if !read.Refuses(1<<63+1, start, 0) || read.Ends(2) != 0 || len(got) != Most+1 {
 		t.Errorf("read back as %v", got)
 	}
-	ahead, err := Decode(text, began.Add(-time.Minute))
-	if err != nil || !ahead[0].At.Equal(began.Add(-time.Minute)) {
+	ahead, err := Decode(text, start.Add(-time.Minute))
+	if err != nil || !ahead[0].At.Equal(start.Add(-time.Minute)) {
 		t.Errorf("an end in the future is taken for %v (error %v), want one of this moment", ahead[0].At, err)
 	}
 	later := append([]Report(nil), got...)
@@ -55,7 +55,7 @@
 		}
 		vw, _ := (*View)(nil).Merge(list, time.Now())
 		for key := range ident.Key(4) {
-			if vw.Ends(key) > maxEnds {
+			if vw.Ends(key) > maxCrashes {
 				t.Errorf("request %d has %d ends", key, vw.Ends(key))
 			}
 		}
--- a/internal/mesh/poison/poison.go
+++ b/internal/mesh/poison/poison.go
@@ -17,26 +17,26 @@
 	// Apart is the number of ends from which it is not run beside another such request:
 	// if the server ends as well, it is known which of them was the cause.
 	Apart = 2
-	// refuseFor is how long after the last end it is not run. Then it is tried again,
+	// refusePeriod is how long after the last end it is not run. Then it is tried again,
 	// as a new version of the servers may have mended the fault; one more end, and it is
 	// not run for as long again.
-	refuseFor = 10 * time.Minute
+	refusePeriod = 10 * time.Minute
 	// RefuseSpread is the span over which daemons begin to try it again, each at a
 	// moment of its own: the first one tells the others what became of it.
 	RefuseSpread = time.Minute
-	// keepFor is how long after its last end a request is kept in mind.
-	keepFor = time.Hour
+	// retention is how long after its last end a request is kept in mind.
+	retention = time.Hour
 )
 
 // The bounds of what is kept. Servers that all end again and again, with all that they
 // run, would fill the memory of the daemons otherwise.
 const (
-	// maxCases is how many requests are kept, maxEnds how many ends of each.
-	maxCases = 1024
-	maxEnds  = 8
+	// maxRequests is how many requests are kept, maxCrashes how many ends of each.
+	maxRequests = 1024
+	maxCrashes  = 8
 )
 
-// End names the end of one lifetime of a backend server.
+// Crash names the end of one lifetime of a backend server.
 type End uint64
 
 // Report says that a server ended while it ran a request or, where it is Answered, that
@@ -50,8 +50,8 @@
 	Answered bool
 }
 
-// ending is an end that a server came to under a request.
-type ending struct {
+// crash is an end that a server came to under a request.
+type crash struct {
 	End
 	at       time.Time
 	answered bool
@@ -59,16 +59,16 @@
 
 // request is what is known of one request. It is not changed once it is in a view.
 type request struct {
-	head uint64
-	ends []ending
+	head    uint64
+	crashes []crash
 	// last is the newest end.
 	last time.Time
 }
 
-// count returns the number of ends that no answer was given to.
-func (rq *request) count() (n int) {
-	for _, en := range rq.ends {
-		if !en.answered {
+// crashCount returns the number of ends that no answer was given to.
+func (rq *request) crashCount() (n int) {
+	for _, cr := range rq.crashes {
+		if !cr.answered {
 			n++
 		}
 	}
@@ -79,14 +79,14 @@
 // another one. The nil view knows nothing.
 type View struct {
 	requests map[ident.Key]*request
-	// heads has the heads of requests with ends that count.
-	heads map[uint64]bool
+	// suspectHeads has the heads of requests with ends that count.
+	suspectHeads map[uint64]bool
 }
 
 // Suspects reports whether servers may have ended under a request, by its head. It is asked
 // for each request: most need no key because of it, and none a head while nothing is known.
 func (vw *View) Suspects(r *http.Request) bool {
-	return vw != nil && len(vw.heads) > 0 && vw.heads[ident.Head(r)]
+	return vw != nil && len(vw.suspectHeads) > 0 && vw.suspectHeads[ident.Head(r)]
 }
 
 // Ends returns how many servers a request has ended, as far as is known.
@@ -94,13 +94,13 @@
 	if vw == nil || vw.requests[key] == nil {
 		return 0
 	}
-	return vw.requests[key].count()
+	return vw.requests[key].crashCount()
 }
 
 // Refuses reports whether a request is not to be run. A daemon tries it again later than
 // others by its spread.
-func (vw *View) Refuses(key ident.Key, now time.Time, spread time.Duration) bool {
-	return vw.Ends(key) >= Most && now.Sub(vw.requests[key].last) < refuseFor+spread
+func (vw *View) Refuses(key ident.Key, now time.Time, jitter time.Duration) bool {
+	return vw.Ends(key) >= Most && now.Sub(vw.requests[key].last) < refusePeriod+jitter
 }
 
 // Answered returns the reports that a request was answered by a server.
@@ -119,7 +119,7 @@
 		return 0, 0
 	}
 	for _, rq := range vw.requests {
-		if n := rq.count(); n > 0 {
+		if n := rq.crashCount(); n > 0 {
 			suspected++
 			if n >= Most {
 				refused++
@@ -131,14 +131,14 @@
 
 // Reports returns what a daemon that knows nothing has to be told: of those requests
 // under which most servers ended, up to most of them.
-func (vw *View) Reports(most int) []Report {
+func (vw *View) Reports(limit int) []Report {
 	if vw == nil {
 		return nil
 	}
 	var list []Report
-	for _, key := range vw.worst() {
-		if most > 0 && vw.Ends(key) > 0 {
-			most--
+	for _, key := range vw.byCrashCount() {
+		if limit > 0 && vw.Ends(key) > 0 {
+			limit--
 			list = append(list, vw.Of(key)...)
 		}
 	}
@@ -152,41 +152,41 @@
 	}
 	rq := vw.requests[key]
 	var list []Report
-	for _, en := range rq.ends {
-		list = append(list, Report{Head: rq.head, Key: key, End: en.End, At: en.at, Answered: en.answered})
+	for _, cr := range rq.crashes {
+		list = append(list, Report{Head: rq.head, Key: key, End: cr.End, At: cr.at, Answered: cr.answered})
 	}
 	return list
 }
 
-// worst returns all requests, those with the most and the newest ends first.
-func (vw *View) worst() []ident.Key {
+// byCrashCount returns all requests, those with the most and the newest ends first.
+func (vw *View) byCrashCount() []ident.Key {
 	return slices.SortedFunc(maps.Keys(vw.requests), func(a, b ident.Key) int {
 		ra, rb := vw.requests[a], vw.requests[b]
-		return cmp.Or(cmp.Compare(rb.count(), ra.count()), rb.last.Compare(ra.last), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(rb.crashCount(), ra.crashCount()), rb.last.Compare(ra.last), cmp.Compare(a, b))
 	})
 }
 
 // Merge returns the view with the reports in it, and those that were news.
-func (vw *View) Merge(list []Report, now time.Time) (next *View, news []Report) {
-	next = &View{requests: map[ident.Key]*request{}, heads: map[uint64]bool{}}
+func (vw *View) Merge(list []Report, now time.Time) (next *View, added []Report) {
+	next = &View{requests: map[ident.Key]*request{}, suspectHeads: map[uint64]bool{}}
 	if vw != nil {
 		maps.Copy(next.requests, vw.requests)
 	}
 	for _, re := range list {
-		if now.Sub(re.At) >= keepFor {
+		if now.Sub(re.At) >= retention {
 			continue
 		}
 		re.At = earlier(re.At, now)
-		if rq := next.requests[re.Key].with(re); rq != nil {
+		if rq := next.requests[re.Key].withReport(re); rq != nil {
 			next.requests[re.Key] = rq
-			news = append(news, re)
+			added = append(added, re)
 		}
 	}
-	if len(news) == 0 {
+	if len(added) == 0 {
 		return vw, nil
 	}
 	next.trim(now)
-	return next, news
+	return next, added
 }
 
 // earlier returns the earlier one of two times.
@@ -197,46 +197,46 @@
 	return a
 }
 
-// with returns the request with one more report of it, nil where that is no news. Of a
+// withReport returns the request with one more report of it, nil where that is no news. Of a
 // full list the oldest end makes room for a newer one only, so that reports which go
 // round do not displace each other for ever.
-func (rq *request) with(re Report) *request {
+func (rq *request) withReport(re Report) *request {
 	next := request{head: re.Head, last: re.At}
 	if rq != nil {
 		next = *rq
 	}
-	next.ends = slices.Clone(next.ends)
-	at := slices.IndexFunc(next.ends, func(en ending) bool { return en.End == re.End })
+	next.crashes = slices.Clone(next.crashes)
+	at := slices.IndexFunc(next.crashes, func(cr crash) bool { return cr.End == re.End })
 	switch {
-	case at >= 0 && (next.ends[at].answered || !re.Answered):
+	case at >= 0 && (next.crashes[at].answered || !re.Answered):
 		return nil
 	case at >= 0:
-		next.ends[at].answered = true
+		next.crashes[at].answered = true
 		return &next
-	case len(next.ends) == maxEnds:
-		if !next.ends[0].at.Before(re.At) {
+	case len(next.crashes) == maxCrashes:
+		if !next.crashes[0].at.Before(re.At) {
 			return nil
 		}
-		next.ends = next.ends[1:]
+		next.crashes = next.crashes[1:]
 	}
-	next.ends = append(next.ends, ending{End: re.End, at: re.At, answered: re.Answered})
-	slices.SortFunc(next.ends, func(a, b ending) int { return a.at.Compare(b.at) })
-	next.last = next.ends[len(next.ends)-1].at
+	next.crashes = append(next.crashes, crash{End: re.End, at: re.At, answered: re.Answered})
+	slices.SortFunc(next.crashes, func(a, b crash) int { return a.at.Compare(b.at) })
+	next.last = next.crashes[len(next.crashes)-1].at
 	return &next
 }
 
 // trim forgets requests whose last end is long ago and, of too many, those with the
 // fewest and the oldest ends.
 func (vw *View) trim(now time.Time) {
-	maps.DeleteFunc(vw.requests, func(_ ident.Key, rq *request) bool { return now.Sub(rq.last) >= keepFor })
-	if len(vw.requests) > maxCases {
-		for _, key := range vw.worst()[maxCases:] {
+	maps.DeleteFunc(vw.requests, func(_ ident.Key, rq *request) bool { return now.Sub(rq.last) >= retention })
+	if len(vw.requests) > maxRequests {
+		for _, key := range vw.byCrashCount()[maxRequests:] {
 			delete(vw.requests, key)
 		}
 	}
 	for _, rq := range vw.requests {
-		if rq.count() > 0 {
-			vw.heads[rq.head] = true
+		if rq.crashCount() > 0 {
+			vw.suspectHeads[rq.head] = true
 		}
 	}
 }
--- a/internal/mesh/relay/relay.go
+++ b/internal/mesh/relay/relay.go
@@ -39,24 +39,24 @@
 }
 
 func rank(list []*member.Record, seed string, count int) []*member.Record {
-	type scored struct {
-		rc     *member.Record
-		silent int
-		score  uint64
+	type candidate struct {
+		rc    *member.Record
+		mark  int
+		score uint64
 	}
-	all := make([]scored, len(list))
+	all := make([]candidate, len(list))
 	for i, rc := range list {
-		all[i] = scored{rc: rc, silent: int(rc.Mark), score: xxhash.Sum64String(seed + "\x00" + rc.VM)}
+		all[i] = candidate{rc: rc, mark: int(rc.Mark), score: xxhash.Sum64String(seed + "\x00" + rc.VM)}
 	}
-	slices.SortFunc(all, func(a, b scored) int {
+	slices.SortFunc(all, func(a, b candidate) int {
 		return cmp.Or(
-			cmp.Compare(a.silent, b.silent), cmp.Compare(b.rc.Capacity, a.rc.Capacity),
+			cmp.Compare(a.mark, b.mark), cmp.Compare(b.rc.Capacity, a.rc.Capacity),
 			cmp.Compare(b.score, a.score), cmp.Compare(a.rc.VM, b.rc.VM),
 		)
 	})
-	best := make([]*member.Record, 0, count)
-	for _, sc := range all[:min(count, len(all))] {
-		best = append(best, sc.rc)
+	chosen := make([]*member.Record, 0, count)
+	for _, ca := range all[:min(count, len(all))] {
+		chosen = append(chosen, ca.rc)
 	}
-	return best
+	return chosen
 }
