--- a/internal/mesh/expire/doc.go
+++ b/internal/mesh/expire/doc.go
@@ -1,3 +1,4 @@
-// Package expire decides when members that are no longer heard are taken for
-// dead, and when the observer should rather doubt itself.
+// Package expire implements the failure detector of the mesh: it decides when members that
+// are no longer heard from are considered dead, and when the observer is more likely to be
+// the faulty one.
 package expire
--- a/internal/mesh/expire/expire.go
+++ b/internal/mesh/expire/expire.go
@@ -5,45 +5,46 @@
 	"time"
 )
 
-// The times of expiry.
+// Timing of the failure detector.
 const (
-	// After is how long a member may be unheard before it is marked.
+	// Timeout is how long a member may be silent before it is marked.
 	After = 6 * time.Second
-	// Tick is how often Due should be called.
+	// CheckInterval is how often the caller should call Detector.Check.
 	Tick = 500 * time.Millisecond
-	// maxCheckGap is the gap between two calls of Due above which the observer takes
-	// itself for the one that was away.
+	// maxCheckGap is the longest gap between two calls of Check that is not attributed to a
+	// pause of the observer itself.
 	maxCheckGap = 4 * Tick
 )
 
-// isolationMinCount and isolationDivisor say when too many members go silent at once for it
-// to be their own failure: at least so many, and one in so many of all.
+// If at least isolationMinCount members, and at least one in isolationDivisor of all members,
+// go silent at once, the observer assumes that it is isolated itself.
 const (
 	isolationMinCount = 3
 	isolationDivisor  = 2
 )
 
-// Result lists the members that have become due.
+// Result lists the members that have timed out.
 type Result struct {
-	// Gone are taken for dead, Silent only for unheard.
+	// Gone members are considered dead. Silent members are not heard from, perhaps because of
+	// the observer.
 	Gone, Silent []string
 }
 
-// Watch keeps when the members of one failure domain were last heard. It is not
-// safe for concurrent use.
+// Detector tracks when the members of one failure domain were last heard from. It is not safe
+// for concurrent use.
 type Watch struct {
 	lastHeard map[string]time.Time
 	silent    map[string]bool
 	lastCheck time.Time
 }
 
-// New returns a watch that knows no members.
+// New returns a detector without members.
 func New() *Watch {
 	return &Watch{lastHeard: map[string]time.Time{}, silent: map[string]bool{}}
 }
 
-// Expect sets the members that should be heard. The time of a new one starts
-// now; others are forgotten.
+// SetMembers sets the members to monitor. The timeout of a new member starts now; members that
+// are not listed are dropped.
 func (dt *Watch) Expect(vms []string, now time.Time) {
 	next := make(map[string]time.Time, len(vms))
 	for _, vm := range vms {
@@ -61,20 +62,19 @@
 	}
 }
 
-// Heard says that a member lives.
+// Heard records that a sign of life of a member was received.
 func (dt *Watch) Heard(vm string, now time.Time) {
 	dt.lastHeard[vm] = now
 	delete(dt.silent, vm)
 }
 
-// Due returns the members whose time has run out.
+// Check returns the members that have timed out.
 //
-// Two failures look like the death of members and are the observer's own. If
-// the process was frozen, or its clock jumped, the members' news lies unread
-// while their time has run out: it shows as a gap between two calls, and all
-// members get their time anew. If the observer was cut off, many go silent at
-// once: they are marked as silent, which keeps them in use at a lower
-// preference, and not as gone.
+// Two faults of the observer look like the death of members. If the process was suspended, or
+// its clock jumped, members time out while their messages are still unread. This shows as a
+// gap between two calls, and the timeouts of all members start again. If the observer was
+// disconnected, many members go silent at once. They are reported as silent rather than gone,
+// which keeps them in use at a lower preference.
 func (dt *Watch) Due(now time.Time) Result {
 	gap := now.Sub(dt.lastCheck)
 	if !dt.lastCheck.IsZero() && (gap > maxCheckGap || gap < 0) {
@@ -87,7 +87,7 @@
 	unheard := 0
 	for vm, at := range dt.lastHeard {
 		age := now.Sub(at)
-		// Those that follow at once count as one event with the due.
+		// Members that are about to time out belong to the same event.
 		if age >= After/2 {
 			unheard++
 		}
--- a/internal/mesh/expire/expire_test.go
+++ b/internal/mesh/expire/expire_test.go
@@ -17,8 +17,8 @@
 	return list
 }
 
-// runDetector runs a watch for a time; heard tells who is heard at each tick, and
-// away for how long the observer does not run from a tick on.
+// runDetector runs a detector for the time span. heard reports which members are heard from at
+// each check, and away how long the observer is suspended, or its clock jumps, before a check.
 func runDetector(members int, span time.Duration, heard func(vm string, at time.Duration) bool, away func(at time.Duration) time.Duration) (gone, silent []string) {
 	dt := New()
 	start := time.Unix(1000, 0)
@@ -29,7 +29,7 @@
 		}
 		now := start.Add(at)
 		dt.Expect(slices.DeleteFunc(slices.Clone(vms), func(vm string) bool { return slices.Contains(gone, vm) }), now)
-		// News that comes while the observer is away is read after the tick.
+		// Messages that arrive while the observer is suspended are read after the check.
 		due := dt.Due(now)
 		gone = append(gone, due.Gone...)
 		silent = append(silent, due.Silent...)
@@ -56,18 +56,18 @@
 		{"all live", 5, dead(), nil, nil, nil},
 		{"one dies", 5, dead("vm-1"), nil, []string{"vm-1"}, nil},
 		{"two of nine die", 9, dead("vm-1", "vm-2"), nil, []string{"vm-1", "vm-2"}, nil},
-		{"the only other one dies", 1, dead("vm-0"), nil, []string{"vm-0"}, nil},
-		// The observer was cut off, not the members.
+		{"only other member dies", 1, dead("vm-0"), nil, []string{"vm-0"}, nil},
+		// The observer is disconnected, not the members.
 		{"most go silent at once", 5, dead("vm-0", "vm-1", "vm-2"), nil, nil, []string{"vm-0", "vm-1", "vm-2"}},
 		{"all go silent at once", 9, dead(vmNames(9)...), nil, nil, vmNames(9)},
-		// The observer was frozen, and the news lies unread.
-		{"a frozen observer", 5, dead(), func(at time.Duration) time.Duration {
+		// The observer is suspended while messages wait to be read.
+		{"observer suspended", 5, dead(), func(at time.Duration) time.Duration {
 			if at == 20*time.Second {
 				return time.Minute
 			}
 			return 0
 		}, nil, nil},
-		{"a clock that jumps back", 5, dead(), func(at time.Duration) time.Duration {
+		{"clock jumps back", 5, dead(), func(at time.Duration) time.Duration {
 			if at == 20*time.Second {
 				return -15 * time.Second
 			}
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestHeardMembersStay: a member that is heard at least every half of After is never
-// marked, whoever dies beside it and whenever the observer is away.
+// TestHeardMembersStay checks that a member that is heard from at least every half of Timeout
+// is never marked, whichever other members die and whenever the observer is suspended.
 func TestHeardMembersStay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(1, 8).Draw(t, "members")
@@ -117,7 +117,7 @@
 		})
 		for _, vm := range append(gone, silent...) {
 			if alive(vm, 59*time.Second+Tick) {
-				t.Fatalf("%s lives and was marked", vm)
+				t.Fatalf("%s is alive but was marked", vm)
 			}
 		}
 	})
--- a/internal/mesh/follow/doc.go
+++ b/internal/mesh/follow/doc.go
@@ -1,5 +1,5 @@
-// Package follow decides which daemons follow the platform's store for the whole
-// mesh: two relays in different failure domains, and others in their place as
-// soon as the store no longer answers these. It only decides; what a daemon knows
-// of the others is brought by links.
+// Package follow decides which daemons watch the platform's store on behalf of the whole mesh:
+// two relays in different failure domains, and substitutes as soon as the store no longer
+// answers these. The package only makes the decision; the state of the other daemons arrives
+// over links.
 package follow
--- a/internal/mesh/follow/follow.go
+++ b/internal/mesh/follow/follow.go
@@ -6,35 +6,36 @@
 )
 
 const (
-	// Enough is how many relays follow the store at a time. Each reads every
-	// version whole, so that more of them load the store. With two, one may be killed or
-	// cut off without any delay.
+	// FollowerCount is how many relays follow the store at a time. Each follower reads every
+	// version in full, so more of them would load the store. With two, either one may be killed
+	// or disconnected without delaying new versions.
 	Enough = 2
-	// Wait is how long a watch of the store waits. A store that has fallen silent for
-	// one who follows it is noticed after as long and some slack.
+	// WatchTimeout is the long-poll timeout of a watch on the store. A follower notices a store
+	// that stopped answering after this time plus some slack.
 	Wait = time.Second
-	// TellEvery is how often one who follows says so. That it no longer does is said at
-	// once, and a link to it that breaks tells as much.
+	// AnnounceInterval is how often a follower announces itself. It announces at once that it
+	// has stopped following, and a broken link to it says the same.
 	TellEvery = 3 * time.Second
-	// AnnounceTTL is for how long such word counts, which comes over two links with the next
-	// packet of each, a second later at most. It is for those who fell silent without
-	// a link that broke.
+	// AnnounceTTL is how long an announcement is valid. It covers followers that stop without
+	// any link breaking. An announcement travels over two links, with the next packet of each,
+	// which takes at most one second per link.
 	AnnounceTTL = TellEvery + 2500*time.Millisecond
-	// ageTolerance is by how much the same answer seems to come later over other links, as
-	// each rounds its age.
+	// ageTolerance is by how much the time of one answer may differ between links, since each
+	// link rounds the age of the answer.
 	ageTolerance = 200 * time.Millisecond
-	// takeoverDelay is how long one who could stand in leaves it to the next before it: a read
-	// of a large version, and the way of the news.
+	// takeoverDelay is how long a candidate leaves a vacancy to the candidate ahead of it:
+	// enough to read a large version and to propagate the announcement.
 	takeoverDelay = 150 * time.Millisecond
 )
 
-// Heard is when the store last answered each daemon that follows it, as far as it is
-// known here. The zero value knows of none.
+// Followers records when the store last answered each daemon that follows it, as far as this
+// daemon knows. The zero value is empty and ready for use.
 type Heard struct {
 	lastAnswer map[string]time.Time
 }
 
-// Answered notes that the store answered a daemon, and reports whether that is news.
+// RecordAnswer records that the store answered a daemon, and reports whether this was not
+// known yet.
 func (fw *Heard) Answered(vm string, at time.Time) bool {
 	if fw.lastAnswer == nil {
 		fw.lastAnswer = map[string]time.Time{}
@@ -46,8 +47,8 @@
 	return true
 }
 
-// Lost notes that the store no longer answers a daemon, unless it did so after the time
-// given. It reports whether that is news.
+// RecordLoss records that the store stopped answering a daemon at the given time, unless a
+// later answer is known. It reports whether the daemon was removed.
 func (fw *Heard) Lost(vm string, at time.Time) bool {
 	last, ok := fw.lastAnswer[vm]
 	if !ok || last.After(at) {
@@ -57,13 +58,13 @@
 	return true
 }
 
-// active reports whether a daemon follows the store.
+// active reports whether a daemon follows the store by its last valid announcement.
 func (fw *Heard) active(vm string, now time.Time) bool {
 	at, ok := fw.lastAnswer[vm]
 	return ok && now.Sub(at) <= AnnounceTTL
 }
 
-// Each calls yield for each daemon that follows the store, with when it was answered.
+// Each calls yield for each daemon that follows the store, with the time of its last answer.
 func (fw *Heard) Each(now time.Time, yield func(vm string, at time.Time)) {
 	for vm, at := range fw.lastAnswer {
 		if fw.active(vm, now) {
@@ -72,9 +73,9 @@
 	}
 }
 
-// Order returns the relays of all failure domains in the order in which they follow the
-// store: the first ones of each failure domain, then the second ones. Its argument has the
-// relays of each failure domain, the domains sorted.
+// Order returns the relays of all failure domains in the order of preference for following
+// the store: the first relay of each failure domain, then the second ones, and so on. The
+// argument lists the relays of each failure domain, sorted by domain.
 func Order(relays [][]string) []string {
 	var list []string
 	for rank := 0; ; rank++ {
@@ -91,17 +92,21 @@
 	}
 }
 
-// Turn decides for one daemon whether it follows. The zero value is ready for use.
+// Candidate decides whether one daemon should follow the store. The zero value is ready for
+// use.
 type Turn struct {
-	// vacantSince is since when too few follow before this one.
+	// vacantSince is since when there are too few followers ahead of this daemon, the zero time
+	// if there are enough.
 	vacantSince time.Time
 }
 
-// Vacant reports whether too few followed before this one when it was asked last.
+// HasVacancy reports whether there were too few followers ahead of this daemon at the last
+// call of ShouldFollow.
 func (ca *Turn) Vacant() bool { return !ca.vacantSince.IsZero() }
 
-// Due reports whether the daemon me follows the store now. Whoever stands in waits
-// for those before it in order, so that one vacancy is not filled by all at once.
+// ShouldFollow reports whether the daemon self should follow the store now. A substitute gives
+// the candidates ahead of it in the order time to take over first, so that a single vacancy is
+// not filled by all of them at once.
 func (ca *Turn) Due(self string, order []string, fw *Heard, now time.Time) bool {
 	active, inactive := 0, 0
 	for _, vm := range order {
@@ -125,7 +130,7 @@
 	return now.Sub(ca.vacantSince) >= time.Duration(max(0, turnsAhead))*takeoverDelay
 }
 
-// Position returns the place of a daemon in an order, its length where it is not in it.
+// Position returns the index of a daemon in order, or len(order) if it is not listed.
 func Position(vm string, order []string) int {
 	if i := slices.Index(order, vm); i >= 0 {
 		return i
--- a/internal/mesh/follow/follow_test.go
+++ b/internal/mesh/follow/follow_test.go
@@ -12,29 +12,30 @@
 		t.Errorf("order %v, want %v", got, want)
 	}
 	if Order(nil) != nil {
-		t.Error("an order of nobody")
+		t.Error("order of no relays is not empty")
 	}
 }
 
-// TestShouldFollow is a table of who follows, by who was heard and since when it is vacant.
+// TestShouldFollow checks which daemons follow, by when the store last answered each of them
+// and by how long the vacancy has lasted.
 func TestShouldFollow(t *testing.T) {
 	order := []string{"a", "b", "c", "d", "e"}
 	const ms = time.Millisecond
 	for _, tc := range []struct {
 		name  string
 		heard map[string]time.Duration // how long ago
-		after time.Duration            // since the vacancy was seen
+		after time.Duration            // since the vacancy was noticed
 		want  []string
 	}{
-		{"nobody was heard, at once", nil, 0, []string{"a", "b"}},
-		{"nobody was heard, after a step", nil, 150 * ms, []string{"a", "b", "c"}},
-		{"nobody was heard for long", nil, time.Second, order},
-		{"the first two follow", map[string]time.Duration{"a": 100 * ms, "b": 200 * ms}, time.Hour, []string{"a", "b"}},
-		{"one of them has fallen silent", map[string]time.Duration{"a": 5600 * ms, "b": 200 * ms}, 0, []string{"a", "b"}},
-		{"and others take its place in turn", map[string]time.Duration{"a": 5800 * ms, "b": 200 * ms}, 160 * ms, []string{"a", "b", "c"}},
-		{"one has taken its place", map[string]time.Duration{"b": 200 * ms, "c": 100 * ms}, time.Second, []string{"a", "b", "c"}},
-		{"the first is back", map[string]time.Duration{"a": 50 * ms, "b": 200 * ms, "c": 100 * ms}, time.Second, []string{"a", "b"}},
-		{"heard just long enough ago", map[string]time.Duration{"a": AnnounceTTL, "b": AnnounceTTL}, time.Second, []string{"a", "b"}},
+		{"no follower known, at once", nil, 0, []string{"a", "b"}},
+		{"no follower known, after one takeover delay", nil, 150 * ms, []string{"a", "b", "c"}},
+		{"no follower known for a long time", nil, time.Second, order},
+		{"first two follow", map[string]time.Duration{"a": 100 * ms, "b": 200 * ms}, time.Hour, []string{"a", "b"}},
+		{"announcement expired, at once", map[string]time.Duration{"a": 5600 * ms, "b": 200 * ms}, 0, []string{"a", "b"}},
+		{"announcement expired, after one takeover delay", map[string]time.Duration{"a": 5800 * ms, "b": 200 * ms}, 160 * ms, []string{"a", "b", "c"}},
+		{"substitute has taken over", map[string]time.Duration{"b": 200 * ms, "c": 100 * ms}, time.Second, []string{"a", "b", "c"}},
+		{"first relay is back", map[string]time.Duration{"a": 50 * ms, "b": 200 * ms, "c": 100 * ms}, time.Second, []string{"a", "b"}},
+		{"announcements at the limit of AnnounceTTL", map[string]time.Duration{"a": AnnounceTTL, "b": AnnounceTTL}, time.Second, []string{"a", "b"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			start := time.Unix(1000, 0)
@@ -55,27 +56,27 @@
 				}
 			}
 			if !slices.Equal(got, tc.want) {
-				t.Errorf("%v follow, want %v", got, tc.want)
+				t.Errorf("followers %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestFollowers: news come late and crossed. An answer that is older than one which is known
-// changes nothing, nor does a loss that was said before the last answer.
+// TestFollowers checks that announcements that arrive late or out of order change nothing: an
+// answer older than the known one, and a loss that precedes the last answer.
 func TestFollowers(t *testing.T) {
 	at := time.Unix(1000, 0)
 	var fw Heard
 	if fw.Lost("a", at) {
-		t.Error("one that never followed was lost")
+		t.Error("loss of a daemon that never followed was reported as new")
 	}
 	if !fw.Answered("a", at) || fw.Answered("a", at) || fw.Answered("a", at.Add(-time.Second)) {
-		t.Error("only a later answer is news")
+		t.Error("an answer must be reported as new if, and only if, it is later than the known one")
 	}
 	if fw.Lost("a", at.Add(-time.Second)) || !fw.active("a", at) {
-		t.Error("an old loss undid a later answer")
+		t.Error("a loss that precedes the last answer removed the follower")
 	}
 	if !fw.Lost("a", at.Add(time.Second)) || fw.active("a", at) || fw.Lost("a", at.Add(time.Second)) {
-		t.Error("a loss is news once")
+		t.Error("a loss must be reported as new exactly once")
 	}
 }
--- a/internal/mesh/member/doc.go
+++ b/internal/mesh/member/doc.go
@@ -1,4 +1,4 @@
-// Package member keeps the records in which VMs state what they serve. Merging
-// takes the highest of two records, so that order, delay and repetition of
-// messages do not matter and a dead process is not revived.
+// Package member holds the membership records in which VMs describe themselves. Of two
+// records of a VM the higher one wins, so the order, delay and repetition of messages do not
+// matter, and a late message does not bring a dead process back.
 package member
--- a/internal/mesh/member/member.go
+++ b/internal/mesh/member/member.go
@@ -13,15 +13,15 @@
 	"github.com/flamingomast/flamingomast/internal/mesh/wirepb"
 )
 
-// Record is one VM's statement about itself. Only its owner changes it, but
-// for the mark that a relay adds when it no longer hears the owner.
+// Record is the membership record of a VM. Only the owner, the daemon of that VM, changes it;
+// a relay only adds a mark when it no longer receives messages from the owner.
 type Record struct {
 	VM     string
 	Domain string
-	// Incarnation rises with each process of the VM, Sequence with each
-	// statement of one process.
+	// Incarnation increases with each daemon process of the VM, Sequence with each record that
+	// one process publishes.
 	Incarnation, Sequence uint64
-	// Nonce tells two processes apart that took the same incarnation.
+	// Nonce distinguishes two processes that chose the same incarnation.
 	Nonce   uint64
 	Mark    Mark
 	State   State
@@ -29,56 +29,57 @@
 	Slots   int
 	// Inlet and Control are addresses (host:port).
 	Inlet, Control string
-	// Since is when the backend server began to serve.
+	// Since is when the backend server started serving.
 	Since time.Time
-	// Lifetime names the start of the backend server.
+	// Lifetime identifies the current process of the backend server.
 	Lifetime string
-	// Leaving is the last start of the backend server that said it leaves.
+	// Leaving is the last process of the backend server that announced its departure.
 	Leaving Leaver
-	// ColdUntil is until when it is slow after its start, by the wall clock of
-	// the VM.
+	// ColdUntil is the end of the backend server's warm-up, by the wall clock of the VM.
 	ColdUntil time.Time
-	// Capacity is the rate of the VM's link in Mbit/s, 0 where it is not known.
+	// Capacity is the rate of the VM's link in Mbit/s, 0 if unknown.
 	Capacity uint32
-	// Software is the version of the backend server's software, where it tells.
+	// Software is the version of the backend server's software, empty if it reports none.
 	Software string
 }
 
-// Leaver is a start of a backend server that said it leaves. The zero value is none.
+// Departure identifies a process of a backend server that announced that it is leaving. The
+// zero value means none.
 type Leaver struct {
 	Lifetime string
-	// StartedMs is the Unix time in milliseconds of the start, 0 where the server
-	// did not tell. A server may start again under the name that it had.
+	// StartedMs is the Unix start time in milliseconds, 0 if the server did not report it. It
+	// is needed since a restarted server may reuse its Lifetime.
 	StartedMs int64
-	// At is the number of the announcement by which it said so.
+	// Number is the number of the announcement in which it said so.
 	At uint64
 }
 
-// Mark is what a relay adds to a record.
+// Mark is the liveness assessment that a relay adds to a record.
 type Mark int
 
-// The marks. A mark holds until the owner makes a newer statement.
+// The marks. A mark holds until the owner publishes a newer record.
 const (
-	// MarkNone means that the owner was heard.
+	// MarkNone means that the owner is alive.
 	MarkNone Mark = iota
-	// MarkSilent means that it is not heard, which may be the observer's fault.
+	// MarkSilent means that nothing is received from the owner, possibly because the observer
+	// itself is isolated.
 	MarkSilent
-	// MarkGone means that it is taken for dead.
+	// MarkGone means that the owner is considered dead.
 	MarkGone
 )
 
-// State is what a daemon says of its backend server.
+// State is the state of a VM's backend server as its daemon publishes it.
 type State int
 
 // The states.
 const (
 	// StateAbsent means that no backend server has announced itself.
 	StateAbsent State = iota + 1
-	// StateServing means that it takes requests.
+	// StateServing means that the backend server accepts requests.
 	StateServing
-	// StateDraining means that it takes no new ones.
+	// StateDraining means that the backend server accepts no new requests.
 	StateDraining
-	// StateLeft means that the daemon has ended.
+	// StateLeft means that the daemon has shut down.
 	StateLeft
 )
 
@@ -97,9 +98,9 @@
 	return "unknown"
 }
 
-// Compare orders the records of one VM by age. The owner makes no two
-// statements with the same numbers, so records that compare equal are equal,
-// and taking the highest is commutative, associative and idempotent.
+// Compare orders the records of one VM from oldest to newest. The owner never publishes two
+// records with the same numbers, so records that compare equal are equal, and taking the
+// highest is commutative, associative and idempotent.
 func (rc *Record) Compare(other *Record) int {
 	return cmp.Or(
 		cmp.Compare(rc.Incarnation, other.Incarnation),
@@ -109,20 +110,20 @@
 	)
 }
 
-// SameProcess reports whether both records come from one process.
+// SameProcess reports whether both records come from the same daemon process.
 func (rc *Record) SameProcess(other *Record) bool {
 	return rc.Incarnation == other.Incarnation && rc.Nonce == other.Nonce
 }
 
-// Process names the process of the record's owner.
+// Process returns an identifier of the daemon process that owns the record.
 func (rc *Record) Process() string {
 	return strconv.FormatUint(rc.Incarnation, 36) + "-" + strconv.FormatUint(rc.Nonce, 36)
 }
 
-// Live reports whether the VM's daemon is taken to be running.
+// Live reports whether the VM's daemon is considered running.
 func (rc *Record) Live() bool { return rc.Mark != MarkGone && rc.State != StateLeft }
 
-// Serving reports whether the VM's backend server takes new requests.
+// Serving reports whether the VM's backend server accepts new requests.
 func (rc *Record) Serving() bool { return rc.Mark != MarkGone && rc.State == StateServing }
 
 func (rc *Record) hash() uint64 {
@@ -134,7 +135,7 @@
 	return xxhash.Sum64(append(b, rc.VM...))
 }
 
-// ToWire returns the record as a message.
+// ToWire converts the record to its protobuf message.
 func (rc *Record) ToWire() *wirepb.Record {
 	pb := &wirepb.Record{
 		Vm: rc.VM, Domain: rc.Domain, Incarnation: rc.Incarnation, Sequence: rc.Sequence, Nonce: rc.Nonce,
@@ -151,7 +152,7 @@
 	return pb
 }
 
-// FromWire returns the record of a message.
+// FromWire converts a protobuf message to a record.
 func FromWire(pb *wirepb.Record) *Record {
 	rc := &Record{
 		VM: pb.GetVm(), Domain: pb.GetDomain(), Incarnation: pb.GetIncarnation(), Sequence: pb.GetSequence(), Nonce: pb.GetNonce(),
@@ -168,18 +169,19 @@
 	return rc
 }
 
-// View is an immutable set of records, by VM.
+// View is an immutable set of records with one record per VM. The nil View is empty.
 type View struct {
 	byVM map[string]*Record
-	// Domains has the live records of each failure domain, sorted by VM.
+	// LiveByDomain holds the live records of each failure domain, sorted by VM.
 	Domains map[string][]*Record
-	// Controls has the control addresses of the live records.
+	// LiveControls holds the control addresses of the live records.
 	Controls map[string]bool
-	// Hashes sums up all records of each failure domain, for repair.
+	// Hashes holds a hash over all records of each failure domain, by which relays find out
+	// that their records differ.
 	Hashes map[string]uint64
 }
 
-// Get returns the record of a VM, or nil.
+// Get returns the record of a VM, or nil if there is none.
 func (vw *View) Get(vm string) *Record {
 	if vw == nil {
 		return nil
@@ -187,7 +189,7 @@
 	return vw.byVM[vm]
 }
 
-// Len returns how many records there are.
+// Len returns the number of records.
 func (vw *View) Len() int {
 	if vw == nil {
 		return 0
@@ -195,7 +197,7 @@
 	return len(vw.byVM)
 }
 
-// LiveLen returns how many live records there are.
+// LiveLen returns the number of live records.
 func (vw *View) LiveLen() int {
 	if vw == nil {
 		return 0
@@ -207,7 +209,7 @@
 	return n
 }
 
-// All calls yield for each record, in no order.
+// All iterates over the records in no particular order.
 func (vw *View) All(yield func(*Record) bool) {
 	if vw == nil {
 		return
@@ -219,7 +221,7 @@
 	}
 }
 
-// Live returns the live records of a failure domain.
+// Live returns the live records of a failure domain, sorted by VM.
 func (vw *View) Live(domain string) []*Record {
 	if vw == nil {
 		return nil
@@ -227,8 +229,8 @@
 	return vw.Domains[domain]
 }
 
-// Merge returns the view with those of the records that are newer than what it
-// has, and lists them. It returns vw itself when none is.
+// Merge returns a view that includes those of the given records that are newer than the ones
+// in vw, and the list of these newer records. It returns vw itself if there are none.
 func (vw *View) Merge(records []*Record) (*View, []*Record) {
 	var newer []*Record
 	for _, rc := range records {
@@ -252,8 +254,8 @@
 	return next, newer
 }
 
-// Without returns the view without the records of VMs that are not live and
-// that drop names.
+// WithoutDead returns the view without the records that are not live and for whose VM drop
+// returns true.
 func (vw *View) Without(drop func(vm string) bool) *View {
 	next := &View{byVM: make(map[string]*Record, vw.Len())}
 	for rc := range vw.All {
@@ -268,8 +270,8 @@
 	return next
 }
 
-// WithoutOldest returns the view without the oldest of the records that are not
-// live, where there are more than spare beyond the number of live ones.
+// LimitDead drops the oldest records that are not live, so that at most spare more of them
+// remain than there are live ones.
 func (vw *View) WithoutOldest(spare int) *View {
 	var dead []*Record
 	for rc := range vw.All {
@@ -289,6 +291,7 @@
 	return vw.Without(func(vm string) bool { return drop[vm] })
 }
 
+// buildIndexes computes the exported fields from byVM.
 func (vw *View) buildIndexes() {
 	vw.Domains = map[string][]*Record{}
 	vw.Hashes = map[string]uint64{}
--- a/internal/mesh/member/member_test.go
+++ b/internal/mesh/member/member_test.go
@@ -15,7 +15,7 @@
 		Incarnation: uint64(rapid.IntRange(1, 3).Draw(t, "incarnation")), Sequence: uint64(rapid.IntRange(1, 3).Draw(t, "sequence")),
 		Nonce: uint64(rapid.IntRange(1, 2).Draw(t, "nonce")), Mark: Mark(rapid.IntRange(0, 2).Draw(t, "mark")),
 	}
-	// What the owner says follows from the numbers of its statement.
+	// An owner publishes only one record with given numbers, so they determine the state.
 	rc.State = State(1 + (rc.Incarnation+rc.Sequence+rc.Nonce)%4)
 	return rc
 }
@@ -28,8 +28,8 @@
 	return m
 }
 
-// TestMergeOrder: whatever the order in which records come, and however often,
-// all observers end with the same ones, and none ever goes back.
+// TestMergeOrder checks that all observers end with the same records, in whatever order and
+// however often they receive them, and that no observer returns to an older record.
 func TestMergeOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := rapid.SliceOfN(rapid.Custom(drawRecord), 1, 12).Draw(t, "records")
@@ -38,7 +38,7 @@
 			before := a.Get(rc.VM)
 			a, _ = a.Merge([]*Record{rc})
 			if before != nil && a.Get(rc.VM).Compare(before) < 0 {
-				t.Fatalf("%+v gave way to %+v", before, a.Get(rc.VM))
+				t.Fatalf("record %+v was replaced by the older record %+v", before, a.Get(rc.VM))
 			}
 		}
 		for _, i := range rapid.Permutation(indexes(len(list))).Draw(t, "order") {
@@ -48,10 +48,10 @@
 			b, _ = b.Merge([]*Record{list[i]})
 		}
 		if diff := cmp.Diff(recordsByVM(a), recordsByVM(b)); diff != "" {
-			t.Fatalf("two observers differ:\n%s", diff)
+			t.Fatalf("two observers hold different records:\n%s", diff)
 		}
 		if a.Hashes["d"] != b.Hashes["d"] {
-			t.Fatal("equal views with different hashes")
+			t.Fatal("equal views have different hashes")
 		}
 	})
 }
@@ -64,8 +64,8 @@
 	return list
 }
 
-// TestHash: views that differ in one record have different hashes, or repair
-// would not see it.
+// TestHash checks that views that differ in one record have different hashes; relays compare
+// only the hashes and would not exchange the record otherwise.
 func TestHash(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rc, other := drawRecord(t), drawRecord(t)
@@ -86,7 +86,7 @@
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff(&Record{}, FromWire(nil)); diff != "" {
-		t.Errorf("a missing record (-want +got):\n%s", diff)
+		t.Errorf("record of a nil message (-want +got):\n%s", diff)
 	}
 }
 
@@ -96,7 +96,7 @@
 	})
 	next := vw.Without(func(vm string) bool { return vm != "kept" })
 	if next.Get("live") == nil || next.Get("gone") != nil || next.Get("kept") == nil {
-		t.Errorf("left are %v", recordsByVM(next))
+		t.Errorf("remaining records: %v, want those of live and kept", recordsByVM(next))
 	}
 }
 
--- a/internal/mesh/member/seed_test.go
+++ b/internal/mesh/member/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// The fixed seed makes the properties the same in each run.
+// A fixed seed makes the property tests reproducible.
 func init() { _ = flag.Set("rapid.seed", "1") }
