--- a/internal/mesh/poison/doc.go
+++ b/internal/mesh/poison/doc.go
@@ -1,12 +1,14 @@
-// Package poison keeps which requests backend servers ended under, and decides which of
-// them are not run any more.
+// Package poison records which requests were running when backend servers crashed, and decides
+// which of these requests to refuse.
 //
-// A server that ends takes all that it was running with it, one request of which may be
-// the cause, a poison request. It is told from those beside it by what happens next: they
-// are answered when they run again, and it ends the next server. So each end counts
-// against all that ran there, and an answer takes from a request all ends that were known
-// of it by then.
+// When a server crashes it takes down all requests that it was running. One of them may be the
+// cause, a poison request. It differs from the others by what happens when they are run again:
+// the others are answered, and the poison request crashes the next server. So each crash counts
+// against all requests that the server was running, and an answer clears a request of all
+// crashes that were known of it by then.
 //
-// Reports are statements that stay true, so they may come late, twice and in any order.
-// Each daemon has the same after it has heard the same.
+// A crash is any end of a server's process while it runs requests, whatever the reason.
+//
+// Reports never become false, so they may arrive late, repeatedly and in any order. Daemons
+// that have received the same reports hold the same state.
 package poison
--- a/internal/mesh/poison/encode.go
+++ b/internal/mesh/poison/encode.go
@@ -11,29 +11,30 @@
 	"github.com/flamingomast/flamingomast/internal/path/ident"
 )
 
-// maxStored is of how many refused requests the platform's store is told, the worst first.
+// maxStored is the highest number of refused requests that are written to the platform's
+// store, those with the most crashes first.
 const maxStored = 64
 
-// storedReport is a report as the platform's store has it. Numbers of 64 bits are hexadecimal
-// text, since readers of JSON round large ones.
+// storedReport is the JSON form of a report in the platform's store. 64-bit numbers are
+// hexadecimal strings, since JSON readers may round large numbers.
 type storedReport struct {
 	Head  string `json:"head"`
 	Key   string `json:"request-key"`
 	Crash string `json:"end"`
-	// AtMs is the Unix time in milliseconds of the end.
+	// AtMs is the Unix time in milliseconds of the crash.
 	AtMs     int64 `json:"at-ms"`
 	Answered bool  `json:"answered,omitempty"`
 }
 
-// Refused returns what the platform's store is told: all reports of requests that are not
-// run, for daemons that cannot hear it from each other.
+// RefusedReports returns the reports to write to the platform's store: all reports of refused
+// requests. Daemons that cannot reach each other learn of these requests from the store.
 func (vw *View) Refused() []Report {
 	list := vw.Reports(maxStored)
 	return slices.DeleteFunc(list, func(re Report) bool { return vw.Ends(re.Key) < Most })
 }
 
-// Same reports whether two lists say the same. When an end was is not compared: each daemon
-// reckons it by its own clock.
+// SameReports reports whether two lists contain the same reports in any order. The times are
+// not compared, since each daemon computes them by its own clock.
 func Same(a, b []Report) bool {
 	normalize := func(list []Report) []Report {
 		list = slices.Clone(list)
@@ -46,7 +47,8 @@
 	return slices.Equal(normalize(a), normalize(b))
 }
 
-// Encode returns the reports as the platform's store has them at a moment.
+// Encode returns the reports in the JSON form of the platform's store. now is the current time
+// by the clock that the times of the reports refer to.
 func Encode(list []Report, now time.Time) ([]byte, error) {
 	rows := make([]storedReport, len(list))
 	for i, re := range list {
@@ -55,19 +57,19 @@
 	return json.Marshal(rows)
 }
 
-// Decode reads what Encode returned, as of a moment; nothing stands for no reports. Other
-// daemons tell the time of day, which is turned into an age once: what is compared later
-// goes by the steady clock.
+// Decode parses the JSON form of Encode; an empty value means no reports. The stored times are
+// wall-clock times of other daemons. Each is converted to an age once, so that later comparisons
+// use the monotonic clock of now.
 func Decode(value []byte, now time.Time) ([]Report, error) {
 	if len(value) == 0 {
 		return nil, nil
 	}
 	var rows []storedReport
 	if err := json.Unmarshal(value, &rows); err != nil {
-		return nil, fmt.Errorf("poison: %w", err)
+		return nil, fmt.Errorf("poison: decoding reports: %w", err)
 	}
 	if len(rows) > maxStored*maxCrashes {
-		return nil, fmt.Errorf("poison: %d reports, at most %d are kept", len(rows), maxStored*maxCrashes)
+		return nil, fmt.Errorf("poison: %d reports exceed the limit of %d", len(rows), maxStored*maxCrashes)
 	}
 	list := make([]Report, len(rows))
 	for i, row := range rows {
--- a/internal/mesh/poison/encode_test.go
+++ b/internal/mesh/poison/encode_test.go
@@ -7,8 +7,8 @@
 	"github.com/flamingomast/flamingomast/internal/path/ident"
 )
 
-// TestEncodeDecode: what one daemon writes to the platform's store another one reads, and only
-// requests that are refused are written.
+// TestEncodeDecode checks that a daemon reads back what another one wrote to the platform's
+// store, and that only refused requests are written.
 func TestEncodeDecode(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	var list []Report
@@ -27,23 +27,23 @@
 	}
 	read, _ := (*View)(nil).Merge(got, start)
 	if !read.Refuses(1<<63+1, start, 0) || read.Ends(2) != 0 || len(got) != Most+1 {
-		t.Errorf("read back as %v", got)
+		t.Errorf("decoded reports %v, want those of the refused request only", got)
 	}
 	ahead, err := Decode(text, start.Add(-time.Minute))
 	if err != nil || !ahead[0].At.Equal(start.Add(-time.Minute)) {
-		t.Errorf("an end in the future is taken for %v (error %v), want one of this moment", ahead[0].At, err)
+		t.Errorf("crash with a time in the future decoded as %v (error %v), want the present time", ahead[0].At, err)
 	}
 	later := append([]Report(nil), got...)
 	for i := range later {
 		later[i].At = later[i].At.Add(time.Millisecond)
 	}
 	if !Same(got, later) || Same(got, got[1:]) {
-		t.Error("lists are the same by what they say, not by when")
+		t.Error("lists must be compared by their reports, ignoring the times")
 	}
 }
 
-// FuzzDecode: whatever something else wrote to the key, a daemon reads it or says why
-// not, and goes on.
+// FuzzDecode checks that any value that another program wrote to the key is either decoded or
+// rejected with an error.
 func FuzzDecode(f *testing.F) {
 	for _, text := range []string{"", "[]", `[{"head":"1","request-key":"2","end":"3","at-ms":4}]`, `[{"head":"x"}]`, `{}`, `[{"at-ms":1e99}]`, "null"} {
 		f.Add([]byte(text))
@@ -56,7 +56,7 @@
 		vw, _ := (*View)(nil).Merge(list, time.Now())
 		for key := range ident.Key(4) {
 			if vw.Ends(key) > maxCrashes {
-				t.Errorf("request %d has %d ends", key, vw.Ends(key))
+				t.Errorf("request %d has %d crashes, more than maxCrashes", key, vw.Ends(key))
 			}
 		}
 	})
--- a/internal/mesh/poison/poison.go
+++ b/internal/mesh/poison/poison.go
@@ -10,62 +10,63 @@
 	"github.com/flamingomast/flamingomast/internal/path/ident"
 )
 
-// When a request is not run.
+// When requests are refused.
 const (
-	// Most is the number of ends, over all servers, from which it is not run.
+	// RefuseThreshold is the number of crashes, over all servers, from which a request is
+	// refused.
 	Most = 3
-	// Apart is the number of ends from which it is not run beside another such request:
-	// if the server ends as well, it is known which of them was the cause.
+	// IsolateThreshold is the number of crashes from which a request is not run concurrently
+	// with another such request: if the server crashes again, the cause is known.
 	Apart = 2
-	// refusePeriod is how long after the last end it is not run. Then it is tried again,
-	// as a new version of the servers may have mended the fault; one more end, and it is
-	// not run for as long again.
+	// refusePeriod is how long after its last crash a request is refused. Then it is tried
+	// again, as a new version of the servers may have fixed the fault. One more crash starts
+	// the period again.
 	refusePeriod = 10 * time.Minute
-	// RefuseSpread is the span over which daemons begin to try it again, each at a
-	// moment of its own: the first one tells the others what became of it.
+	// RetryJitter is the interval over which daemons spread their retries after refusePeriod,
+	// so that the first one can report the result to the others.
 	RefuseSpread = time.Minute
-	// retention is how long after its last end a request is kept in mind.
+	// retention is how long after its last crash a request is remembered.
 	retention = time.Hour
 )
 
-// The bounds of what is kept. Servers that all end again and again, with all that they
-// run, would fill the memory of the daemons otherwise.
+// Limits on what is remembered. Without them, servers that all crash repeatedly, each time with
+// all requests that they run, would fill the memory of the daemons.
 const (
-	// maxRequests is how many requests are kept, maxCrashes how many ends of each.
+	// maxRequests is the number of requests, maxCrashes the number of crashes of each.
 	maxRequests = 1024
 	maxCrashes  = 8
 )
 
-// Crash names the end of one lifetime of a backend server.
+// CrashID identifies the crash of one process of a backend server.
 type End uint64
 
-// Report says that a server ended while it ran a request or, where it is Answered, that
-// the request was answered by a server though that end was known of it.
+// Report states that a server crashed while it was running a request or, if Answered is set,
+// that a server answered the request after that crash was known.
 type Report struct {
 	Head uint64
 	Key  ident.Key
 	End  End
-	// At is when the server ended, by the reader's clock.
+	// At is when the server crashed, by the clock of this daemon.
 	At       time.Time
 	Answered bool
 }
 
-// crash is an end that a server came to under a request.
+// crash is a crash of a server that was running the request.
 type crash struct {
 	End
 	at       time.Time
 	answered bool
 }
 
-// request is what is known of one request. It is not changed once it is in a view.
+// request is what is known of one request. It is immutable once it is part of a view.
 type request struct {
 	head    uint64
 	crashes []crash
-	// last is the newest end.
+	// last is the time of the newest crash.
 	last time.Time
 }
 
-// crashCount returns the number of ends that no answer was given to.
+// crashCount returns the number of crashes that no later answer has cleared.
 func (rq *request) crashCount() (n int) {
 	for _, cr := range rq.crashes {
 		if !cr.answered {
@@ -75,21 +76,22 @@
 	return n
 }
 
-// View is what a daemon knows of such requests. It is never changed: Merge returns
-// another one. The nil view knows nothing.
+// View is an immutable set of suspected requests; Merge returns a new one. The nil View is
+// empty.
 type View struct {
 	requests map[ident.Key]*request
-	// suspectHeads has the heads of requests with ends that count.
+	// suspectHeads holds the heads of requests with crashes that count.
 	suspectHeads map[uint64]bool
 }
 
-// Suspects reports whether servers may have ended under a request, by its head. It is asked
-// for each request: most need no key because of it, and none a head while nothing is known.
+// Suspects reports whether servers may have crashed while running a request, judging by its
+// head alone. It is called for every request and saves computing the key of most requests, and
+// the head as well while no request is suspected.
 func (vw *View) Suspects(r *http.Request) bool {
 	return vw != nil && len(vw.suspectHeads) > 0 && vw.suspectHeads[ident.Head(r)]
 }
 
-// Ends returns how many servers a request has ended, as far as is known.
+// CrashCount returns how many crashes count against a request.
 func (vw *View) Ends(key ident.Key) int {
 	if vw == nil || vw.requests[key] == nil {
 		return 0
@@ -97,13 +99,14 @@
 	return vw.requests[key].crashCount()
 }
 
-// Refuses reports whether a request is not to be run. A daemon tries it again later than
-// others by its spread.
+// Refuses reports whether a request is to be refused. The jitter of the daemon prolongs
+// refusePeriod.
 func (vw *View) Refuses(key ident.Key, now time.Time, jitter time.Duration) bool {
 	return vw.Ends(key) >= Most && now.Sub(vw.requests[key].last) < refusePeriod+jitter
 }
 
-// Answered returns the reports that a request was answered by a server.
+// AnswerReports returns the reports to publish after a server answered a request: one for each
+// known crash that no answer has cleared yet.
 func (vw *View) Answered(key ident.Key) []Report {
 	list := slices.DeleteFunc(vw.Of(key), func(re Report) bool { return re.Answered })
 	for i := range list {
@@ -112,8 +115,8 @@
 	return list
 }
 
-// Len returns how many requests have ends that count, and how many as many as are not
-// run.
+// Counts returns the number of requests with crashes that count, and the number of those that
+// have reached RefuseThreshold.
 func (vw *View) Len() (suspected, refused int) {
 	if vw == nil {
 		return 0, 0
@@ -129,8 +132,8 @@
 	return suspected, refused
 }
 
-// Reports returns what a daemon that knows nothing has to be told: of those requests
-// under which most servers ended, up to most of them.
+// Reports returns the reports to send to a daemon that has just started. They are limited to
+// the given number of requests, those with the most crashes first.
 func (vw *View) Reports(limit int) []Report {
 	if vw == nil {
 		return nil
@@ -145,7 +148,7 @@
 	return list
 }
 
-// Of returns all reports of a request that are known.
+// ReportsOf returns all known reports of a request.
 func (vw *View) Of(key ident.Key) []Report {
 	if vw == nil || vw.requests[key] == nil {
 		return nil
@@ -158,7 +161,8 @@
 	return list
 }
 
-// byCrashCount returns all requests, those with the most and the newest ends first.
+// byCrashCount returns the keys of all requests, those with the most and the newest crashes
+// first.
 func (vw *View) byCrashCount() []ident.Key {
 	return slices.SortedFunc(maps.Keys(vw.requests), func(a, b ident.Key) int {
 		ra, rb := vw.requests[a], vw.requests[b]
@@ -166,7 +170,8 @@
 	})
 }
 
-// Merge returns the view with the reports in it, and those that were news.
+// Merge returns a view that includes the reports, and the list of those that were not known
+// yet. It returns vw itself if all were.
 func (vw *View) Merge(list []Report, now time.Time) (next *View, added []Report) {
 	next = &View{requests: map[ident.Key]*request{}, suspectHeads: map[uint64]bool{}}
 	if vw != nil {
@@ -189,7 +194,6 @@
 	return next, added
 }
 
-// earlier returns the earlier one of two times.
 func earlier(a, b time.Time) time.Time {
 	if b.Before(a) {
 		return b
@@ -197,9 +201,9 @@
 	return a
 }
 
-// withReport returns the request with one more report of it, nil where that is no news. Of a
-// full list the oldest end makes room for a newer one only, so that reports which go
-// round do not displace each other for ever.
+// withReport returns a copy of the request with one more report, or nil if the report adds
+// nothing. In a full list only a newer crash replaces the oldest one. Otherwise reports that
+// circulate between daemons would displace each other forever.
 func (rq *request) withReport(re Report) *request {
 	next := request{head: re.Head, last: re.At}
 	if rq != nil {
@@ -225,8 +229,8 @@
 	return &next
 }
 
-// trim forgets requests whose last end is long ago and, of too many, those with the
-// fewest and the oldest ends.
+// trim drops requests whose last crash is older than retention and, beyond maxRequests, those
+// with the fewest and the oldest crashes. It also rebuilds suspectHeads.
 func (vw *View) trim(now time.Time) {
 	maps.DeleteFunc(vw.requests, func(_ ident.Key, rq *request) bool { return now.Sub(rq.last) >= retention })
 	if len(vw.requests) > maxRequests {
--- a/internal/mesh/poison/poison_test.go
+++ b/internal/mesh/poison/poison_test.go
@@ -11,9 +11,9 @@
 	"github.com/flamingomast/flamingomast/internal/path/ident"
 )
 
-// TestCrashCount plays orders of ends and answers. A lookup that many callers make is at
-// every server that ends, and its answers show that it is not the cause; the request that
-// is the cause is never answered.
+// TestCrashCount checks sequences of crashes and answers. A lookup that many callers make runs
+// on every server that crashes, but its answers clear it. The request that causes the crashes is
+// never answered.
 func TestCrashCount(t *testing.T) {
 	const suspect, other ident.Key = 1, 2
 	start := time.Unix(1_000_000, 0)
@@ -30,38 +30,38 @@
 		crashes int
 		refused bool
 	}{
-		{"nothing known", nil, 0, 0, false},
+		{"no reports", nil, 0, 0, false},
 		{"two servers", []Report{crash(suspect, 1, 0), crash(suspect, 2, 0)}, 0, 2, false},
 		{"three servers", []Report{crash(suspect, 1, 0), crash(suspect, 2, 0), crash(suspect, 3, 0)}, 0, 3, true},
-		{"one server, told three times", []Report{crash(suspect, 1, 0), crash(suspect, 1, 0), crash(suspect, 1, time.Second)}, 0, 1, false},
-		{"three servers under two requests", []Report{crash(suspect, 1, 0), crash(other, 2, 0), crash(suspect, 3, 0)}, 0, 2, false},
-		{"answered between", []Report{crash(suspect, 1, 0), crash(suspect, 2, 0), answered(crash(suspect, 1, 0)), answered(crash(suspect, 2, 0)), crash(suspect, 3, 0)}, 0, 1, false},
-		{"an answer that comes before the end", []Report{answered(crash(suspect, 1, 0)), crash(suspect, 1, 0), crash(suspect, 2, 0), crash(suspect, 3, 0)}, 0, 2, false},
-		{"answered after three", []Report{crash(suspect, 1, 0), crash(suspect, 2, 0), crash(suspect, 3, 0), answered(crash(suspect, 1, 0))}, 0, 2, false},
-		{"tried again after a time", []Report{crash(suspect, 1, 0), crash(suspect, 2, 0), crash(suspect, 3, 0)}, refusePeriod, 3, false},
-		{"and ends another one", []Report{crash(suspect, 1, 0), crash(suspect, 2, 0), crash(suspect, 3, 0), crash(suspect, 4, refusePeriod)}, refusePeriod, 4, true},
-		{"forgotten", []Report{crash(suspect, 1, 0), crash(suspect, 2, 0), crash(suspect, 3, 0), crash(other, 4, retention)}, retention, 0, false},
-		{"told too late", []Report{crash(suspect, 1, -retention), crash(suspect, 2, 0)}, 0, 1, false},
-		{"a clock ahead", []Report{crash(suspect, 1, time.Hour), crash(suspect, 2, time.Hour), crash(suspect, 3, time.Hour)}, refusePeriod, 3, false},
+		{"one crash, reported three times", []Report{crash(suspect, 1, 0), crash(suspect, 1, 0), crash(suspect, 1, time.Second)}, 0, 1, false},
+		{"three servers with two requests", []Report{crash(suspect, 1, 0), crash(other, 2, 0), crash(suspect, 3, 0)}, 0, 2, false},
+		{"answered after two crashes", []Report{crash(suspect, 1, 0), crash(suspect, 2, 0), answered(crash(suspect, 1, 0)), answered(crash(suspect, 2, 0)), crash(suspect, 3, 0)}, 0, 1, false},
+		{"answer arrives before the crash", []Report{answered(crash(suspect, 1, 0)), crash(suspect, 1, 0), crash(suspect, 2, 0), crash(suspect, 3, 0)}, 0, 2, false},
+		{"one of three crashes answered", []Report{crash(suspect, 1, 0), crash(suspect, 2, 0), crash(suspect, 3, 0), answered(crash(suspect, 1, 0))}, 0, 2, false},
+		{"retried after refusePeriod", []Report{crash(suspect, 1, 0), crash(suspect, 2, 0), crash(suspect, 3, 0)}, refusePeriod, 3, false},
+		{"retry crashes another server", []Report{crash(suspect, 1, 0), crash(suspect, 2, 0), crash(suspect, 3, 0), crash(suspect, 4, refusePeriod)}, refusePeriod, 4, true},
+		{"expired", []Report{crash(suspect, 1, 0), crash(suspect, 2, 0), crash(suspect, 3, 0), crash(other, 4, retention)}, retention, 0, false},
+		{"reported too late", []Report{crash(suspect, 1, -retention), crash(suspect, 2, 0)}, 0, 1, false},
+		{"clock ahead", []Report{crash(suspect, 1, time.Hour), crash(suspect, 2, time.Hour), crash(suspect, 3, time.Hour)}, refusePeriod, 3, false},
 	} {
 		var vw *View
 		for _, re := range tc.reports {
 			now := re.At
-			if tc.name == "a clock ahead" || now.Before(start) {
+			if tc.name == "clock ahead" || now.Before(start) {
 				now = start
 			}
 			vw, _ = vw.Merge([]Report{re}, now)
 		}
 		now := start.Add(tc.after)
 		if got := vw.Ends(suspect); got != tc.crashes || vw.Refuses(suspect, now, 0) != tc.refused || vw.Suspects(lookup) != (tc.crashes > 0) {
-			t.Errorf("%s: %d ends, refused %t, suspected %t; want %d and %t", tc.name, got, vw.Refuses(suspect, now, 0), vw.Suspects(lookup), tc.crashes, tc.refused)
+			t.Errorf("%s: %d crashes, refused %t, suspected %t; want %d and %t", tc.name, got, vw.Refuses(suspect, now, 0), vw.Suspects(lookup), tc.crashes, tc.refused)
 		}
 	}
 }
 
-// TestMergeOrder: reports cross each other on the way between daemons. Whatever the order
-// in which they come, and how often, all daemons refuse the same requests, and what is no
-// news is not passed on again, for otherwise it would go round for ever.
+// TestMergeOrder checks that all daemons refuse the same requests, in whatever order and however
+// often the reports reach them, and that a known report is not returned as new. A daemon forwards
+// new reports, so it would circulate forever.
 func TestMergeOrder(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	rapid.Check(t, func(t *rapid.T) {
@@ -78,17 +78,17 @@
 		}
 		for key := range ident.Key(5) {
 			if one.Ends(key) != two.Ends(key) {
-				t.Fatalf("request %d: %d and %d ends", key, one.Ends(key), two.Ends(key))
+				t.Fatalf("request %d: %d and %d crashes, want the same", key, one.Ends(key), two.Ends(key))
 			}
 		}
 		if _, added := two.Merge(one.Reports(maxRequests), now); len(added) > 0 {
-			t.Fatalf("news to the one that heard the same: %v", added)
+			t.Fatalf("known reports were returned as new: %v", added)
 		}
 	})
 }
 
-// TestBounds: every server ends again and again, each time under other requests. What is
-// kept stays bounded, and the request that ended most servers is not displaced.
+// TestBounds checks that memory stays bounded while all servers crash repeatedly, each time with
+// other requests, and that the request with the most crashes is not displaced.
 func TestBounds(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	var vw *View
@@ -99,19 +99,18 @@
 		vw, _ = vw.Merge([]Report{{Head: 2, Key: ident.Key(i + 2), End: 1, At: start.Add(time.Hour / 2)}}, start.Add(time.Hour/2))
 	}
 	if got := vw.Ends(1); got != maxCrashes {
-		t.Errorf("%d ends are kept of the worst request, want %d", got, maxCrashes)
+		t.Errorf("%d crashes are kept of the worst request, want %d", got, maxCrashes)
 	}
 	if suspected, refused := vw.Len(); suspected != maxRequests || refused != 1 {
 		t.Errorf("%d requests are kept and %d refused, want %d and 1", suspected, refused, maxRequests)
 	}
 	reports := vw.Reports(10)
 	if n := len(slices.CompactFunc(reports, func(a, b Report) bool { return a.Key == b.Key })); n != 10 || reports[0].Key != 1 {
-		t.Errorf("one that starts is told of %d requests, the first %v; want 10, the worst first", n, reports[0].Key)
+		t.Errorf("reports of %d requests, the first %v; want 10, the one with the most crashes first", n, reports[0].Key)
 	}
 }
 
-// BenchmarkMerge is the price of one end that a daemon hears of, with as much in mind as
-// there may be.
+// BenchmarkMerge measures merging one report into a view with maxRequests requests.
 func BenchmarkMerge(b *testing.B) {
 	now := time.Now()
 	var vw *View
--- a/internal/mesh/relay/relay.go
+++ b/internal/mesh/relay/relay.go
@@ -9,22 +9,21 @@
 	"github.com/flamingomast/flamingomast/internal/mesh/member"
 )
 
-// Count is how many relays a failure domain has: two that can die at once and
-// one that remains. It does not grow with the members, so that the platform's
-// load does not either.
+// Count is the number of relays of a failure domain: two may die at once and one remains. It
+// does not grow with the number of members, so neither does the load on the platform.
 const Count = 3
 
-// Choose returns the relays among the live records of one failure domain, the
-// first choice first. A silent member is chosen only when too few others live,
-// and the VMs with the widest links go first: a relay reads each version whole
-// from the platform, and on a narrow link all requests of the VM wait meanwhile.
+// Choose returns the relays among the live records of one failure domain, in order of
+// preference. A silent member is chosen only if too few others are live. VMs with the fastest
+// links are preferred: a relay reads each version in full from the platform, and on a slow link
+// all requests of the VM wait meanwhile.
 func Choose(live []*member.Record) []*member.Record {
 	return rank(live, "relay", Count)
 }
 
-// Order returns relays in the order in which the member vm should use them:
-// each member has its own, so that members spread over the relays and, when
-// one dies, over those that remain.
+// Order returns relays in the order in which the member vm should use them. Each member has its
+// own order, so that the members spread over the relays and, when a relay dies, over the
+// remaining ones.
 func Order(relays []*member.Record, vm string) []*member.Record {
 	return rank(relays, vm, len(relays))
 }
@@ -38,6 +37,8 @@
 	return list
 }
 
+// rank returns up to count records: those without a mark first, then those with the fastest
+// links, then by the hash of the seed and the VM.
 func rank(list []*member.Record, seed string, count int) []*member.Record {
 	type candidate struct {
 		rc    *member.Record
--- a/internal/mesh/relay/relay_test.go
+++ b/internal/mesh/relay/relay_test.go
@@ -15,7 +15,7 @@
 	return list
 }
 
-// TestStable: one member more or less changes one relay at most, and the
+// TestStable checks that adding or removing one member changes at most one relay, and that the
 // members spread over the relays.
 func TestStable(t *testing.T) {
 	live := fleet(100)
@@ -32,7 +32,7 @@
 			}
 		}
 		if changed > 1 {
-			t.Errorf("without %s %d relays changed", live[i].VM, changed)
+			t.Errorf("removing %s changed %d relays, want at most 1", live[i].VM, changed)
 		}
 	}
 	load := map[string]int{}
@@ -41,25 +41,25 @@
 	}
 	for vm, n := range load {
 		if n < 20 || n > 50 {
-			t.Errorf("relay %s has %d of 100 members", vm, n)
+			t.Errorf("relay %s has %d of 100 members, want 20 to 50", vm, n)
 		}
 	}
 }
 
-// TestSilent: a member that is not heard is chosen last.
+// TestSilent checks that a silent member is chosen last.
 func TestSilent(t *testing.T) {
 	live := fleet(5)
 	live[Choose(live)[0].VM[3]-'0'].Mark = member.MarkSilent
 	for _, rc := range Choose(live) {
 		if rc.Mark != member.MarkNone {
-			t.Errorf("%s was chosen", rc.VM)
+			t.Errorf("silent member %s was chosen", rc.VM)
 		}
 	}
 }
 
-// TestWideLinks: of a failure domain's VMs a few have wide links. They must be its
-// relays: on the others a relay's reading of versions kept requests waiting.
-func TestWideLinks(t *testing.T) {
+// TestFastLinks checks that the few VMs with fast links become the relays of a failure domain.
+// On the other VMs, reading versions as a relay delayed requests.
+func TestFastLinks(t *testing.T) {
 	live := fleet(29)
 	for i, rc := range live {
 		rc.Capacity = 5
@@ -69,13 +69,13 @@
 	}
 	relays := Choose(live)
 	if relays[0].Capacity != 100 || relays[1].Capacity != 100 || len(relays) != Count {
-		t.Errorf("the relays are %v", relays)
+		t.Errorf("relays %v, want the two VMs with fast links first", relays)
 	}
 	load := map[string]int{}
 	for _, rc := range live {
 		load[Order(relays, rc.VM)[0].VM]++
 	}
 	if load["vm-7"] < 5 || load["vm-11"] < 5 || load["vm-7"]+load["vm-11"] != len(live) {
-		t.Errorf("members use the relays %v", load)
+		t.Errorf("members per relay %v, want all on the two relays with fast links", load)
 	}
 }
