--- a/internal/mesh/board/board.go
+++ b/internal/mesh/board/board.go
@@ -11,91 +11,93 @@
 	"github.com/flamingomast/flamingomast/internal/roll/canary"
 )
 
-// Board holds what a daemon knows.
+// Board holds the shared state of a daemon.
 type Board struct {
-	// Latest is the newest configuration known, compared with its digest but
-	// not yet compiled. Only Offer writes it.
+	// Latest is the newest known configuration. Its digest is verified, but it is not compiled
+	// yet. Only Offer writes it.
 	Latest Cell[Config]
-	// Held is the configuration in force here.
+	// Held is the configuration in force in this daemon.
 	Held Cell[snap.Snapshot]
-	// Refused is the newest version that could not be compiled.
+	// Refused is the newest version that failed to compile.
 	Refused Cell[Refusal]
-	// Floor is the lowest version that may be held, and whether it is known.
+	// Floor is the lowest version that this daemon may put in force.
 	Floor Cell[Floor]
-	// Members holds all records.
+	// Members holds the membership records of all VMs.
 	Members Cell[member.View]
 	// Self is the daemon's own record.
 	Self Cell[member.Record]
-	// Forerunner is what peers keep of the VM's former process; nil until a peer
-	// has answered.
+	// Predecessor is what peers know of the VM's previous daemon process, nil until a peer has
+	// answered.
 	Forerunner Cell[Forerunner]
-	// Links says whom the daemon is connected to, and whether it is a relay.
+	// Links lists the peers that the daemon is connected to, and whether it is a relay.
 	Links Cell[Links]
-	// Cut holds the failure domains that the relay has no link to.
+	// Unreachable holds the failure domains that the relay has no link to.
 	Cut Cell[CutSet]
-	// Platform says how the platform last answered.
+	// Platform is the state of the platform's store as last seen by this daemon or reported by
+	// one that follows the store.
 	Platform Cell[Platform]
-	// Epoch is the newest epoch of the platform's store that is known here or at peers.
-	// Only EnterEpoch writes it.
+	// Epoch is the newest epoch of the platform's store that this daemon or its peers know.
+	// Only AdvanceEpoch writes it.
 	Epoch Cell[store.Epoch]
-	// Rollouts has the newest rollout of each service.
+	// Rollouts holds the newest rollout of each service.
 	Rollouts Cell[canary.View]
-	// Poison has the requests that backend servers ended under.
+	// Poison holds the requests during which backend servers crashed.
 	Poison Cell[poison.View]
-	// Replaced is set once another process has taken over this VM's name.
+	// Replaced is the record of another process that has taken over this VM's name.
 	Replaced Cell[member.Record]
 }
 
-// Forerunner is what peers keep of a VM's former process.
+// Predecessor is what peers know of a VM's previous daemon process.
 type Forerunner struct {
-	// Leaver is empty as long as none of them knows of one.
+	// Departure is the zero value as long as no peer knows of a departure.
 	member.Leaver
-	// Peers names those that have answered.
+	// Peers lists the peers that have answered.
 	Peers []string
 }
 
-// Config is a version with its whole content.
+// Config is a version of the configuration with its full content.
 type Config struct {
 	Version uint64
 	Content *pack.Content
 }
 
-// Refusal is a version that this release cannot hold, and why.
+// Refusal is a version that this release cannot compile, and the reason.
 type Refusal struct {
 	Version uint64
 	Reason  string
 }
 
-// Floor bounds from below what a daemon may hold. A process that replaces
-// another must not hold an older version than that one did, so none is taken
-// before peers or their proven absence have settled what that was.
+// Floor is the lowest version that a daemon may put in force. A process that replaces another
+// must not use an older version than that one did. So no version is installed until the floor
+// is settled, either by peers or by proof that there are none.
 type Floor struct {
 	Version uint64
 	Settled bool
 }
 
-// Links names the peers that a daemon is connected to.
+// Links lists the peers that a daemon is connected to, and whether it is a relay.
 type Links struct {
 	Relay bool
 	Peers []string
 }
 
-// CutSet is a set of failure domains.
+// DomainSet is a set of failure domains.
 type CutSet map[string]bool
 
-// Platform says how the platform last answered.
+// Platform is the state of the platform's store: the version it shows, the error of the last
+// request, and since when this has been so.
 type Platform struct {
 	Version uint64
 	Err     error
 	Since   time.Time
-	// Behind is set while the platform shows an older version than is held:
-	// it was set back.
+	// Behind is set while the platform shows an older version than the one in force, because
+	// its store was reset to an earlier state.
 	Behind bool
 }
 
-// Offer takes a configuration if it is newer than the latest known. It is the
-// only writer of Latest, so Latest never goes back, in whatever order offers
-// come. It reports whether the offer was taken.
+// Offer stores a configuration if it is newer than the latest one, and reports whether it did.
+// It is the only writer of Latest, so Latest never decreases, in whatever order configurations
+// arrive.
 func (bd *Board) Offer(cfg *Config) bool {
 	taken := false
 	bd.Latest.Update(func(cur *Config) *Config {
@@ -108,8 +110,8 @@
 	return taken
 }
 
-// RaiseFloor raises the floor to at least version; settle says that nobody is
-// left to ask who may know a higher one.
+// RaiseFloor raises the floor to at least version. settle means that no peer is left to ask that
+// may know a higher one.
 func (bd *Board) RaiseFloor(version uint64, settle bool) {
 	bd.Floor.Update(func(cur *Floor) *Floor {
 		next := Floor{Version: version, Settled: settle}
@@ -124,9 +126,8 @@
 	})
 }
 
-// Install makes sn the configuration in force if it is newer than the one held
-// and not below the floor, and reports whether it did. It is the only writer of
-// Held.
+// Install puts sn in force if the floor is settled, sn is not below it, and sn is newer than the
+// configuration in force, and reports whether it did. It is the only writer of Held.
 func (bd *Board) Install(sn *snap.Snapshot) bool {
 	fl := bd.Floor.Get()
 	if fl == nil || !fl.Settled || sn.Version < fl.Version {
@@ -143,8 +144,8 @@
 	return installed
 }
 
-// EnterEpoch takes an epoch of the platform's store if it is newer than the one known. It
-// reports whether it was, and whether an earlier one was known.
+// AdvanceEpoch stores an epoch of the platform's store if it is newer than the known one. It
+// reports whether it was, and whether an earlier epoch was known.
 func (bd *Board) EnterEpoch(ep store.Epoch) (advanced, hadEarlier bool) {
 	bd.Epoch.Update(func(cur *store.Epoch) *store.Epoch {
 		if advanced = ep > 0 && (cur == nil || ep > *cur); !advanced {
@@ -156,7 +157,7 @@
 	return advanced, hadEarlier
 }
 
-// KnownEpoch returns the newest epoch known, 0 for none.
+// KnownEpoch returns the newest known epoch, or 0 if there is none.
 func (bd *Board) KnownEpoch() store.Epoch {
 	if ep := bd.Epoch.Get(); ep != nil {
 		return *ep
@@ -164,7 +165,7 @@
 	return 0
 }
 
-// HeldVersion returns the version in force, 0 for none.
+// HeldVersion returns the version in force, or 0 if there is none.
 func (bd *Board) HeldVersion() uint64 {
 	if sn := bd.Held.Get(); sn != nil {
 		return sn.Version
@@ -172,7 +173,7 @@
 	return 0
 }
 
-// LatestVersion returns the newest version known, 0 for none.
+// LatestVersion returns the newest known version, or 0 if there is none.
 func (bd *Board) LatestVersion() uint64 {
 	if cfg := bd.Latest.Get(); cfg != nil {
 		return cfg.Version
--- a/internal/mesh/board/cell.go
+++ b/internal/mesh/board/cell.go
@@ -5,19 +5,19 @@
 	"sync/atomic"
 )
 
-// Cell holds one fact. Reading takes no lock: a writer replaces the value as a
-// whole, and a reader keeps the one that it has seen. The zero Cell is empty
-// and ready for use.
+// Cell holds a shared value that can be watched. Reading takes no lock: writers replace the
+// value as a whole, and a reader keeps the value that it has loaded. The zero Cell is empty and
+// ready for use.
 type Cell[T any] struct {
 	value   atomic.Pointer[T]
 	mu      sync.Mutex
 	changed chan struct{}
 }
 
-// Get returns the value, nil when none was set. It must not be changed.
+// Get returns the value, or nil if none was set. The caller must not modify it.
 func (cl *Cell[T]) Get() *T { return cl.value.Load() }
 
-// Watch returns the value and a channel that is closed once it is replaced.
+// Watch returns the value and a channel that is closed when the value is replaced.
 func (cl *Cell[T]) Watch() (*T, <-chan struct{}) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -32,8 +32,8 @@
 	cl.Update(func(*T) *T { return v })
 }
 
-// Update replaces the value by what fn makes of it. Updates exclude one
-// another. It does nothing when fn returns the value that it was given.
+// Update replaces the value by the result of fn. Updates are serialized. Update does nothing if
+// fn returns the value that it was given.
 func (cl *Cell[T]) Update(fn func(*T) *T) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
--- a/internal/mesh/board/doc.go
+++ b/internal/mesh/board/doc.go
@@ -1,3 +1,3 @@
-// Package board is the blackboard of a daemon: the facts that its controllers
-// write and that other controllers and the path of a request read.
+// Package board is the blackboard of a daemon: the shared state that its controllers write, and
+// that other controllers and the request path read.
 package board
--- a/internal/mesh/link/crash.go
+++ b/internal/mesh/link/crash.go
@@ -8,12 +8,12 @@
 	"github.com/flamingomast/flamingomast/internal/path/ident"
 )
 
-// maxCrashReports is how many reports of requests that servers ended under wait on a link; of
-// more the peer hears by another way, or not before the next end.
+// maxCrashReports is the number of crash reports that may wait on a link. Reports beyond it are
+// dropped: the peer receives them over another link, or only after the next crash.
 const maxCrashReports = 4096
 
-// SendEnds sends reports of requests under which servers ended, at once: until they have
-// come, the request may end one more server behind the peer.
+// SendCrashReports sends crash reports without delay. Until they arrive, a poison request may
+// crash one more server behind the peer.
 func (pr *Peer) SendEnds(list []poison.Report) {
 	if len(list) == 0 {
 		return
@@ -31,7 +31,8 @@
 	})
 }
 
-// groupCrashes puts the requests of one end together.
+// groupCrashes combines reports into one message per crash, with separate messages for answered
+// and unanswered requests.
 func groupCrashes(crashes map[poison.Report]bool, now time.Time) (list []*wirepb.ServerEnd) {
 	type groupKey struct {
 		crash    poison.End
@@ -51,8 +52,8 @@
 	return list
 }
 
-// Ends returns the reports of a packet. A statement of which the parts do not belong
-// together says nothing.
+// CrashReports returns the crash reports of a packet. It skips malformed messages, whose lists
+// of heads and keys differ in length.
 func Ends(pk *wirepb.Packet, now time.Time) (list []poison.Report) {
 	for _, se := range pk.Ends {
 		if len(se.Heads) != len(se.Keys) {
@@ -68,5 +69,5 @@
 	return list
 }
 
-// maxAge stands for all ages beyond it, far above that up to which a report counts.
+// maxAge caps the ages that a peer states. It is far above the age up to which a report counts.
 const maxAge = 24 * time.Hour
--- a/internal/mesh/link/doc.go
+++ b/internal/mesh/link/doc.go
@@ -1,4 +1,4 @@
-// Package link carries packets between two daemons. What waits to be sent is
-// kept as state, the newest of each kind, and not as a queue: a slow peer gets
-// fewer and larger packets and costs a bounded memory.
+// Package link exchanges packets between two daemons. Pending data is kept as state, the newest
+// value of each kind, rather than as a queue: a slow peer receives fewer and larger packets, and
+// the memory per peer is bounded.
 package link
--- a/internal/mesh/link/link.go
+++ b/internal/mesh/link/link.go
@@ -17,67 +17,68 @@
 	"github.com/flamingomast/flamingomast/internal/roll/canary"
 )
 
-// The times of a link.
+// Timing of a link.
 const (
-	// Beat is the longest time without a packet from a living peer.
+	// HeartbeatInterval is the longest time between two packets from a live peer.
 	Beat = time.Second
-	// Silence is how long a peer may send nothing before the link is ended. A
-	// frozen process keeps its connection open; only its silence shows it.
+	// PeerTimeout is how long a peer may send nothing before the link is closed. A suspended
+	// process keeps its connections open, so it can be detected only by its silence.
 	//
-	// It is below the three seconds after which a daemon whose connections went
-	// silent without a reset must follow new versions again.
+	// It is below the 3 s within which a daemon whose connections went silent without a reset
+	// has to follow new versions again.
 	Silence = 2500 * time.Millisecond
-	// batchDelay is how long news waits for more of it before a packet is sent.
+	// batchDelay is how long data waits for more data before a packet is sent.
 	batchDelay = 20 * time.Millisecond
-	// bulkBatchDelay is how much longer it waits once many records wait, as when a fleet
-	// starts: each daemon then hears of each other one in several statements, and a
-	// packet for each of them is most of what the herd costs.
+	// bulkBatchDelay is the additional delay while many records are pending, as when a fleet
+	// starts. Each daemon then receives several records of every other daemon, and one packet
+	// per record would be most of the cost of the start.
 	bulkBatchDelay = 130 * time.Millisecond
 )
 
-// ErrSilent says that a peer sent nothing for the time Silence.
-var ErrSilent = errors.New("link: the peer is silent")
+// ErrPeerTimeout means that a peer sent nothing for PeerTimeout.
+var ErrSilent = errors.New("link: no packet from the peer within the timeout")
 
 // Stream is one side of an open stream.
 type Stream struct {
 	Send    func(*wirepb.Packet) error
 	Receive func() (*wirepb.Packet, error)
-	// Abort ends the stream at once, also while Send or Receive waits.
+	// Abort closes the stream immediately, even while Send or Receive is blocked.
 	Abort func()
 }
 
-// Peer is a daemon at the other end of a link.
+// Peer is the daemon at the other end of a link.
 type Peer struct {
-	// Record and Relay are what the peer's last Hello said, Ready that there was
-	// one. The owner of the peer guards them.
+	// Record and Relay are the values of the peer's last Hello; Ready is set once there was
+	// one. The owner of the Peer synchronizes access to them.
 	Record *member.Record
 	Relay  bool
 	Ready  bool
-	// Outgoing tells that this side opened the link.
+	// Outgoing reports whether this daemon opened the link.
 	Outgoing bool
-	// Addr is where the peer was reached, for an outgoing link.
+	// Addr is the address of the peer, for an outgoing link.
 	Addr string
-	// Born is a moment at which the peer's process ran already, Proven that it was told
-	// the newest version. The owner of the peer guards them.
+	// RunningSince is a time at which the peer's process was already running. ToldNewest is set
+	// once the peer was told which version in the store is the newest. The owner of the Peer
+	// synchronizes access to them.
 	Born   time.Time
 	Proven bool
-	// Sent, if set, is told of each packet that was sent. It is set before Run.
+	// OnSent, if set, is called after each packet that was sent. It is set before Run.
 	Sent func(pr *Peer, pk *wirepb.Packet)
 
-	lastHeard atomic.Pointer[time.Time] // when the last packet came
+	lastHeard atomic.Pointer[time.Time] // time of the last sign of life
 	idleTimer atomic.Pointer[time.Timer]
 	makeOffer func(pr *Peer, base pack.Digest) *wirepb.Version
 	stream    Stream
 	wake      chan struct{}
 
 	mu sync.Mutex
-	// version and digest are the newest that the peer is known to have.
+	// version and digest identify the newest version that the peer is known to have.
 	version uint64
 	digest  pack.Digest
-	// pending says that something waits to be sent, now that it must not wait
-	// for more, offerPending that the newest version is to be offered.
+	// pending is set if the sender was woken to send data, sendNow if the data must not be
+	// batched, and offerPending if the newest version is to be offered.
 	pending, sendNow, offerPending bool
-	// What waits: the next packet and the newest of each kind.
+	// Pending data: the next packet, and the newest value of each kind.
 	nextPacket *wirepb.Packet
 	records    map[string]*member.Record
 	held       map[string]*wirepb.Held
@@ -89,25 +90,26 @@
 	tallies    map[tallyKey]*wirepb.Tally
 }
 
-// Follow says when the store answered a daemon that follows it, or that it no longer
-// does.
+// Follow is an announcement that a daemon follows the store or, if Lost is set, that the store no
+// longer answers it.
 type Follow struct {
-	VM   string
+	VM string
+	// At is the time of the store's last answer or of the loss.
 	At   time.Time
 	Lost bool
-	// Version is what the store shows, Behind that a newer one is known.
+	// Version is the version that the store shows; Behind is set if a newer one is known.
 	Version uint64
 	Behind  bool
 }
 
-// New returns a peer. The function offer makes the version packet for a peer
-// whose newest content is base, or nil if there is nothing newer.
+// New returns a peer. makeOffer returns the version message for a peer whose newest content is
+// base, or nil if there is nothing newer.
 func New(st Stream, makeOffer func(pr *Peer, base pack.Digest) *wirepb.Version) *Peer {
 	return &Peer{stream: st, makeOffer: makeOffer, wake: make(chan struct{}, 1), nextPacket: &wirepb.Packet{}}
 }
 
-// Run sends and receives until the link ends, ctx ends or the peer is silent.
-// It calls handle for each packet, one at a time.
+// Run sends and receives packets until the link breaks, ctx is done or the peer times out. It
+// calls handle for each received packet, one at a time.
 func (pr *Peer) Run(ctx context.Context, handle func(*Peer, *wirepb.Packet)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -131,8 +133,8 @@
 	return context.Cause(ctx)
 }
 
-// Alive notes that the peer was heard, also on another stream: bytes of a large answer on the
-// same connection hold up its packets.
+// MarkAlive records a sign of life of the peer and restarts its timeout. It is also called for
+// data on other streams, since a large response on the same connection delays the packets.
 func (pr *Peer) Alive() {
 	if timer := pr.idleTimer.Load(); timer != nil {
 		timer.Reset(Silence)
@@ -141,7 +143,7 @@
 	pr.lastHeard.Store(&now)
 }
 
-// Heard returns when the last packet came, the zero time for none.
+// LastHeard returns the time of the peer's last sign of life, or the zero time if there was none.
 func (pr *Peer) Heard() time.Time {
 	if at := pr.lastHeard.Load(); at != nil {
 		return *at
@@ -187,7 +189,7 @@
 	}
 }
 
-// waitForBulk waits while many records wait and nothing that must not.
+// waitForBulk waits for bulkBatchDelay if many records are pending and nothing urgent is.
 func (pr *Peer) waitForBulk(ctx context.Context) error {
 	pr.mu.Lock()
 	bulk := len(pr.records) >= packThreshold && !pr.sendNow && !pr.offerPending
@@ -204,7 +206,7 @@
 	return pr.sendNow
 }
 
-// buildPacket takes all that waits into one packet.
+// buildPacket moves all pending data to a packet.
 func (pr *Peer) buildPacket() *wirepb.Packet {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
@@ -244,10 +246,11 @@
 	return pk
 }
 
-// packThreshold is how many records are compressed together; fewer gain nothing.
+// packThreshold is the number of records from which they are compressed; with fewer records
+// compression saves nothing.
 const packThreshold = 8
 
-// packRecords puts records into a packet, compressed where they are many.
+// packRecords adds records to a packet, compressed if there are at least packThreshold.
 func packRecords(pk *wirepb.Packet, records map[string]*member.Record) {
 	var list []*wirepb.Record
 	for _, rc := range records {
@@ -265,9 +268,8 @@
 	pk.PackedRecords = pack.Compress(raw)
 }
 
-// Records returns the records of a packet, in whichever way they were sent.
-// Records that cannot be unpacked are left out; the exchange of hashes brings
-// them again.
+// Records returns the records of a packet, whether they were compressed or not. It skips records
+// that cannot be decompressed; they are sent again after the next exchange of hashes.
 func Records(pk *wirepb.Packet) []*member.Record {
 	list := pk.Records
 	if len(pk.PackedRecords) > 0 {
@@ -284,7 +286,7 @@
 	return recs
 }
 
-// enqueue applies fn to what waits and wakes the sender.
+// enqueue calls fn to change the pending data, and wakes the sender.
 func (pr *Peer) enqueue(fn func()) {
 	pr.mu.Lock()
 	fn()
@@ -296,7 +298,7 @@
 	}
 }
 
-// Next changes the next packet; it is sent at once.
+// UpdateNext calls fn to change the next packet, which is sent without delay.
 func (pr *Peer) Next(fn func(*wirepb.Packet)) {
 	pr.enqueue(func() {
 		fn(pr.nextPacket)
@@ -304,7 +306,7 @@
 	})
 }
 
-// Offer sends the newest version if the peer is not known to have it.
+// Offer sends the latest version unless the peer is known to have it.
 func (pr *Peer) Offer(latest uint64) {
 	pr.mu.Lock()
 	behind := pr.version < latest
@@ -314,8 +316,8 @@
 	}
 }
 
-// Knows notes the newest version that the peer is known to have. What it
-// already has, or was sent, is not offered again on this link.
+// RecordVersion records the newest version that the peer has. A version that the peer has, or
+// was sent, is not offered again on this link.
 func (pr *Peer) Knows(version uint64, digest pack.Digest) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
@@ -324,7 +326,7 @@
 	}
 }
 
-// SendRecords sends records, the newest one of each VM.
+// SendRecords sends membership records. Only the newest record of each VM is kept.
 func (pr *Peer) SendRecords(list []*member.Record) {
 	if len(list) == 0 {
 		return
@@ -341,7 +343,7 @@
 	})
 }
 
-// SendHeld sends what VMs hold, the newest statement of each.
+// SendHeld sends which versions VMs hold. Only the last message for each VM is kept.
 func (pr *Peer) SendHeld(list ...*wirepb.Held) {
 	pr.enqueue(func() {
 		if pr.held == nil {
@@ -353,7 +355,7 @@
 	})
 }
 
-// SendSummary sends a summary, the newest one of each failure domain.
+// SendSummary sends a summary. Only the last summary of each failure domain is kept.
 func (pr *Peer) SendSummary(su *wirepb.Summary) {
 	pr.enqueue(func() {
 		if pr.summaries == nil {
@@ -363,7 +365,7 @@
 	})
 }
 
-// SendReach sends whether a failure domain can be reached.
+// SendReach sends whether a failure domain is reachable.
 func (pr *Peer) SendReach(re *wirepb.Reach) {
 	pr.enqueue(func() {
 		if pr.reach == nil {
@@ -373,8 +375,8 @@
 	})
 }
 
-// SendFollow sends who follows the store, the newest statement of each: that one no
-// longer does at once, all else with the next packet.
+// SendFollow sends an announcement. Only the last one of each daemon is kept. A loss wakes the
+// sender; any other announcement travels with the next packet.
 func (pr *Peer) SendFollow(fo Follow) {
 	set := func() {
 		if pr.follows == nil {
--- a/internal/mesh/link/rollout.go
+++ b/internal/mesh/link/rollout.go
@@ -9,14 +9,14 @@
 	"github.com/flamingomast/flamingomast/internal/roll/tally"
 )
 
-// maxDuration bounds times that a peer states, so that they do not overflow.
+// maxDuration caps the durations that a peer states, so that computations do not overflow.
 const maxDuration = 24 * time.Hour
 
 func durationFromMs(ms uint64) time.Duration {
 	return time.Duration(min(ms, uint64(maxDuration.Milliseconds()))) * time.Millisecond
 }
 
-// SendRollout sends how far a rollout is, the newest statement of each service.
+// SendRollout sends the state of a rollout. Only the newest state of each service is kept.
 func (pr *Peer) SendRollout(ro *canary.Rollout) {
 	pr.enqueue(func() {
 		if pr.rollouts == nil {
@@ -26,7 +26,8 @@
 	})
 }
 
-// SendTally sends counts, the newest of each VM or failure domain.
+// SendTally sends request counts. Only the newest counts of each service and VM or failure
+// domain are kept.
 func (pr *Peer) SendTally(ta *wirepb.Tally) {
 	pr.enqueue(func() {
 		if pr.tallies == nil {
@@ -38,7 +39,7 @@
 
 type tallyKey struct{ service, domain, vm string }
 
-// addRollouts puts the rollouts and tallies that wait into a packet; pr.mu is held.
+// addRollouts moves the pending rollouts and tallies to a packet. The caller holds pr.mu.
 func (pr *Peer) addRollouts(pk *wirepb.Packet, now time.Time) {
 	for _, ro := range pr.rollouts {
 		pk.Rollouts = append(pk.Rollouts, rolloutToWire(ro, now))
@@ -60,7 +61,8 @@
 	}
 }
 
-// Rollouts returns the rollouts of a packet that came at a moment.
+// Rollouts returns the rollouts of a packet received at the given time. It skips messages
+// without a service or with an unknown state.
 func Rollouts(pk *wirepb.Packet, now time.Time) []*canary.Rollout {
 	var list []*canary.Rollout
 	for _, pb := range pk.Rollouts {
@@ -81,7 +83,7 @@
 	return list
 }
 
-// TallyToWire returns counts as a message.
+// TallyToWire converts request counts to protobuf messages.
 func TallyToWire(su tally.Sum) []*wirepb.CohortTally {
 	var list []*wirepb.CohortTally
 	for software, cohorts := range su {
@@ -98,7 +100,7 @@
 	return list
 }
 
-// TallyFromWire returns the counts of a message.
+// TallyFromWire converts a protobuf message to request counts.
 func TallyFromWire(ta *wirepb.Tally) tally.Sum {
 	su := tally.Sum{}
 	for _, pb := range ta.Cohorts {
