--- a/internal/mesh/ctrl/ends.go
+++ b/internal/mesh/ctrl/ends.go
@@ -24,9 +24,9 @@
 	firstEndsBurst = 200
 )
 
-// ReportEnds tells all daemons of requests that a backend server ended under, or that
+// ReportCrashes tells all daemons of requests that a backend server ended under, or that
 // were answered since.
-func (nd *Node) ReportEnds(list []poison.Report) { nd.handleCrashReports(nil, list) }
+func (nd *Node) ReportCrashes(list []poison.Report) { nd.handleCrashReports(nil, list) }
 
 // handleCrashReports keeps reports of a peer, or this daemon's own, and passes on what is new.
 // Reports reach all daemons as records do, by relays.
--- a/internal/mesh/ctrl/ends_test.go
+++ b/internal/mesh/ctrl/ends_test.go
@@ -22,7 +22,7 @@
 func (fl *fleet) endUnder(vms ...string) {
 	for _, vm := range vms {
 		tn := fl.nodes[vm]
-		tn.ReportEnds([]poison.Report{{Head: uint64(deadly), Key: deadly, End: poison.End(tn.Board.Self.Get().Nonce), At: time.Now()}})
+		tn.ReportCrashes([]poison.Report{{Head: uint64(deadly), Key: deadly, End: poison.End(tn.Board.Self.Get().Nonce), At: time.Now()}})
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -175,7 +175,7 @@
 					key++
 					list = append(list, poison.Report{Head: key, Key: ident.Key(key), End: poison.End(key / slots), At: time.Now()})
 				}
-				fl.nodes[vm.Name].ReportEnds(list)
+				fl.nodes[vm.Name].ReportCrashes(list)
 			}
 			time.Sleep(every)
 		}
--- a/internal/mesh/ctrl/epoch.go
+++ b/internal/mesh/ctrl/epoch.go
@@ -52,7 +52,7 @@
 	}
 	nd.log.Warn("store-epoch", slog.Int64("epoch", int64(ep)))
 	nd.keeper.due.Store(true)
-	nd.cf.StoreAnswers()
+	nd.cf.OnNewEpoch()
 	select {
 	case nd.reregister <- struct{}{}:
 	default:
--- a/internal/mesh/ctrl/follow.go
+++ b/internal/mesh/ctrl/follow.go
@@ -216,7 +216,7 @@
 // version, and tells the peers whose processes ran by then: they may hold that version,
 // since none that a former process of their VM held can be newer.
 func (nd *Node) recordProof(began time.Time, version uint64) {
-	if !nd.cf.Source.Newest || version == 0 || version < nd.Board.LatestVersion() || !nd.complete() {
+	if !nd.cf.Source.Linearizable || version == 0 || version < nd.Board.LatestVersion() || !nd.complete() {
 		return
 	}
 	nd.Board.RaiseFloor(version, true)
--- a/internal/mesh/ctrl/node.go
+++ b/internal/mesh/ctrl/node.go
@@ -42,9 +42,9 @@
 	// Token is a secret that all daemons of the mesh share; empty for none.
 	Token string
 	Store store.Store
-	// StoreAnswers, if set, is called when a peer has seen the store in a new epoch, so
+	// OnNewEpoch, if set, is called when a peer has seen the store in a new epoch, so
 	// that calls are not held back any more.
-	StoreAnswers func()
+	OnNewEpoch func()
 	// FirstStart says that the whole mesh starts for the first time.
 	FirstStart bool
 	// Source says where the operators' versions are in the store; the zero
@@ -69,9 +69,9 @@
 	// Read makes a version of the key's value; known is the newest one known,
 	// nil for none. The content is nil when the version is not newer.
 	Read func(ctx context.Context, kv store.Store, known *board.Config, value []byte) (uint64, *pack.Content, error)
-	// Newest says that a read shows every version that was ever accepted, but where the
+	// Linearizable says that a read shows every version that was ever accepted, but where the
 	// store came back from an older copy. Such a read settles the floor of a new process.
-	Newest bool
+	Linearizable bool
 	// Restore writes a version again that the store lost; nil where whoever wrote it does
 	// so. Daemons may call it at the same time, and more than once.
 	Restore func(ctx context.Context, kv store.Store, cfg *board.Config) error
@@ -231,8 +231,8 @@
 	if nd.cf.Counts == nil {
 		nd.cf.Counts = func() Counts { return Counts{} }
 	}
-	if nd.cf.StoreAnswers == nil {
-		nd.cf.StoreAnswers = func() {}
+	if nd.cf.OnNewEpoch == nil {
+		nd.cf.OnNewEpoch = func() {}
 	}
 	nd.cf.Store = nd.watchEpochs(cf.Store)
 	nd.life, nd.end = context.WithCancel(context.Background())
--- a/internal/mesh/ctrl/peers.go
+++ b/internal/mesh/ctrl/peers.go
@@ -102,7 +102,7 @@
 	if len(pk.Ends) > 0 {
 		nd.handleCrashReports(pr, link.Ends(pk, time.Now()))
 	}
-	if pk.Newest > 0 && nd.cf.Source.Newest {
+	if pk.Newest > 0 && nd.cf.Source.Linearizable {
 		nd.Board.RaiseFloor(pk.Newest, true)
 	}
 	if pk.Version != nil {
@@ -168,7 +168,7 @@
 			pr.SendRollout(ro)
 		}
 	}
-	if first && !proven && !nd.isRelay() && nd.cf.Source.Newest {
+	if first && !proven && !nd.isRelay() && nd.cf.Source.Linearizable {
 		nd.wantProof()
 	}
 	nd.poke()
--- a/internal/mesh/poison/poison.go
+++ b/internal/mesh/poison/poison.go
@@ -88,7 +88,7 @@
 // head alone. It is called for every request and saves computing the key of most requests, and
 // the head as well while no request is suspected.
 func (vw *View) Suspects(r *http.Request) bool {
-	return vw != nil && len(vw.suspectHeads) > 0 && vw.suspectHeads[ident.Head(r)]
+	return vw != nil && len(vw.suspectHeads) > 0 && vw.suspectHeads[ident.HeaderHash(r)]
 }
 
 // CrashCount returns how many crashes count against a request.
--- a/internal/mesh/poison/poison_test.go
+++ b/internal/mesh/poison/poison_test.go
@@ -18,7 +18,7 @@
 	const suspect, other ident.Key = 1, 2
 	start := time.Unix(1_000_000, 0)
 	lookup := httptest.NewRequest("GET", "http://booking/visits/7", nil)
-	heads := map[ident.Key]uint64{suspect: ident.Head(lookup), other: 2}
+	heads := map[ident.Key]uint64{suspect: ident.HeaderHash(lookup), other: 2}
 	crash := func(key ident.Key, id End, after time.Duration) Report {
 		return Report{Head: heads[key], Key: key, End: id, At: start.Add(after)}
 	}
--- a/internal/node/daemon/local.go
+++ b/internal/node/daemon/local.go
@@ -83,7 +83,7 @@
 			slog.Int64("present-started", is.StartedMs()))
 	}
 	if taken && is.Lifetime() != "" && was.SameStart(is) {
-		dm.Inlet.ServerHeard()
+		dm.Inlet.ServerAnnounced()
 	}
 	if is.Leaving && !(was.Leaving && was.SameStart(is)) {
 		dm.recordLeaving(ctx, member.Leaver{Lifetime: is.Lifetime(), StartedMs: is.StartedMs(), At: an.Number})
@@ -196,7 +196,7 @@
 	dm.Inlet.Gate.Configure(slots, classes)
 	dm.Inlet.SetMaxConns(sv.Connections)
 	if !dm.closing.Load() {
-		dm.Inlet.Gate.Open()
+		dm.Inlet.Gate.Resume()
 	}
 }
 
--- a/internal/node/daemon/recall.go
+++ b/internal/node/daemon/recall.go
@@ -59,7 +59,7 @@
 // for a peer that has not heard of it. A write that takes longer than the
 // acknowledgement may wait goes on after it.
 func (dm *Daemon) recordLeaving(ctx context.Context, left member.Leaver) {
-	dm.Inlet.ServerLeaves()
+	dm.Inlet.ServerLeaving()
 	dm.setGate(dm.Node.Board.Held.Get(), server.Status{Leaving: true})
 	lv := &leaving{Lifetime: left.Lifetime, StartedMs: left.StartedMs, Number: left.At, until: time.Now().Add(leavingTTL), stored: make(chan struct{})}
 	dm.leaver.Set(lv)
--- a/internal/node/daemon/routing.go
+++ b/internal/node/daemon/routing.go
@@ -39,8 +39,8 @@
 			now := time.Now()
 			fl := pick.Fleet{Members: vw, Cut: cut, Self: dm.se.VM, Rollouts: rollouts, Admission: &admission, Now: now}
 			tb := pick.Build(sn, fl, dm.Outlet.Table())
-			if !tb.Next.IsZero() {
-				again = time.After(tb.Next.Sub(now))
+			if !tb.RebuildAt.IsZero() {
+				again = time.After(tb.RebuildAt.Sub(now))
 			}
 			if young {
 				tb.Outlets = max(tb.Outlets, unknownOutlets)
--- a/internal/path/inlet/crash.go
+++ b/internal/path/inlet/crash.go
@@ -191,7 +191,7 @@
 	if !whole {
 		return requestID{}, false
 	}
-	return requestID{head: ident.Head(r), key: ident.Of(r, body)}, true
+	return requestID{head: ident.HeaderHash(r), key: ident.KeyOf(r, body)}, true
 }
 
 // endsOf returns how many servers are known to have crashed while they ran a request.
@@ -224,7 +224,7 @@
 func (in *Inlet) isDown(tg *Target) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	return !in.fw.Load().Reach(ctx, tg.Addr) && ctx.Err() == nil
+	return !in.fw.Load().Reachable(ctx, tg.Addr) && ctx.Err() == nil
 }
 
 // isolate admits one suspect request at a time, so that a further crash tells which of them
--- a/internal/path/inlet/whose_test.go
+++ b/internal/path/inlet/whose_test.go
@@ -110,7 +110,7 @@
 // ends returns how many servers ended under the request for a path, as was reported.
 func (st *stage) ends(path string) int {
 	r := httptest.NewRequest("GET", "http://booking"+path, nil)
-	return st.in.Poison().Ends(ident.Of(r, nil))
+	return st.in.Poison().Ends(ident.KeyOf(r, nil))
 }
 
 // endsServer is what a server does that ends under a request.
@@ -216,7 +216,7 @@
 	close(st.goOn)
 	r := httptest.NewRequest("GET", "http://booking/same", nil)
 	for en := range poison.End(2) {
-		st.in.Report([]poison.Report{{Head: ident.Head(r), Key: ident.Of(r, nil), End: en, At: time.Now()}})
+		st.in.Report([]poison.Report{{Head: ident.HeaderHash(r), Key: ident.KeyOf(r, nil), End: en, At: time.Now()}})
 	}
 	if w := st.ask(context.Background(), "/same", 2); w.Code != http.StatusOK {
 		t.Fatalf("answered %d", w.Code)
--- a/internal/path/piping/front.go
+++ b/internal/path/piping/front.go
@@ -40,7 +40,7 @@
 	// read from it has been answered, as http.Server.ConnState is.
 	State func(net.Conn, http.ConnState)
 
-	held  proxy.Bound
+	held  proxy.Budget
 	ahead chan net.Conn
 	once  sync.Once
 	done  chan struct{}
@@ -49,7 +49,7 @@
 // New returns a front.
 func New(ahead func(*http.Request) bool, state func(net.Conn, http.ConnState)) *Front {
 	fr := &Front{Ahead: ahead, State: state, ahead: make(chan net.Conn), done: make(chan struct{})}
-	fr.held.Most = MostHeld
+	fr.held.Limit = MostHeld
 	return fr
 }
 
