--- a/internal/mesh/link/rolls.go
+++ b/internal/mesh/link/rollout.go
@@ -9,16 +9,16 @@
 	"github.com/flamingomast/flamingomast/internal/roll/tally"
 )
 
-// maxSpan bounds times that a peer states, so that they do not overflow.
-const maxSpan = 24 * time.Hour
+// maxDuration caps the durations that a peer states, so that computations do not overflow.
+const maxDuration = 24 * time.Hour
 
-func fromMs(ms uint64) time.Duration {
-	return time.Duration(min(ms, uint64(maxSpan.Milliseconds()))) * time.Millisecond
+func durationFromMs(ms uint64) time.Duration {
+	return time.Duration(min(ms, uint64(maxDuration.Milliseconds()))) * time.Millisecond
 }
 
-// SendRollout sends how far a rollout is, the newest statement of each service.
+// SendRollout sends the state of a rollout. Only the newest state of each service is kept.
 func (pr *Peer) SendRollout(ro *canary.Rollout) {
-	pr.change(func() {
+	pr.enqueue(func() {
 		if pr.rollouts == nil {
 			pr.rollouts = map[string]*canary.Rollout{}
 		}
@@ -26,9 +26,10 @@
 	})
 }
 
-// SendTally sends counts, the newest of each VM or failure domain.
+// SendTally sends request counts. Only the newest counts of each service and VM or failure
+// domain are kept.
 func (pr *Peer) SendTally(ta *wirepb.Tally) {
-	pr.change(func() {
+	pr.enqueue(func() {
 		if pr.tallies == nil {
 			pr.tallies = map[tallyKey]*wirepb.Tally{}
 		}
@@ -38,8 +39,8 @@
 
 type tallyKey struct{ service, domain, vm string }
 
-// packRolls puts the rollouts and tallies that wait into a packet; pr.mu is held.
-func (pr *Peer) packRolls(pk *wirepb.Packet, now time.Time) {
+// addRollouts moves the pending rollouts and tallies to a packet. The caller holds pr.mu.
+func (pr *Peer) addRollouts(pk *wirepb.Packet, now time.Time) {
 	for _, ro := range pr.rollouts {
 		pk.Rollouts = append(pk.Rollouts, rolloutToWire(ro, now))
 	}
@@ -60,7 +61,8 @@
 	}
 }
 
-// Rollouts returns the rollouts of a packet that came at a moment.
+// Rollouts returns the rollouts of a packet received at the given time. It skips messages
+// without a service or with an unknown state.
 func Rollouts(pk *wirepb.Packet, now time.Time) []*canary.Rollout {
 	var list []*canary.Rollout
 	for _, pb := range pk.Rollouts {
@@ -70,18 +72,18 @@
 		}
 		list = append(list, &canary.Rollout{
 			Order: canary.Order{
-				Service: pb.Service, Target: pb.Target, Duration: fromMs(pb.DurationMs),
+				Service: pb.Service, Target: pb.Target, Duration: durationFromMs(pb.DurationMs),
 				Revision: store.Revision{Epoch: store.Epoch(pb.Epoch), Number: pb.Number},
 			},
-			State: st, Baseline: pb.Baseline, Began: now.Add(-fromMs(pb.AgeMs)), Stored: pb.Stored,
+			State: st, Baseline: pb.Baseline, Began: now.Add(-durationFromMs(pb.AgeMs)), Stored: pb.Stored,
 			Share: float64(min(pb.Share, 1000)) / 1000, Servers: int(pb.Servers),
-			Until: now.Add(min(fromMs(pb.TtlMs), canary.TTL)), Seq: pb.Seq,
+			Until: now.Add(min(durationFromMs(pb.TtlMs), canary.TTL)), Seq: pb.Seq,
 		})
 	}
 	return list
 }
 
-// TallyToWire returns counts as a message.
+// TallyToWire converts request counts to protobuf messages.
 func TallyToWire(su tally.Sum) []*wirepb.CohortTally {
 	var list []*wirepb.CohortTally
 	for software, cohorts := range su {
@@ -98,7 +100,7 @@
 	return list
 }
 
-// TallyFromWire returns the counts of a message.
+// TallyFromWire converts a protobuf message to request counts.
 func TallyFromWire(ta *wirepb.Tally) tally.Sum {
 	su := tally.Sum{}
 	for _, pb := range ta.Cohorts {
--- a/internal/mesh/relay/relay.go
+++ b/internal/mesh/relay/relay.go
@@ -9,22 +9,21 @@
 	"github.com/flamingomast/flamingomast/internal/mesh/member"
 )
 
-// Count is how many relays a failure domain has: two that can die at once and
-// one that remains. It does not grow with the members, so that the platform's
-// load does not either.
+// Count is the number of relays of a failure domain: two may die at once and one remains. It
+// does not grow with the number of members, so neither does the load on the platform.
 const Count = 3
 
-// Choose returns the relays among the live records of one failure domain, the
-// first choice first. A silent member is chosen only when too few others live,
-// and the VMs with the widest links go first: a relay reads each version whole
-// from the platform, and on a narrow link all requests of the VM wait meanwhile.
+// Choose returns the relays among the live records of one failure domain, in order of
+// preference. A silent member is chosen only if too few others are live. VMs with the fastest
+// links are preferred: a relay reads each version in full from the platform, and on a slow link
+// all requests of the VM wait meanwhile.
 func Choose(live []*member.Record) []*member.Record {
 	return rank(live, "relay", Count)
 }
 
-// Order returns relays in the order in which the member vm should use them:
-// each member has its own, so that members spread over the relays and, when
-// one dies, over those that remain.
+// Order returns relays in the order in which the member vm should use them. Each member has its
+// own order, so that the members spread over the relays and, when a relay dies, over the
+// remaining ones.
 func Order(relays []*member.Record, vm string) []*member.Record {
 	return rank(relays, vm, len(relays))
 }
@@ -38,25 +37,27 @@
 	return list
 }
 
+// rank returns up to count records: those without a mark first, then those with the fastest
+// links, then by the hash of the seed and the VM.
 func rank(list []*member.Record, seed string, count int) []*member.Record {
-	type scored struct {
-		rc     *member.Record
-		silent int
-		score  uint64
+	type candidate struct {
+		rc    *member.Record
+		mark  int
+		score uint64
 	}
-	all := make([]scored, len(list))
+	all := make([]candidate, len(list))
 	for i, rc := range list {
-		all[i] = scored{rc: rc, silent: int(rc.Mark), score: xxhash.Sum64String(seed + "\x00" + rc.VM)}
+		all[i] = candidate{rc: rc, mark: int(rc.Mark), score: xxhash.Sum64String(seed + "\x00" + rc.VM)}
 	}
-	slices.SortFunc(all, func(a, b scored) int {
+	slices.SortFunc(all, func(a, b candidate) int {
 		return cmp.Or(
-			cmp.Compare(a.silent, b.silent), cmp.Compare(b.rc.Capacity, a.rc.Capacity),
+			cmp.Compare(a.mark, b.mark), cmp.Compare(b.rc.Capacity, a.rc.Capacity),
 			cmp.Compare(b.score, a.score), cmp.Compare(a.rc.VM, b.rc.VM),
 		)
 	})
-	best := make([]*member.Record, 0, count)
-	for _, sc := range all[:min(count, len(all))] {
-		best = append(best, sc.rc)
+	chosen := make([]*member.Record, 0, count)
+	for _, ca := range all[:min(count, len(all))] {
+		chosen = append(chosen, ca.rc)
 	}
-	return best
+	return chosen
 }
