--- a/internal/mesh/board/board.go
+++ b/internal/mesh/board/board.go
@@ -28,11 +28,11 @@
 	Self Cell[member.Record]
 	// Predecessor is what peers know of the VM's previous daemon process, nil until a peer has
 	// answered.
-	Forerunner Cell[Forerunner]
+	Predecessor Cell[Predecessor]
 	// Links lists the peers that the daemon is connected to, and whether it is a relay.
 	Links Cell[Links]
 	// Unreachable holds the failure domains that the relay has no link to.
-	Cut Cell[CutSet]
+	Unreachable Cell[DomainSet]
 	// Platform is the state of the platform's store as last seen by this daemon or reported by
 	// one that follows the store.
 	Platform Cell[Platform]
@@ -48,9 +48,9 @@
 }
 
 // Predecessor is what peers know of a VM's previous daemon process.
-type Forerunner struct {
+type Predecessor struct {
 	// Departure is the zero value as long as no peer knows of a departure.
-	member.Leaver
+	member.Departure
 	// Peers lists the peers that have answered.
 	Peers []string
 }
@@ -82,7 +82,7 @@
 }
 
 // DomainSet is a set of failure domains.
-type CutSet map[string]bool
+type DomainSet map[string]bool
 
 // Platform is the state of the platform's store: the version it shows, the error of the last
 // request, and since when this has been so.
@@ -146,7 +146,7 @@
 
 // AdvanceEpoch stores an epoch of the platform's store if it is newer than the known one. It
 // reports whether it was, and whether an earlier epoch was known.
-func (bd *Board) EnterEpoch(ep store.Epoch) (advanced, hadEarlier bool) {
+func (bd *Board) AdvanceEpoch(ep store.Epoch) (advanced, hadEarlier bool) {
 	bd.Epoch.Update(func(cur *store.Epoch) *store.Epoch {
 		if advanced = ep > 0 && (cur == nil || ep > *cur); !advanced {
 			return cur
--- a/internal/mesh/ctrl/node.go
+++ b/internal/mesh/ctrl/node.go
@@ -135,8 +135,8 @@
 	lastReached  map[string]time.Time
 	// leaving has, for each VM, the last lifetime of its backend server that announced its
 	// departure.
-	leaving map[string]member.Leaver
-	expiry  *expire.Watch
+	leaving map[string]member.Departure
+	expiry  *expire.Detector
 	// heardIndirectly has the VMs that are heard through daemons which are not relays.
 	heardIndirectly map[string]time.Time
 	// incarnationRaises counts how often the incarnation was raised above that of a previous
@@ -145,7 +145,7 @@
 	// followers are the daemons that follow the store. startRole is derived from the first
 	// directory look-up of this process, observed is what the store last showed, and freshRead the
 	// last read that confirmed the newest version.
-	followers follow.Heard
+	followers follow.Followers
 	startRole startRole
 	observed  storeObservation
 	freshRead freshRead
@@ -214,7 +214,7 @@
 		heldVersions:       map[string]heldVersion{},
 		summaries:          map[string]*wirepb.Summary{},
 		lastReached:        map[string]time.Time{},
-		leaving:            map[string]member.Leaver{},
+		leaving:            map[string]member.Departure{},
 		expiry:             expire.New(),
 		heardIndirectly:    map[string]time.Time{},
 		started:            time.Now(),
--- a/internal/mesh/expire/expire.go
+++ b/internal/mesh/expire/expire.go
@@ -8,12 +8,12 @@
 // Timing of the failure detector.
 const (
 	// Timeout is how long a member may be silent before it is marked.
-	After = 6 * time.Second
+	Timeout = 6 * time.Second
 	// CheckInterval is how often the caller should call Detector.Check.
-	Tick = 500 * time.Millisecond
+	CheckInterval = 500 * time.Millisecond
 	// maxCheckGap is the longest gap between two calls of Check that is not attributed to a
 	// pause of the observer itself.
-	maxCheckGap = 4 * Tick
+	maxCheckGap = 4 * CheckInterval
 )
 
 // If at least isolationMinCount members, and at least one in isolationDivisor of all members,
@@ -32,20 +32,20 @@
 
 // Detector tracks when the members of one failure domain were last heard from. It is not safe
 // for concurrent use.
-type Watch struct {
+type Detector struct {
 	lastHeard map[string]time.Time
 	silent    map[string]bool
 	lastCheck time.Time
 }
 
 // New returns a detector without members.
-func New() *Watch {
-	return &Watch{lastHeard: map[string]time.Time{}, silent: map[string]bool{}}
+func New() *Detector {
+	return &Detector{lastHeard: map[string]time.Time{}, silent: map[string]bool{}}
 }
 
 // SetMembers sets the members to monitor. The timeout of a new member starts now; members that
 // are not listed are dropped.
-func (dt *Watch) Expect(vms []string, now time.Time) {
+func (dt *Detector) SetMembers(vms []string, now time.Time) {
 	next := make(map[string]time.Time, len(vms))
 	for _, vm := range vms {
 		at, ok := dt.lastHeard[vm]
@@ -63,7 +63,7 @@
 }
 
 // Heard records that a sign of life of a member was received.
-func (dt *Watch) Heard(vm string, now time.Time) {
+func (dt *Detector) Heard(vm string, now time.Time) {
 	dt.lastHeard[vm] = now
 	delete(dt.silent, vm)
 }
@@ -75,7 +75,7 @@
 // gap between two calls, and the timeouts of all members start again. If the observer was
 // disconnected, many members go silent at once. They are reported as silent rather than gone,
 // which keeps them in use at a lower preference.
-func (dt *Watch) Due(now time.Time) Result {
+func (dt *Detector) Check(now time.Time) Result {
 	gap := now.Sub(dt.lastCheck)
 	if !dt.lastCheck.IsZero() && (gap > maxCheckGap || gap < 0) {
 		for vm := range dt.lastHeard {
@@ -88,10 +88,10 @@
 	for vm, at := range dt.lastHeard {
 		age := now.Sub(at)
 		// Members that are about to time out belong to the same event.
-		if age >= After/2 {
+		if age >= Timeout/2 {
 			unheard++
 		}
-		if age >= After && !dt.silent[vm] {
+		if age >= Timeout && !dt.silent[vm] {
 			due = append(due, vm)
 		}
 	}
--- a/internal/mesh/expire/expire_test.go
+++ b/internal/mesh/expire/expire_test.go
@@ -23,14 +23,14 @@
 	dt := New()
 	start := time.Unix(1000, 0)
 	vms := vmNames(members)
-	for at := time.Duration(0); at < span; at += Tick {
+	for at := time.Duration(0); at < span; at += CheckInterval {
 		if away != nil {
 			at += away(at)
 		}
 		now := start.Add(at)
-		dt.Expect(slices.DeleteFunc(slices.Clone(vms), func(vm string) bool { return slices.Contains(gone, vm) }), now)
+		dt.SetMembers(slices.DeleteFunc(slices.Clone(vms), func(vm string) bool { return slices.Contains(gone, vm) }), now)
 		// Messages that arrive while the observer is suspended are read after the check.
-		due := dt.Due(now)
+		due := dt.Check(now)
 		gone = append(gone, due.Gone...)
 		silent = append(silent, due.Silent...)
 		for _, vm := range vms {
@@ -116,7 +116,7 @@
 			return 0
 		})
 		for _, vm := range append(gone, silent...) {
-			if alive(vm, 59*time.Second+Tick) {
+			if alive(vm, 59*time.Second+CheckInterval) {
 				t.Fatalf("%s is alive but was marked", vm)
 			}
 		}
--- a/internal/mesh/follow/follow.go
+++ b/internal/mesh/follow/follow.go
@@ -9,17 +9,17 @@
 	// FollowerCount is how many relays follow the store at a time. Each follower reads every
 	// version in full, so more of them would load the store. With two, either one may be killed
 	// or disconnected without delaying new versions.
-	Enough = 2
+	FollowerCount = 2
 	// WatchTimeout is the long-poll timeout of a watch on the store. A follower notices a store
 	// that stopped answering after this time plus some slack.
-	Wait = time.Second
+	WatchTimeout = time.Second
 	// AnnounceInterval is how often a follower announces itself. It announces at once that it
 	// has stopped following, and a broken link to it says the same.
-	TellEvery = 3 * time.Second
+	AnnounceInterval = 3 * time.Second
 	// AnnounceTTL is how long an announcement is valid. It covers followers that stop without
 	// any link breaking. An announcement travels over two links, with the next packet of each,
 	// which takes at most one second per link.
-	AnnounceTTL = TellEvery + 2500*time.Millisecond
+	AnnounceTTL = AnnounceInterval + 2500*time.Millisecond
 	// ageTolerance is by how much the time of one answer may differ between links, since each
 	// link rounds the age of the answer.
 	ageTolerance = 200 * time.Millisecond
@@ -30,13 +30,13 @@
 
 // Followers records when the store last answered each daemon that follows it, as far as this
 // daemon knows. The zero value is empty and ready for use.
-type Heard struct {
+type Followers struct {
 	lastAnswer map[string]time.Time
 }
 
 // RecordAnswer records that the store answered a daemon, and reports whether this was not
 // known yet.
-func (fw *Heard) Answered(vm string, at time.Time) bool {
+func (fw *Followers) RecordAnswer(vm string, at time.Time) bool {
 	if fw.lastAnswer == nil {
 		fw.lastAnswer = map[string]time.Time{}
 	}
@@ -49,7 +49,7 @@
 
 // RecordLoss records that the store stopped answering a daemon at the given time, unless a
 // later answer is known. It reports whether the daemon was removed.
-func (fw *Heard) Lost(vm string, at time.Time) bool {
+func (fw *Followers) RecordLoss(vm string, at time.Time) bool {
 	last, ok := fw.lastAnswer[vm]
 	if !ok || last.After(at) {
 		return false
@@ -59,13 +59,13 @@
 }
 
 // active reports whether a daemon follows the store by its last valid announcement.
-func (fw *Heard) active(vm string, now time.Time) bool {
+func (fw *Followers) active(vm string, now time.Time) bool {
 	at, ok := fw.lastAnswer[vm]
 	return ok && now.Sub(at) <= AnnounceTTL
 }
 
 // Each calls yield for each daemon that follows the store, with the time of its last answer.
-func (fw *Heard) Each(now time.Time, yield func(vm string, at time.Time)) {
+func (fw *Followers) Each(now time.Time, yield func(vm string, at time.Time)) {
 	for vm, at := range fw.lastAnswer {
 		if fw.active(vm, now) {
 			yield(vm, at)
@@ -94,7 +94,7 @@
 
 // Candidate decides whether one daemon should follow the store. The zero value is ready for
 // use.
-type Turn struct {
+type Candidate struct {
 	// vacantSince is since when there are too few followers ahead of this daemon, the zero time
 	// if there are enough.
 	vacantSince time.Time
@@ -102,12 +102,12 @@
 
 // HasVacancy reports whether there were too few followers ahead of this daemon at the last
 // call of ShouldFollow.
-func (ca *Turn) Vacant() bool { return !ca.vacantSince.IsZero() }
+func (ca *Candidate) HasVacancy() bool { return !ca.vacantSince.IsZero() }
 
 // ShouldFollow reports whether the daemon self should follow the store now. A substitute gives
 // the candidates ahead of it in the order time to take over first, so that a single vacancy is
 // not filled by all of them at once.
-func (ca *Turn) Due(self string, order []string, fw *Heard, now time.Time) bool {
+func (ca *Candidate) ShouldFollow(self string, order []string, fw *Followers, now time.Time) bool {
 	active, inactive := 0, 0
 	for _, vm := range order {
 		if vm == self {
@@ -119,14 +119,14 @@
 			inactive++
 		}
 	}
-	if active >= Enough {
+	if active >= FollowerCount {
 		ca.vacantSince = time.Time{}
 		return false
 	}
 	if ca.vacantSince.IsZero() {
 		ca.vacantSince = now
 	}
-	turnsAhead := inactive - (Enough - active) + 1
+	turnsAhead := inactive - (FollowerCount - active) + 1
 	return now.Sub(ca.vacantSince) >= time.Duration(max(0, turnsAhead))*takeoverDelay
 }
 
--- a/internal/mesh/follow/follow_test.go
+++ b/internal/mesh/follow/follow_test.go
@@ -40,16 +40,16 @@
 		t.Run(tc.name, func(t *testing.T) {
 			start := time.Unix(1000, 0)
 			now := start.Add(tc.after)
-			var fw Heard
+			var fw Followers
 			for vm, ago := range tc.heard {
-				fw.Answered(vm, now.Add(-ago))
+				fw.RecordAnswer(vm, now.Add(-ago))
 			}
 			var got []string
 			for _, vm := range order {
-				var ca Turn
-				follows := ca.Due(vm, order, &fw, start)
+				var ca Candidate
+				follows := ca.ShouldFollow(vm, order, &fw, start)
 				if tc.after > 0 {
-					follows = ca.Due(vm, order, &fw, now)
+					follows = ca.ShouldFollow(vm, order, &fw, now)
 				}
 				if follows {
 					got = append(got, vm)
@@ -66,17 +66,17 @@
 // answer older than the known one, and a loss that precedes the last answer.
 func TestFollowers(t *testing.T) {
 	at := time.Unix(1000, 0)
-	var fw Heard
-	if fw.Lost("a", at) {
+	var fw Followers
+	if fw.RecordLoss("a", at) {
 		t.Error("loss of a daemon that never followed was reported as new")
 	}
-	if !fw.Answered("a", at) || fw.Answered("a", at) || fw.Answered("a", at.Add(-time.Second)) {
+	if !fw.RecordAnswer("a", at) || fw.RecordAnswer("a", at) || fw.RecordAnswer("a", at.Add(-time.Second)) {
 		t.Error("an answer must be reported as new if, and only if, it is later than the known one")
 	}
-	if fw.Lost("a", at.Add(-time.Second)) || !fw.active("a", at) {
+	if fw.RecordLoss("a", at.Add(-time.Second)) || !fw.active("a", at) {
 		t.Error("a loss that precedes the last answer removed the follower")
 	}
-	if !fw.Lost("a", at.Add(time.Second)) || fw.active("a", at) || fw.Lost("a", at.Add(time.Second)) {
+	if !fw.RecordLoss("a", at.Add(time.Second)) || fw.active("a", at) || fw.RecordLoss("a", at.Add(time.Second)) {
 		t.Error("a loss must be reported as new exactly once")
 	}
 }
--- a/internal/mesh/link/crash.go
+++ b/internal/mesh/link/crash.go
@@ -14,7 +14,7 @@
 
 // SendCrashReports sends crash reports without delay. Until they arrive, a poison request may
 // crash one more server behind the peer.
-func (pr *Peer) SendEnds(list []poison.Report) {
+func (pr *Peer) SendCrashReports(list []poison.Report) {
 	if len(list) == 0 {
 		return
 	}
@@ -35,15 +35,15 @@
 // and unanswered requests.
 func groupCrashes(crashes map[poison.Report]bool, now time.Time) (list []*wirepb.ServerEnd) {
 	type groupKey struct {
-		crash    poison.End
+		crash    poison.CrashID
 		answered bool
 	}
 	groups := map[groupKey]*wirepb.ServerEnd{}
 	for re := range crashes {
-		gk := groupKey{re.End, re.Answered}
+		gk := groupKey{re.Crash, re.Answered}
 		se := groups[gk]
 		if se == nil {
-			se = &wirepb.ServerEnd{End: uint64(re.End), AgeMs: uint64(max(0, now.Sub(re.At).Milliseconds())), Answered: re.Answered}
+			se = &wirepb.ServerEnd{End: uint64(re.Crash), AgeMs: uint64(max(0, now.Sub(re.At).Milliseconds())), Answered: re.Answered}
 			groups[gk] = se
 			list = append(list, se)
 		}
@@ -54,7 +54,7 @@
 
 // CrashReports returns the crash reports of a packet. It skips malformed messages, whose lists
 // of heads and keys differ in length.
-func Ends(pk *wirepb.Packet, now time.Time) (list []poison.Report) {
+func CrashReports(pk *wirepb.Packet, now time.Time) (list []poison.Report) {
 	for _, se := range pk.Ends {
 		if len(se.Heads) != len(se.Keys) {
 			continue
@@ -62,7 +62,7 @@
 		age := time.Duration(min(se.AgeMs, uint64(maxAge.Milliseconds()))) * time.Millisecond
 		for i, head := range se.Heads {
 			list = append(list, poison.Report{
-				Head: head, Key: ident.Key(se.Keys[i]), End: poison.End(se.End), At: now.Add(-age), Answered: se.Answered,
+				Head: head, Key: ident.Key(se.Keys[i]), Crash: poison.CrashID(se.End), At: now.Add(-age), Answered: se.Answered,
 			})
 		}
 	}
--- a/internal/mesh/link/link.go
+++ b/internal/mesh/link/link.go
@@ -20,13 +20,13 @@
 // Timing of a link.
 const (
 	// HeartbeatInterval is the longest time between two packets from a live peer.
-	Beat = time.Second
+	HeartbeatInterval = time.Second
 	// PeerTimeout is how long a peer may send nothing before the link is closed. A suspended
 	// process keeps its connections open, so it can be detected only by its silence.
 	//
 	// It is below the 3 s within which a daemon whose connections went silent without a reset
 	// has to follow new versions again.
-	Silence = 2500 * time.Millisecond
+	PeerTimeout = 2500 * time.Millisecond
 	// batchDelay is how long data waits for more data before a packet is sent.
 	batchDelay = 20 * time.Millisecond
 	// bulkBatchDelay is the additional delay while many records are pending, as when a fleet
@@ -36,7 +36,7 @@
 )
 
 // ErrPeerTimeout means that a peer sent nothing for PeerTimeout.
-var ErrSilent = errors.New("link: no packet from the peer within the timeout")
+var ErrPeerTimeout = errors.New("link: no packet from the peer within the timeout")
 
 // Stream is one side of an open stream.
 type Stream struct {
@@ -60,10 +60,10 @@
 	// RunningSince is a time at which the peer's process was already running. ToldNewest is set
 	// once the peer was told which version in the store is the newest. The owner of the Peer
 	// synchronizes access to them.
-	Born   time.Time
-	Proven bool
+	RunningSince time.Time
+	SentNewest   bool
 	// OnSent, if set, is called after each packet that was sent. It is set before Run.
-	Sent func(pr *Peer, pk *wirepb.Packet)
+	OnSent func(pr *Peer, pk *wirepb.Packet)
 
 	lastHeard atomic.Pointer[time.Time] // time of the last sign of life
 	idleTimer atomic.Pointer[time.Timer]
@@ -115,7 +115,7 @@
 	defer cancel(nil)
 	stop := context.AfterFunc(ctx, pr.stream.Abort)
 	defer stop()
-	idleTimer := time.AfterFunc(Silence, func() { cancel(ErrSilent) })
+	idleTimer := time.AfterFunc(PeerTimeout, func() { cancel(ErrPeerTimeout) })
 	defer idleTimer.Stop()
 	pr.idleTimer.Store(idleTimer)
 	var wg conc.WaitGroup
@@ -126,7 +126,7 @@
 			cancel(err)
 			break
 		}
-		pr.Alive()
+		pr.MarkAlive()
 		handle(pr, pk)
 	}
 	wg.Wait()
@@ -135,16 +135,16 @@
 
 // MarkAlive records a sign of life of the peer and restarts its timeout. It is also called for
 // data on other streams, since a large response on the same connection delays the packets.
-func (pr *Peer) Alive() {
+func (pr *Peer) MarkAlive() {
 	if timer := pr.idleTimer.Load(); timer != nil {
-		timer.Reset(Silence)
+		timer.Reset(PeerTimeout)
 	}
 	now := time.Now()
 	pr.lastHeard.Store(&now)
 }
 
 // LastHeard returns the time of the peer's last sign of life, or the zero time if there was none.
-func (pr *Peer) Heard() time.Time {
+func (pr *Peer) LastHeard() time.Time {
 	if at := pr.lastHeard.Load(); at != nil {
 		return *at
 	}
@@ -152,7 +152,7 @@
 }
 
 func (pr *Peer) sendLoop(ctx context.Context) error {
-	heartbeat := time.NewTimer(Beat)
+	heartbeat := time.NewTimer(HeartbeatInterval)
 	defer heartbeat.Stop()
 	for {
 		select {
@@ -173,10 +173,10 @@
 		if err := pr.stream.Send(pk); err != nil {
 			return err
 		}
-		if pr.Sent != nil {
-			pr.Sent(pr, pk)
+		if pr.OnSent != nil {
+			pr.OnSent(pr, pk)
 		}
-		heartbeat.Reset(Beat)
+		heartbeat.Reset(HeartbeatInterval)
 	}
 }
 
@@ -299,7 +299,7 @@
 }
 
 // UpdateNext calls fn to change the next packet, which is sent without delay.
-func (pr *Peer) Next(fn func(*wirepb.Packet)) {
+func (pr *Peer) UpdateNext(fn func(*wirepb.Packet)) {
 	pr.enqueue(func() {
 		fn(pr.nextPacket)
 		pr.sendNow = true
@@ -318,7 +318,7 @@
 
 // RecordVersion records the newest version that the peer has. A version that the peer has, or
 // was sent, is not offered again on this link.
-func (pr *Peer) Knows(version uint64, digest pack.Digest) {
+func (pr *Peer) RecordVersion(version uint64, digest pack.Digest) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	if version > pr.version {
--- a/internal/mesh/member/member.go
+++ b/internal/mesh/member/member.go
@@ -34,7 +34,7 @@
 	// Lifetime identifies the current process of the backend server.
 	Lifetime string
 	// Leaving is the last process of the backend server that announced its departure.
-	Leaving Leaver
+	Leaving Departure
 	// ColdUntil is the end of the backend server's warm-up, by the wall clock of the VM.
 	ColdUntil time.Time
 	// Capacity is the rate of the VM's link in Mbit/s, 0 if unknown.
@@ -45,13 +45,13 @@
 
 // Departure identifies a process of a backend server that announced that it is leaving. The
 // zero value means none.
-type Leaver struct {
+type Departure struct {
 	Lifetime string
 	// StartedMs is the Unix start time in milliseconds, 0 if the server did not report it. It
 	// is needed since a restarted server may reuse its Lifetime.
 	StartedMs int64
 	// Number is the number of the announcement in which it said so.
-	At uint64
+	Number uint64
 }
 
 // Mark is the liveness assessment that a relay adds to a record.
@@ -141,7 +141,7 @@
 		Vm: rc.VM, Domain: rc.Domain, Incarnation: rc.Incarnation, Sequence: rc.Sequence, Nonce: rc.Nonce,
 		Mark: wirepb.Mark(rc.Mark), State: wirepb.State(rc.State), Service: rc.Service, Slots: uint32(rc.Slots),
 		Inlet: rc.Inlet, Control: rc.Control, Lifetime: rc.Lifetime, Capacity: rc.Capacity, Software: rc.Software,
-		Leaving: rc.Leaving.Lifetime, LeavingStartedMs: rc.Leaving.StartedMs, LeftAt: rc.Leaving.At,
+		Leaving: rc.Leaving.Lifetime, LeavingStartedMs: rc.Leaving.StartedMs, LeftAt: rc.Leaving.Number,
 	}
 	if !rc.Since.IsZero() {
 		pb.SinceMs = uint64(rc.Since.UnixMilli())
@@ -158,7 +158,7 @@
 		VM: pb.GetVm(), Domain: pb.GetDomain(), Incarnation: pb.GetIncarnation(), Sequence: pb.GetSequence(), Nonce: pb.GetNonce(),
 		Mark: Mark(pb.GetMark()), State: State(pb.GetState()), Service: pb.GetService(), Slots: int(pb.GetSlots()),
 		Inlet: pb.GetInlet(), Control: pb.GetControl(), Lifetime: pb.GetLifetime(), Capacity: pb.GetCapacity(), Software: pb.GetSoftware(),
-		Leaving: Leaver{Lifetime: pb.GetLeaving(), StartedMs: pb.GetLeavingStartedMs(), At: pb.GetLeftAt()},
+		Leaving: Departure{Lifetime: pb.GetLeaving(), StartedMs: pb.GetLeavingStartedMs(), Number: pb.GetLeftAt()},
 	}
 	if ms := pb.GetColdUntilMs(); ms > 0 {
 		rc.ColdUntil = time.UnixMilli(int64(ms))
@@ -173,9 +173,9 @@
 type View struct {
 	byVM map[string]*Record
 	// LiveByDomain holds the live records of each failure domain, sorted by VM.
-	Domains map[string][]*Record
+	LiveByDomain map[string][]*Record
 	// LiveControls holds the control addresses of the live records.
-	Controls map[string]bool
+	LiveControls map[string]bool
 	// Hashes holds a hash over all records of each failure domain, by which relays find out
 	// that their records differ.
 	Hashes map[string]uint64
@@ -203,7 +203,7 @@
 		return 0
 	}
 	n := 0
-	for _, live := range vw.Domains {
+	for _, live := range vw.LiveByDomain {
 		n += len(live)
 	}
 	return n
@@ -226,7 +226,7 @@
 	if vw == nil {
 		return nil
 	}
-	return vw.Domains[domain]
+	return vw.LiveByDomain[domain]
 }
 
 // Merge returns a view that includes those of the given records that are newer than the ones
@@ -256,7 +256,7 @@
 
 // WithoutDead returns the view without the records that are not live and for whose VM drop
 // returns true.
-func (vw *View) Without(drop func(vm string) bool) *View {
+func (vw *View) WithoutDead(drop func(vm string) bool) *View {
 	next := &View{byVM: make(map[string]*Record, vw.Len())}
 	for rc := range vw.All {
 		if rc.Live() || !drop(rc.VM) {
@@ -272,7 +272,7 @@
 
 // LimitDead drops the oldest records that are not live, so that at most spare more of them
 // remain than there are live ones.
-func (vw *View) WithoutOldest(spare int) *View {
+func (vw *View) LimitDead(spare int) *View {
 	var dead []*Record
 	for rc := range vw.All {
 		if !rc.Live() {
@@ -288,22 +288,22 @@
 	for _, rc := range dead[:excess] {
 		drop[rc.VM] = true
 	}
-	return vw.Without(func(vm string) bool { return drop[vm] })
+	return vw.WithoutDead(func(vm string) bool { return drop[vm] })
 }
 
 // buildIndexes computes the exported fields from byVM.
 func (vw *View) buildIndexes() {
-	vw.Domains = map[string][]*Record{}
+	vw.LiveByDomain = map[string][]*Record{}
 	vw.Hashes = map[string]uint64{}
-	vw.Controls = make(map[string]bool, len(vw.byVM))
+	vw.LiveControls = make(map[string]bool, len(vw.byVM))
 	for _, rc := range vw.byVM {
 		vw.Hashes[rc.Domain] ^= rc.hash()
 		if rc.Live() {
-			vw.Domains[rc.Domain] = append(vw.Domains[rc.Domain], rc)
-			vw.Controls[rc.Control] = true
+			vw.LiveByDomain[rc.Domain] = append(vw.LiveByDomain[rc.Domain], rc)
+			vw.LiveControls[rc.Control] = true
 		}
 	}
-	for _, list := range vw.Domains {
+	for _, list := range vw.LiveByDomain {
 		slices.SortFunc(list, func(a, b *Record) int { return strings.Compare(a.VM, b.VM) })
 	}
 }
--- a/internal/mesh/poison/encode.go
+++ b/internal/mesh/poison/encode.go
@@ -28,20 +28,20 @@
 
 // RefusedReports returns the reports to write to the platform's store: all reports of refused
 // requests. Daemons that cannot reach each other learn of these requests from the store.
-func (vw *View) Refused() []Report {
+func (vw *View) RefusedReports() []Report {
 	list := vw.Reports(maxStored)
-	return slices.DeleteFunc(list, func(re Report) bool { return vw.Ends(re.Key) < Most })
+	return slices.DeleteFunc(list, func(re Report) bool { return vw.CrashCount(re.Key) < RefuseThreshold })
 }
 
 // SameReports reports whether two lists contain the same reports in any order. The times are
 // not compared, since each daemon computes them by its own clock.
-func Same(a, b []Report) bool {
+func SameReports(a, b []Report) bool {
 	normalize := func(list []Report) []Report {
 		list = slices.Clone(list)
 		for i := range list {
 			list[i].At = time.Time{}
 		}
-		slices.SortFunc(list, func(a, b Report) int { return cmp.Or(cmp.Compare(a.Key, b.Key), cmp.Compare(a.End, b.End)) })
+		slices.SortFunc(list, func(a, b Report) int { return cmp.Or(cmp.Compare(a.Key, b.Key), cmp.Compare(a.Crash, b.Crash)) })
 		return list
 	}
 	return slices.Equal(normalize(a), normalize(b))
@@ -52,7 +52,7 @@
 func Encode(list []Report, now time.Time) ([]byte, error) {
 	rows := make([]storedReport, len(list))
 	for i, re := range list {
-		rows[i] = storedReport{Head: hex(re.Head), Key: re.Key.String(), Crash: hex(uint64(re.End)), AtMs: now.UnixMilli() - now.Sub(re.At).Milliseconds(), Answered: re.Answered}
+		rows[i] = storedReport{Head: hex(re.Head), Key: re.Key.String(), Crash: hex(uint64(re.Crash)), AtMs: now.UnixMilli() - now.Sub(re.At).Milliseconds(), Answered: re.Answered}
 	}
 	return json.Marshal(rows)
 }
@@ -82,7 +82,7 @@
 			nums[j] = n
 		}
 		age := min(max(0, time.Duration(now.UnixMilli()-row.AtMs)*time.Millisecond), retention)
-		list[i] = Report{Head: nums[0], Key: ident.Key(nums[1]), End: End(nums[2]), At: now.Add(-age), Answered: row.Answered}
+		list[i] = Report{Head: nums[0], Key: ident.Key(nums[1]), Crash: CrashID(nums[2]), At: now.Add(-age), Answered: row.Answered}
 	}
 	return list, nil
 }
--- a/internal/mesh/poison/encode_test.go
+++ b/internal/mesh/poison/encode_test.go
@@ -12,12 +12,12 @@
 func TestEncodeDecode(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	var list []Report
-	for id := range End(Most) {
-		list = append(list, Report{Head: 1 << 63, Key: 1<<63 + 1, End: id, At: start, Answered: false})
+	for id := range CrashID(RefuseThreshold) {
+		list = append(list, Report{Head: 1 << 63, Key: 1<<63 + 1, Crash: id, At: start, Answered: false})
 	}
-	list = append(list, Report{Head: 2, Key: 2, End: 1, At: start}, Report{Head: 1 << 63, Key: 1<<63 + 1, End: Most, At: start, Answered: true})
+	list = append(list, Report{Head: 2, Key: 2, Crash: 1, At: start}, Report{Head: 1 << 63, Key: 1<<63 + 1, Crash: RefuseThreshold, At: start, Answered: true})
 	vw, _ := (*View)(nil).Merge(list, start)
-	text, err := Encode(vw.Refused(), start)
+	text, err := Encode(vw.RefusedReports(), start)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	read, _ := (*View)(nil).Merge(got, start)
-	if !read.Refuses(1<<63+1, start, 0) || read.Ends(2) != 0 || len(got) != Most+1 {
+	if !read.Refuses(1<<63+1, start, 0) || read.CrashCount(2) != 0 || len(got) != RefuseThreshold+1 {
 		t.Errorf("decoded reports %v, want those of the refused request only", got)
 	}
 	ahead, err := Decode(text, start.Add(-time.Minute))
@@ -37,7 +37,7 @@
 	for i := range later {
 		later[i].At = later[i].At.Add(time.Millisecond)
 	}
-	if !Same(got, later) || Same(got, got[1:]) {
+	if !SameReports(got, later) || SameReports(got, got[1:]) {
 		t.Error("lists must be compared by their reports, ignoring the times")
 	}
 }
@@ -55,8 +55,8 @@
 		}
 		vw, _ := (*View)(nil).Merge(list, time.Now())
 		for key := range ident.Key(4) {
-			if vw.Ends(key) > maxCrashes {
-				t.Errorf("request %d has %d crashes, more than maxCrashes", key, vw.Ends(key))
+			if vw.CrashCount(key) > maxCrashes {
+				t.Errorf("request %d has %d crashes, more than maxCrashes", key, vw.CrashCount(key))
 			}
 		}
 	})
--- a/internal/mesh/poison/poison.go
+++ b/internal/mesh/poison/poison.go
@@ -14,17 +14,17 @@
 const (
 	// RefuseThreshold is the number of crashes, over all servers, from which a request is
 	// refused.
-	Most = 3
+	RefuseThreshold = 3
 	// IsolateThreshold is the number of crashes from which a request is not run concurrently
 	// with another such request: if the server crashes again, the cause is known.
-	Apart = 2
+	IsolateThreshold = 2
 	// refusePeriod is how long after its last crash a request is refused. Then it is tried
 	// again, as a new version of the servers may have fixed the fault. One more crash starts
 	// the period again.
 	refusePeriod = 10 * time.Minute
 	// RetryJitter is the interval over which daemons spread their retries after refusePeriod,
 	// so that the first one can report the result to the others.
-	RefuseSpread = time.Minute
+	RetryJitter = time.Minute
 	// retention is how long after its last crash a request is remembered.
 	retention = time.Hour
 )
@@ -38,14 +38,14 @@
 )
 
 // CrashID identifies the crash of one process of a backend server.
-type End uint64
+type CrashID uint64
 
 // Report states that a server crashed while it was running a request or, if Answered is set,
 // that a server answered the request after that crash was known.
 type Report struct {
-	Head uint64
-	Key  ident.Key
-	End  End
+	Head  uint64
+	Key   ident.Key
+	Crash CrashID
 	// At is when the server crashed, by the clock of this daemon.
 	At       time.Time
 	Answered bool
@@ -53,7 +53,7 @@
 
 // crash is a crash of a server that was running the request.
 type crash struct {
-	End
+	CrashID
 	at       time.Time
 	answered bool
 }
@@ -92,7 +92,7 @@
 }
 
 // CrashCount returns how many crashes count against a request.
-func (vw *View) Ends(key ident.Key) int {
+func (vw *View) CrashCount(key ident.Key) int {
 	if vw == nil || vw.requests[key] == nil {
 		return 0
 	}
@@ -102,13 +102,13 @@
 // Refuses reports whether a request is to be refused. The jitter of the daemon prolongs
 // refusePeriod.
 func (vw *View) Refuses(key ident.Key, now time.Time, jitter time.Duration) bool {
-	return vw.Ends(key) >= Most && now.Sub(vw.requests[key].last) < refusePeriod+jitter
+	return vw.CrashCount(key) >= RefuseThreshold && now.Sub(vw.requests[key].last) < refusePeriod+jitter
 }
 
 // AnswerReports returns the reports to publish after a server answered a request: one for each
 // known crash that no answer has cleared yet.
-func (vw *View) Answered(key ident.Key) []Report {
-	list := slices.DeleteFunc(vw.Of(key), func(re Report) bool { return re.Answered })
+func (vw *View) AnswerReports(key ident.Key) []Report {
+	list := slices.DeleteFunc(vw.ReportsOf(key), func(re Report) bool { return re.Answered })
 	for i := range list {
 		list[i].Answered = true
 	}
@@ -117,14 +117,14 @@
 
 // Counts returns the number of requests with crashes that count, and the number of those that
 // have reached RefuseThreshold.
-func (vw *View) Len() (suspected, refused int) {
+func (vw *View) Counts() (suspected, refused int) {
 	if vw == nil {
 		return 0, 0
 	}
 	for _, rq := range vw.requests {
 		if n := rq.crashCount(); n > 0 {
 			suspected++
-			if n >= Most {
+			if n >= RefuseThreshold {
 				refused++
 			}
 		}
@@ -140,23 +140,23 @@
 	}
 	var list []Report
 	for _, key := range vw.byCrashCount() {
-		if limit > 0 && vw.Ends(key) > 0 {
+		if limit > 0 && vw.CrashCount(key) > 0 {
 			limit--
-			list = append(list, vw.Of(key)...)
+			list = append(list, vw.ReportsOf(key)...)
 		}
 	}
 	return list
 }
 
 // ReportsOf returns all known reports of a request.
-func (vw *View) Of(key ident.Key) []Report {
+func (vw *View) ReportsOf(key ident.Key) []Report {
 	if vw == nil || vw.requests[key] == nil {
 		return nil
 	}
 	rq := vw.requests[key]
 	var list []Report
 	for _, cr := range rq.crashes {
-		list = append(list, Report{Head: rq.head, Key: key, End: cr.End, At: cr.at, Answered: cr.answered})
+		list = append(list, Report{Head: rq.head, Key: key, Crash: cr.CrashID, At: cr.at, Answered: cr.answered})
 	}
 	return list
 }
@@ -210,7 +210,7 @@
 		next = *rq
 	}
 	next.crashes = slices.Clone(next.crashes)
-	at := slices.IndexFunc(next.crashes, func(cr crash) bool { return cr.End == re.End })
+	at := slices.IndexFunc(next.crashes, func(cr crash) bool { return cr.CrashID == re.Crash })
 	switch {
 	case at >= 0 && (next.crashes[at].answered || !re.Answered):
 		return nil
@@ -223,7 +223,7 @@
 		}
 		next.crashes = next.crashes[1:]
 	}
-	next.crashes = append(next.crashes, crash{End: re.End, at: re.At, answered: re.Answered})
+	next.crashes = append(next.crashes, crash{CrashID: re.Crash, at: re.At, answered: re.Answered})
 	slices.SortFunc(next.crashes, func(a, b crash) int { return a.at.Compare(b.at) })
 	next.last = next.crashes[len(next.crashes)-1].at
 	return &next
--- a/internal/mesh/poison/poison_test.go
+++ b/internal/mesh/poison/poison_test.go
@@ -19,8 +19,8 @@
 	start := time.Unix(1_000_000, 0)
 	lookup := httptest.NewRequest("GET", "http://booking/visits/7", nil)
 	heads := map[ident.Key]uint64{suspect: ident.HeaderHash(lookup), other: 2}
-	crash := func(key ident.Key, id End, after time.Duration) Report {
-		return Report{Head: heads[key], Key: key, End: id, At: start.Add(after)}
+	crash := func(key ident.Key, id CrashID, after time.Duration) Report {
+		return Report{Head: heads[key], Key: key, Crash: id, At: start.Add(after)}
 	}
 	answered := func(re Report) Report { re.Answered = true; return re }
 	for _, tc := range []struct {
@@ -53,7 +53,7 @@
 			vw, _ = vw.Merge([]Report{re}, now)
 		}
 		now := start.Add(tc.after)
-		if got := vw.Ends(suspect); got != tc.crashes || vw.Refuses(suspect, now, 0) != tc.refused || vw.Suspects(lookup) != (tc.crashes > 0) {
+		if got := vw.CrashCount(suspect); got != tc.crashes || vw.Refuses(suspect, now, 0) != tc.refused || vw.Suspects(lookup) != (tc.crashes > 0) {
 			t.Errorf("%s: %d crashes, refused %t, suspected %t; want %d and %t", tc.name, got, vw.Refuses(suspect, now, 0), vw.Suspects(lookup), tc.crashes, tc.refused)
 		}
 	}
@@ -68,7 +68,7 @@
 		list := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Report {
 			key := rapid.Uint64Range(1, 4).Draw(t, "key")
 			id := rapid.Uint64Range(1, maxCrashes).Draw(t, "end")
-			return Report{Head: key, Key: ident.Key(key), End: End(id), At: start.Add(time.Duration(id) * time.Second), Answered: rapid.Bool().Draw(t, "answered")}
+			return Report{Head: key, Key: ident.Key(key), Crash: CrashID(id), At: start.Add(time.Duration(id) * time.Second), Answered: rapid.Bool().Draw(t, "answered")}
 		}), 0, 40).Draw(t, "reports")
 		now := start.Add(time.Minute)
 		one, _ := (*View)(nil).Merge(list, now)
@@ -77,8 +77,8 @@
 			two, _ = two.Merge([]Report{re, re}, now)
 		}
 		for key := range ident.Key(5) {
-			if one.Ends(key) != two.Ends(key) {
-				t.Fatalf("request %d: %d and %d crashes, want the same", key, one.Ends(key), two.Ends(key))
+			if one.CrashCount(key) != two.CrashCount(key) {
+				t.Fatalf("request %d: %d and %d crashes, want the same", key, one.CrashCount(key), two.CrashCount(key))
 			}
 		}
 		if _, added := two.Merge(one.Reports(maxRequests), now); len(added) > 0 {
@@ -92,16 +92,16 @@
 func TestBounds(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	var vw *View
-	for id := range End(2 * maxCrashes) {
-		vw, _ = vw.Merge([]Report{{Head: 1, Key: 1, End: id, At: start.Add(time.Duration(id) * time.Second)}}, start.Add(time.Hour/2))
+	for id := range CrashID(2 * maxCrashes) {
+		vw, _ = vw.Merge([]Report{{Head: 1, Key: 1, Crash: id, At: start.Add(time.Duration(id) * time.Second)}}, start.Add(time.Hour/2))
 	}
 	for i := range 4 * maxRequests {
-		vw, _ = vw.Merge([]Report{{Head: 2, Key: ident.Key(i + 2), End: 1, At: start.Add(time.Hour / 2)}}, start.Add(time.Hour/2))
+		vw, _ = vw.Merge([]Report{{Head: 2, Key: ident.Key(i + 2), Crash: 1, At: start.Add(time.Hour / 2)}}, start.Add(time.Hour/2))
 	}
-	if got := vw.Ends(1); got != maxCrashes {
+	if got := vw.CrashCount(1); got != maxCrashes {
 		t.Errorf("%d crashes are kept of the worst request, want %d", got, maxCrashes)
 	}
-	if suspected, refused := vw.Len(); suspected != maxRequests || refused != 1 {
+	if suspected, refused := vw.Counts(); suspected != maxRequests || refused != 1 {
 		t.Errorf("%d requests are kept and %d refused, want %d and 1", suspected, refused, maxRequests)
 	}
 	reports := vw.Reports(10)
@@ -116,11 +116,11 @@
 	var vw *View
 	var list []Report
 	for i := range maxRequests {
-		list = append(list, Report{Head: uint64(i), Key: ident.Key(i), End: 1, At: now})
+		list = append(list, Report{Head: uint64(i), Key: ident.Key(i), Crash: 1, At: now})
 	}
 	vw, _ = vw.Merge(list, now)
 	b.ReportAllocs()
 	for b.Loop() {
-		vw.Merge([]Report{{Head: 1, Key: 1, End: 2, At: now}}, now)
+		vw.Merge([]Report{{Head: 1, Key: 1, Crash: 2, At: now}}, now)
 	}
 }
--- a/internal/node/daemon/routing.go
+++ b/internal/node/daemon/routing.go
@@ -32,7 +32,7 @@
 	for {
 		sn, held := bd.Held.Watch()
 		vw, members := bd.Members.Watch()
-		cut, reach := bd.Cut.Watch()
+		cut, reach := bd.Unreachable.Watch()
 		rollouts, rolled := bd.Rollouts.Watch()
 		var again <-chan time.Time
 		if sn != nil {
--- a/internal/path/inlet/attribution_test.go
+++ b/internal/path/inlet/attribution_test.go
@@ -111,7 +111,7 @@
 // crashes returns how many crashes were reported for the request for a path.
 func (rg *rig) crashes(path string) int {
 	r := httptest.NewRequest("GET", "http://booking"+path, nil)
-	return rg.in.Poison().Ends(ident.KeyOf(r, nil))
+	return rg.in.Poison().CrashCount(ident.KeyOf(r, nil))
 }
 
 // crashServer is the behavior of a server that crashes while it runs a request.
@@ -216,8 +216,8 @@
 	rg := newRig(t, nil)
 	close(rg.proceed)
 	r := httptest.NewRequest("GET", "http://booking/same", nil)
-	for en := range poison.End(2) {
-		rg.in.Report([]poison.Report{{Head: ident.HeaderHash(r), Key: ident.KeyOf(r, nil), End: en, At: time.Now()}})
+	for en := range poison.CrashID(2) {
+		rg.in.Report([]poison.Report{{Head: ident.HeaderHash(r), Key: ident.KeyOf(r, nil), Crash: en, At: time.Now()}})
 	}
 	if w := rg.send(context.Background(), "/same", 2); w.Code != http.StatusOK {
 		t.Fatalf("status %d, want 200", w.Code)
@@ -233,21 +233,21 @@
 func TestSuspectsRunOneAtATime(t *testing.T) {
 	rg := newRig(t, nil)
 	var wg sync.WaitGroup
-	wg.Go(func() { rg.send(context.Background(), "/one", poison.Apart) })
+	wg.Go(func() { rg.send(context.Background(), "/one", poison.IsolateThreshold) })
 	<-rg.started
-	w := rg.send(context.Background(), "/two", poison.Apart)
+	w := rg.send(context.Background(), "/two", poison.IsolateThreshold)
 	if got := result.Reason(w.Header().Get(result.ReasonHeader)); got != result.ReasonApart || w.Header().Get(result.OutcomeHeader) != result.NotRun.String() {
 		t.Errorf("second suspect request got %s/%s", w.Header().Get(result.OutcomeHeader), got)
 	}
 	wg.Go(func() {
-		if w := rg.send(context.Background(), "/beside", poison.Apart-1); w.Code != http.StatusOK {
+		if w := rg.send(context.Background(), "/beside", poison.IsolateThreshold-1); w.Code != http.StatusOK {
 			t.Errorf("request beside a suspect got status %d, want 200", w.Code)
 		}
 	})
 	<-rg.started
 	close(rg.proceed)
 	wg.Wait()
-	if w := rg.send(context.Background(), "/two", poison.Apart); w.Code != http.StatusOK {
+	if w := rg.send(context.Background(), "/two", poison.IsolateThreshold); w.Code != http.StatusOK {
 		t.Errorf("second suspect request got status %d after the first was answered, want 200", w.Code)
 	}
 }
--- a/internal/path/inlet/crash.go
+++ b/internal/path/inlet/crash.go
@@ -40,7 +40,7 @@
 	probed    Target
 	down      bool
 	probedAt  time.Time
-	endID     poison.End
+	endID     poison.CrashID
 	abandoned []abandonedRequest
 	// running holds the requests that the server is running, broken those whose connection broke
 	// although the server accepts others.
@@ -66,7 +66,7 @@
 // crashed reports whether the target's server crashed, and returns the ID of the crash. It calls
 // probe if the last result has expired, so requests that fail together share one probe. first is
 // set for the call that detected the crash.
-func (cd *crashDetector) crashed(tg *Target, probe func() bool) (endID poison.End, crashed, first bool) {
+func (cd *crashDetector) crashed(tg *Target, probe func() bool) (endID poison.CrashID, crashed, first bool) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
 	now := time.Now()
@@ -88,11 +88,11 @@
 
 // endIDOf returns the ID of the crash of a target's instance. It is random for a server that
 // reports no lifetime.
-func endIDOf(tg *Target) poison.End {
+func endIDOf(tg *Target) poison.CrashID {
 	if tg.Lifetime == "" {
-		return poison.End(rand.Uint64())
+		return poison.CrashID(rand.Uint64())
 	}
-	return poison.End(xxhash.Sum64String(tg.VM + "\x00" + tg.Lifetime + "\x00" + strconv.FormatInt(tg.StartedMs, 10)))
+	return poison.CrashID(xxhash.Sum64String(tg.VM + "\x00" + tg.Lifetime + "\x00" + strconv.FormatInt(tg.StartedMs, 10)))
 }
 
 // forget discards the result of the last probe. A server that announces itself again has not
@@ -177,13 +177,13 @@
 }
 
 // report sends reports that a server crashed while it ran the given requests.
-func (in *Inlet) report(ids []requestID, endID poison.End) {
+func (in *Inlet) report(ids []requestID, endID poison.CrashID) {
 	if len(ids) == 0 {
 		return
 	}
 	var list []poison.Report
 	for _, id := range ids {
-		list = append(list, poison.Report{Head: id.headerHash, Key: id.key, End: endID, At: time.Now()})
+		list = append(list, poison.Report{Head: id.headerHash, Key: id.key, Crash: endID, At: time.Now()})
 	}
 	in.Report(list)
 }
@@ -207,7 +207,7 @@
 	if !ok {
 		return 0
 	}
-	return vw.Ends(id.key)
+	return vw.CrashCount(id.key)
 }
 
 // clearSuspect reports that a server answered a suspect request completely.
@@ -217,7 +217,7 @@
 		return
 	}
 	if id, ok := requestIDOf(r, pr); ok {
-		if list := vw.Answered(id.key); len(list) > 0 {
+		if list := vw.AnswerReports(id.key); len(list) > 0 {
 			in.Report(list)
 		}
 	}
@@ -234,7 +234,7 @@
 // it.
 func (in *Inlet) isolate(r *http.Request) (release func(), rf *result.Refusal) {
 	ends, err := strconv.Atoi(r.Header.Get(result.EndsHeader))
-	if err != nil || ends < poison.Apart {
+	if err != nil || ends < poison.IsolateThreshold {
 		// The outlet knows of too few crashes, or is an older release that sends no count.
 		return func() {}, nil
 	}
--- a/internal/path/outlet/outlet.go
+++ b/internal/path/outlet/outlet.go
@@ -38,7 +38,7 @@
 	work       func() limit.Activity
 	retryBound retry.Bound
 	poison     func() *poison.View
-	// poisonJitter is this outlet's random delay, at most poison.RefuseSpread, before it tries a
+	// poisonJitter is this outlet's random delay, at most poison.RetryJitter, before it tries a
 	// refused poison request again.
 	poisonJitter time.Duration
 	logSample    atomic.Uint64 // bits of the float64 that LogSample returns
@@ -92,7 +92,7 @@
 
 // New returns an outlet without a table. It refuses requests until SetTable is called.
 func New(op Options) *Outlet {
-	ou := &Outlet{fw: op.Forwarder, log: op.Log, token: op.Token, names: op.Names.Or(), service: op.Service, linkRate: op.LinkRate, work: op.Work, retryBound: retry.Default, poison: op.Poison, poisonJitter: rand.N(poison.RefuseSpread), started: time.Now()}
+	ou := &Outlet{fw: op.Forwarder, log: op.Log, token: op.Token, names: op.Names.Or(), service: op.Service, linkRate: op.LinkRate, work: op.Work, retryBound: retry.Default, poison: op.Poison, poisonJitter: rand.N(poison.RetryJitter), started: time.Now()}
 	if ou.poison == nil {
 		ou.poison = func() *poison.View { return nil }
 	}
--- a/internal/path/outlet/poison.go
+++ b/internal/path/outlet/poison.go
@@ -25,7 +25,7 @@
 		return nil
 	}
 	key := ident.KeyOf(rq.r, prefix)
-	rq.serverExits = vw.Ends(key)
+	rq.serverExits = vw.CrashCount(key)
 	if !vw.Refuses(key, time.Now(), rq.ou.poisonJitter) {
 		return nil
 	}
--- a/internal/path/outlet/request.go
+++ b/internal/path/outlet/request.go
@@ -178,7 +178,7 @@
 	if rq.ctx.Err() != nil || rq.attempts >= retry.MaxAttempts || !rq.body.replayable() {
 		return false
 	}
-	if rq.serverExits >= poison.Most {
+	if rq.serverExits >= poison.RefuseThreshold {
 		return false
 	}
 	if mayHaveReached(rf) {
@@ -251,7 +251,7 @@
 // expected to be free, with a jitter of up to the same length, so that callers refused together do
 // not retry together.
 func (rq *request) setRetryAfter(rf *result.Refusal) {
-	if rf.Reason == result.ReasonPoison || rq.serverExits >= poison.Most {
+	if rf.Reason == result.ReasonPoison || rq.serverExits >= poison.RefuseThreshold {
 		// A retry would be refused as well.
 		rf.RetryAfter = 0
 		return
--- a/internal/path/pick/table.go
+++ b/internal/path/pick/table.go
@@ -16,7 +16,7 @@
 // Fleet is the state from which a table is built, apart from the configuration.
 type Fleet struct {
 	Members *member.View
-	Cut     *board.CutSet
+	Cut     *board.DomainSet
 	// Self is the VM of the outlet.
 	Self     string
 	Rollouts *canary.View
