--- a/internal/path/piping/arrived_test.go
+++ b/internal/path/piping/arrived_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// part is something that a caller writes after a pause.
-type part struct {
-	after time.Duration
+// timedWrite is something that a caller writes after a pause.
+type timedWrite struct {
+	delay time.Duration
 	text  string
 }
 
@@ -20,33 +20,33 @@
 		return request("PUT", path, "3\r\nbod\r\n0\r\n\r\n", "Transfer-Encoding: chunked")
 	}
 	for _, tc := range []struct {
-		name  string
-		parts []part
+		name   string
+		writes []timedWrite
 		// oldest is how long before its handler the request for /1/last may have arrived.
-		oldest time.Duration
+		maxAge time.Duration
 	}{
-		{"after one without a body", []part{{0, get("/10")}, {time.Minute, get("/1/last")}}, 0},
-		{"after one with a length", []part{{0, request("PUT", "/10", "body!", "Content-Length: 5")}, {time.Minute, get("/1/last")}}, 0},
-		{"after one in chunks", []part{{0, chunked("/10")}, {time.Minute, get("/1/last")}}, 0},
-		{"after two in chunks", []part{{0, chunked("/10")}, {time.Minute, chunked("/20")}, {time.Minute, get("/1/last")}}, 0},
-		{"in chunks after one in chunks", []part{{0, chunked("/10")}, {time.Minute, chunked("/1/last")}}, 0},
-		{"while one in chunks runs", []part{{0, chunked("/10")}, {time.Minute, chunked("/100")}, {50 * time.Millisecond, get("/1/last")}}, 60 * time.Millisecond},
-		{"its head in two parts", []part{{0, chunked("/10")}, {time.Minute, "GET /1/last HT"}, {time.Second, "TP/1.1\r\nHost: a\r\n\r\n"}}, time.Second},
-		{"waited for its turn", []part{{0, get("/100") + request("POST", "/1/last", "")}}, 110 * time.Millisecond},
+		{"after one without a body", []timedWrite{{0, get("/10")}, {time.Minute, get("/1/last")}}, 0},
+		{"after one with a length", []timedWrite{{0, request("PUT", "/10", "body!", "Content-Length: 5")}, {time.Minute, get("/1/last")}}, 0},
+		{"after one in chunks", []timedWrite{{0, chunked("/10")}, {time.Minute, get("/1/last")}}, 0},
+		{"after two in chunks", []timedWrite{{0, chunked("/10")}, {time.Minute, chunked("/20")}, {time.Minute, get("/1/last")}}, 0},
+		{"in chunks after one in chunks", []timedWrite{{0, chunked("/10")}, {time.Minute, chunked("/1/last")}}, 0},
+		{"while one in chunks runs", []timedWrite{{0, chunked("/10")}, {time.Minute, chunked("/100")}, {50 * time.Millisecond, get("/1/last")}}, 60 * time.Millisecond},
+		{"its head in two parts", []timedWrite{{0, chunked("/10")}, {time.Minute, "GET /1/last HT"}, {time.Second, "TP/1.1\r\nHost: a\r\n\r\n"}}, time.Second},
+		{"waited for its turn", []timedWrite{{0, get("/100") + request("POST", "/1/last", "")}}, 110 * time.Millisecond},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rg := newRig(t)
 				nc := rg.dial()
 				go func() { _, _ = io.Copy(io.Discard, nc) }()
-				for _, pa := range tc.parts {
-					time.Sleep(pa.after)
-					_, _ = io.WriteString(nc, pa.text)
+				for _, tw := range tc.writes {
+					time.Sleep(tw.delay)
+					_, _ = io.WriteString(nc, tw.text)
 				}
 				time.Sleep(time.Second)
 				synctest.Wait()
-				if got := rg.ages["/1/last"]; got > tc.oldest {
-					t.Errorf("the request is taken for %v old, it can be %v", got, tc.oldest)
+				if got := rg.ages["/1/last"]; got > tc.maxAge {
+					t.Errorf("the request is taken for %v old, it can be %v", got, tc.maxAge)
 				}
 			})
 		})
--- a/internal/path/piping/conn.go
+++ b/internal/path/piping/conn.go
@@ -16,17 +16,17 @@
 type phase int
 
 const (
-	// inHead: the head of a request.
-	inHead phase = iota
-	// begun: nothing until the handler has told how the body goes.
-	begun
-	// inBody: a body of known length.
-	inBody
-	// waiting: nothing; the request is whole and not answered yet.
-	waiting
-	// plain: whatever comes. The end of a body without a length is known to the
+	// readingHead: the head of a request.
+	readingHead phase = iota
+	// headRead: nothing until the handler has told how the body goes.
+	headRead
+	// readingBody: a body of known length.
+	readingBody
+	// awaitingResponse: nothing; the request is whole and not answered yet.
+	awaitingResponse
+	// passThrough: whatever comes. The end of a body without a length is known to the
 	// library alone, so nothing is run ahead on the connection any more.
-	plain
+	passThrough
 )
 
 // conn is a caller's connection. The library's server serves those requests on it
@@ -39,49 +39,49 @@
 // of a request whose turn has not come.
 type conn struct {
 	net.Conn
-	fr *Front
+	pl *Front
 
 	mu      sync.Mutex
 	changed *sync.Cond
 	phase   phase
-	// own is the request that the server has on the connection itself.
-	own exchange
+	// direct is the request that the server has on the connection itself.
+	direct exchange
 	// unread was read from the caller and not handed on; stuck is set once it
 	// begins with a request that waits for its turn.
-	unread []byte
-	stuck  bool
-	since  time.Time
-	// turns are the requests that are not answered yet, in the order in which they
+	unread      []byte
+	blocked     bool
+	nextArrived time.Time
+	// pending are the requests that are not answered yet, in the order in which they
 	// were sent; nil stands for the one that the server has on this connection.
-	turns []*branch
-	// entering is set while the newest branch was handed over and its handler has
+	pending []*virtualConn
+	// starting is set while the newest branch was handed over and its handler has
 	// not been called.
-	entering bool
-	// readBy is the read deadline that the server asked for; woken says that a read
+	starting bool
+	// readDeadline is the read deadline that the server asked for; woken says that a read
 	// was ended to look again.
-	readBy time.Time
-	woken  bool
+	readDeadline time.Time
+	interrupted  bool
 	// reading is set while a read of the caller's connection waits.
 	reading bool
-	// piped is set once anything was sent ahead, gone once the caller has left,
+	// pipelined is set once anything was sent ahead, gone once the caller has left,
 	// ending behind the last answer, and closed at the end.
-	piped, gone, ending, closed bool
+	pipelined, callerGone, finishing, closed bool
 }
 
 // exchange is a request and its answer. It is replaced as a whole once the answer is sent,
 // so that nothing of it is taken for a part of the next one.
 type exchange struct {
-	head head
+	head headScanner
 	// request is nil until its handler is called, left how many bytes of its body were
 	// not handed on.
-	request *http.Request
-	left    int64
+	request  *http.Request
+	bodyLeft int64
 	// arrived is when the head was whole, the zero time where only the library knows.
 	arrived time.Time
 }
 
-func newConn(fr *Front, nc net.Conn) *conn {
-	cn := &conn{Conn: nc, fr: fr}
+func newConn(pl *Front, nc net.Conn) *conn {
+	cn := &conn{Conn: nc, pl: pl}
 	cn.changed = sync.NewCond(&cn.mu)
 	return cn
 }
@@ -91,31 +91,31 @@
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
 	for {
-		n, err := cn.read(p)
+		n, err := cn.readStep(p)
 		if n > 0 || err != nil {
 			return n, err
 		}
 	}
 }
 
-// read takes one step, which may bring nothing; cn.mu is held.
-func (cn *conn) read(p []byte) (int, error) {
+// readResponses takes one step, which may bring nothing; cn.mu is held.
+func (cn *conn) readStep(p []byte) (int, error) {
 	switch {
 	case cn.closed:
 		return 0, net.ErrClosed
-	case cn.ending:
+	case cn.finishing:
 		return 0, io.EOF
-	case cn.phase == plain:
-		return cn.pass(p)
-	case cn.phase == inBody:
-		n, err := cn.pass(p[:min(int64(len(p)), cn.own.left)])
-		cn.took(int64(n))
+	case cn.phase == passThrough:
+		return cn.forward(p)
+	case cn.phase == readingBody:
+		n, err := cn.forward(p[:min(int64(len(p)), cn.direct.bodyLeft)])
+		cn.consumeBody(int64(n))
 		return n, err
-	case cn.phase == inHead && len(cn.turns) == 0:
+	case cn.phase == readingHead && len(cn.pending) == 0:
 		return cn.readHead(p)
-	case cn.phase == begun, len(cn.unread) >= mostUnread:
+	case cn.phase == headRead, len(cn.unread) >= maxUnread:
 		// The only deadline that is set now is one in the past, which ends the wait.
-		if !cn.readBy.IsZero() && !cn.readBy.After(time.Now()) {
+		if !cn.readDeadline.IsZero() && !cn.readDeadline.After(time.Now()) {
 			return 0, os.ErrDeadlineExceeded
 		}
 		cn.changed.Wait()
@@ -124,55 +124,55 @@
 	return 0, cn.readAhead(p)
 }
 
-// took counts bytes of the body that were handed on; cn.mu is held.
-func (cn *conn) took(n int64) {
-	if cn.own.left -= n; cn.own.left <= 0 {
-		cn.phase = waiting
+// consumeBody counts bytes of the body that were handed on; cn.mu is held.
+func (cn *conn) consumeBody(n int64) {
+	if cn.direct.bodyLeft -= n; cn.direct.bodyLeft <= 0 {
+		cn.phase = awaitingResponse
 	}
 }
 
-// pass hands on what comes next, what was read before first; cn.mu is held.
-func (cn *conn) pass(p []byte) (int, error) {
+// forward hands on what comes next, what was read before first; cn.mu is held.
+func (cn *conn) forward(p []byte) (int, error) {
 	if len(cn.unread) == 0 {
-		return cn.receive(p)
+		return cn.readCaller(p)
 	}
 	n := copy(p, cn.unread)
-	cn.drop(n)
+	cn.discard(n)
 	return n, nil
 }
 
-// drop forgets bytes that were handed on; cn.mu is held.
-func (cn *conn) drop(n int) {
+// discard forgets bytes that were handed on; cn.mu is held.
+func (cn *conn) discard(n int) {
 	if cn.unread = cn.unread[n:]; len(cn.unread) == 0 {
 		cn.unread = nil
 	}
-	cn.stuck = false
+	cn.blocked = false
 }
 
-// receive reads from the caller; cn.mu is held, but not while the read waits.
-func (cn *conn) receive(p []byte) (int, error) {
+// readCaller reads from the caller; cn.mu is held, but not while the read waits.
+func (cn *conn) readCaller(p []byte) (int, error) {
 	cn.reading = true
 	cn.mu.Unlock()
 	n, err := cn.Conn.Read(p)
 	cn.mu.Lock()
 	cn.reading = false
-	if cn.woken {
-		cn.woken = false
+	if cn.interrupted {
+		cn.interrupted = false
 		// A connection that has failed says so at the next read.
-		_ = cn.Conn.SetReadDeadline(cn.readBy)
-		if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && (cn.readBy.IsZero() || cn.readBy.After(time.Now())) {
-			cn.rest()
+		_ = cn.Conn.SetReadDeadline(cn.readDeadline)
+		if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && (cn.readDeadline.IsZero() || cn.readDeadline.After(time.Now())) {
+			cn.reportIdle()
 			return 0, nil
 		}
 	}
 	return n, err
 }
 
-// wake ends a read that waits, so that it looks again; cn.mu is held.
-func (cn *conn) wake() {
+// interruptRead ends a read that waits, so that it looks again; cn.mu is held.
+func (cn *conn) interruptRead() {
 	cn.changed.Broadcast()
-	if cn.reading && !cn.woken {
-		cn.woken = true
+	if cn.reading && !cn.interrupted {
+		cn.interrupted = true
 		_ = cn.Conn.SetReadDeadline(past)
 	}
 }
@@ -184,9 +184,9 @@
 func (cn *conn) SetReadDeadline(t time.Time) error {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
-	cn.readBy = t
+	cn.readDeadline = t
 	cn.changed.Broadcast()
-	if cn.woken || cn.ending {
+	if cn.interrupted || cn.finishing {
 		// It is set once the read has ended, or not wanted any more.
 		return nil
 	}
@@ -196,26 +196,26 @@
 // readHead hands on bytes of the next request's head and none beyond it; cn.mu is
 // held.
 func (cn *conn) readHead(p []byte) (int, error) {
-	n, err := cn.pass(p)
+	n, err := cn.forward(p)
 	if n == 0 {
 		return 0, err
 	}
-	used, whole := cn.own.head.end(p[:n])
+	used, complete := cn.direct.head.scan(p[:n])
 	if used < n {
 		// Before what was read earlier and not handed on.
 		cn.unread = append(bytes.Clone(p[used:n]), cn.unread...)
 	}
-	if !whole {
+	if !complete {
 		return used, nil
 	}
-	cn.phase, cn.turns = begun, append(cn.turns, nil)
-	if cn.own.head.http2() {
-		cn.phase = plain
+	cn.phase, cn.pending = headRead, append(cn.pending, nil)
+	if cn.direct.head.isHTTP2() {
+		cn.phase = passThrough
 		return used, nil
 	}
-	cn.own.arrived = time.Now()
-	if !cn.since.IsZero() {
-		cn.own.arrived, cn.since = cn.since, time.Time{}
+	cn.direct.arrived = time.Now()
+	if !cn.nextArrived.IsZero() {
+		cn.direct.arrived, cn.nextArrived = cn.nextArrived, time.Time{}
 	}
 	return used, nil
 }
@@ -224,46 +224,46 @@
 func (cn *conn) setRequest(r *http.Request) {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
-	if cn.phase != begun {
+	if cn.phase != headRead {
 		return
 	}
-	cn.own.request = r
+	cn.direct.request = r
 	switch {
 	case r.ContentLength < 0:
-		cn.phase = plain
+		cn.phase = passThrough
 	case r.ContentLength == 0:
-		cn.phase = waiting
+		cn.phase = awaitingResponse
 	default:
-		cn.phase, cn.own.left = inBody, r.ContentLength
+		cn.phase, cn.direct.bodyLeft = readingBody, r.ContentLength
 	}
 	cn.changed.Broadcast()
 }
 
-// entered takes note that the handler is called for the request of a branch, and
+// handlerCalled takes note that the handler is called for the request of a branch, and
 // begins what comes behind it.
-func (cn *conn) entered() {
+func (cn *conn) handlerCalled() {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
-	cn.entering = false
-	cn.begin()
+	cn.starting = false
+	cn.startEarly()
 }
 
 // setState takes what the server says of its own part of the connection.
 func (cn *conn) setState(state http.ConnState) {
 	switch state {
 	case http.StateActive:
-		cn.fr.State(cn.Conn, state)
+		cn.pl.OnConnState(cn.Conn, state)
 	case http.StateIdle:
 		cn.mu.Lock()
 		defer cn.mu.Unlock()
-		cn.own = exchange{}
-		if cn.phase == plain {
-			cn.turns = cn.turns[:0]
-			cn.fr.State(cn.Conn, state)
+		cn.direct = exchange{}
+		if cn.phase == passThrough {
+			cn.pending = cn.pending[:0]
+			cn.pl.OnConnState(cn.Conn, state)
 			return
 		}
-		cn.phase = inHead
-		cn.answered(nil, false)
+		cn.phase = readingHead
+		cn.responseDone(nil, false)
 	}
 }
 
@@ -272,18 +272,18 @@
 // the caller has gone or that its deadline has passed.
 func (cn *conn) readAhead(p []byte) error {
 	if len(cn.unread) > 0 {
-		cn.piped = true
-		cn.begin()
+		cn.pipelined = true
+		cn.startEarly()
 	}
-	n, err := cn.receive(p)
+	n, err := cn.readCaller(p)
 	if n > 0 {
 		cn.unread = append(cn.unread, p[:n]...)
 		if len(p) < minRead {
-			cn.more()
+			cn.readMore()
 		}
 	}
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		cn.leave()
+		cn.cancelEarly()
 	}
 	return err
 }
@@ -292,13 +292,13 @@
 // beside a handler is of one byte.
 const minRead = 64
 
-// more reads what has come behind the first byte; cn.mu is held. The rest of a
+// readMore reads what has come behind the first byte; cn.mu is held. The rest of a
 // request mostly came with that, so this does not wait for long.
-func (cn *conn) more() {
+func (cn *conn) readMore() {
 	buf := buffers.Get().(*[readSize]byte)
 	defer buffers.Put(buf)
 	// An error is found again by the next read.
-	n, _ := cn.receive(buf[:])
+	n, _ := cn.readCaller(buf[:])
 	cn.unread = append(cn.unread, buf[:n]...)
 }
 
@@ -306,94 +306,94 @@
 
 var buffers = sync.Pool{New: func() any { return new([readSize]byte) }}
 
-// begin runs the next requests that were read, as far as they are whole and may run
+// startEarly runs the next requests that were read, as far as they are whole and may run
 // ahead of their turn; cn.mu is held, but not while a branch is handed over.
 //
 // Each is begun once the handler of the one before it has been called: behind one
 // that the server refuses as malformed, nothing is run.
-func (cn *conn) begin() {
-	for !cn.stuck && !cn.closed && len(cn.turns) > 0 && len(cn.unread) > 0 {
-		var he head
-		n, whole := he.end(cn.unread)
-		if !whole {
+func (cn *conn) startEarly() {
+	for !cn.blocked && !cn.closed && len(cn.pending) > 0 && len(cn.unread) > 0 {
+		var hs headScanner
+		n, complete := hs.scan(cn.unread)
+		if !complete {
 			return
 		}
-		if cn.since.IsZero() {
-			cn.since = time.Now()
+		if cn.nextArrived.IsZero() {
+			cn.nextArrived = time.Now()
 		}
-		if cn.entering || cn.phase == begun || cn.alone() {
+		if cn.starting || cn.phase == headRead || cn.runsAlone() {
 			return
 		}
-		if cn.stuck = !cn.mayBegin(cn.unread[:n]); cn.stuck {
+		if cn.blocked = !cn.mayRunEarly(cn.unread[:n]); cn.blocked {
 			return
 		}
-		br := newBranch(cn, cn.unread[:n:n])
-		cn.turns = append(cn.turns, br)
-		cn.entering = true
-		cn.drop(n)
-		cn.since = time.Time{}
+		vc := newVirtualConn(cn, cn.unread[:n:n])
+		cn.pending = append(cn.pending, vc)
+		cn.starting = true
+		cn.discard(n)
+		cn.nextArrived = time.Time{}
 		cn.mu.Unlock()
-		taken := cn.handOver(br)
+		accepted := cn.submit(vc)
 		cn.mu.Lock()
-		if !taken {
-			cn.takeBack(br)
+		if !accepted {
+			cn.requeue(vc)
 			return
 		}
 	}
 }
 
-// alone reports whether the request that the server has on the connection itself lets
+// runsAlone reports whether the request that the server has on the connection itself lets
 // nothing run beside it, because it may have an effect that what comes behind it
 // must see, or because nothing behind it will be answered; cn.mu is held.
-func (cn *conn) alone() bool {
-	if len(cn.turns) == 0 || cn.turns[0] != nil {
+func (cn *conn) runsAlone() bool {
+	if len(cn.pending) == 0 || cn.pending[0] != nil {
 		return false
 	}
-	return cn.own.request.Close || !cn.fr.Ahead(cn.own.request)
+	return cn.direct.request.Close || !cn.pl.Ahead(cn.direct.request)
 }
 
-func (cn *conn) handOver(br *branch) bool {
+func (cn *conn) submit(vc *virtualConn) bool {
 	select {
-	case cn.fr.ahead <- br:
+	case cn.pl.early <- vc:
 		return true
-	case <-cn.fr.done:
+	case <-cn.pl.done:
 		return false
 	}
 }
 
-// takeBack lets the request of the newest branch, which the server did not take,
+// requeue lets the request of the newest branch, which the server did not take,
 // wait for its turn; cn.mu is held.
-func (cn *conn) takeBack(br *branch) {
-	cn.turns = cn.turns[:len(cn.turns)-1]
-	cn.unread = append(bytes.Clone(br.request), cn.unread...)
-	cn.stuck, cn.since, cn.entering = true, br.arrived, false
+func (cn *conn) requeue(vc *virtualConn) {
+	cn.pending = cn.pending[:len(cn.pending)-1]
+	cn.unread = append(bytes.Clone(vc.request), cn.unread...)
+	cn.blocked, cn.nextArrived, cn.starting = true, vc.arrived, false
 }
 
-// mayBegin reports whether a request may run before those before it are answered;
+// mayRunEarly reports whether a request may run before those before it are answered;
 // cn.mu is held.
 //
 // One that may run once only must wait: were the connection to close behind an
 // earlier answer, its caller would take it for not read and send it again.
-func (cn *conn) mayBegin(text []byte) bool {
-	if len(cn.turns) >= MostUnderWay {
+func (cn *conn) mayRunEarly(head []byte) bool {
+	if len(cn.pending) >= MaxConcurrent {
 		return false
 	}
-	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(text)))
+	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(head)))
 	if err != nil {
 		// The server refuses it in its turn.
 		return false
 	}
-	bare := r.ContentLength == 0 && len(r.TransferEncoding) == 0
-	return bare && r.ProtoAtLeast(1, 1) && !r.Close && r.Header.Get("Expect") == "" && r.Header.Get("Upgrade") == "" && cn.fr.Ahead(r)
+	noBody := r.ContentLength == 0 && len(r.TransferEncoding) == 0
+	return noBody && r.ProtoAtLeast(1, 1) && !r.Close && r.Header.Get("Expect") == "" && r.Header.Get("Upgrade") == "" && cn.pl.Ahead(r)
 }
 
-// leave ends what runs ahead for the caller, which has gone; cn.mu is held. The
+// cancelRead ends what runs ahead for the caller, which has gone; cn.mu is held. The
 // server ends what it runs on the connection itself, by the error of its read.
-func (cn *conn) leave() {
-	cn.gone = true
-	for _, br := range cn.turns {
-		if br != nil {
-			br.leave()
+func (cn *conn) cancelEarly() {
+	cn.callerGone = true
+	for _, vc := range cn.pending {
+		if vc != nil {
+			vc.cancelRead()
 		}
 	}
 }
--- a/internal/path/piping/end_test.go
+++ b/internal/path/piping/end_test.go
@@ -34,9 +34,9 @@
 	})
 }
 
-// TestBound: a caller sends 40 requests at once. Of one connection no more than
-// MostUnderWay run at a time, or one caller could take all that an outlet runs.
-func TestBound(t *testing.T) {
+// TestConcurrencyLimit: a caller sends 40 requests at once. Of one connection no more than
+// MaxConcurrent run at a time, or one caller could take all that an outlet runs.
+func TestConcurrencyLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rg := newRig(t)
 		nc := rg.dial()
@@ -48,19 +48,19 @@
 			methods = append(methods, "GET")
 		}
 		_, _ = io.WriteString(nc, text.String())
-		res, err := read(nc, began, methods...)
+		res, err := readResponses(nc, began, methods...)
 		if err != nil || len(res) != 40 {
 			t.Fatalf("%d answers, %v", len(res), err)
 		}
-		if n := rg.most.Load(); n != MostUnderWay {
-			t.Errorf("%d ran at once, want %d", n, MostUnderWay)
+		if n := rg.maxRunning.Load(); n != MaxConcurrent {
+			t.Errorf("%d ran at once, want %d", n, MaxConcurrent)
 		}
 	})
 }
 
-// TestHeldBound: the first of three requests is slow and those behind it have large
+// TestBufferLimit: the first of three requests is slow and those behind it have large
 // answers. What waits for its turn is bounded; the answers are whole all the same.
-func TestHeldBound(t *testing.T) {
+func TestBufferLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rg := newRig(t)
 		var methods []string
@@ -76,7 +76,7 @@
 		if n := rg.running.Load(); n < 2 {
 			t.Errorf("%d still run; those whose answers find no room must wait", n)
 		}
-		res, err := read(nc, began, append(methods, "GET")...)
+		res, err := readResponses(nc, began, append(methods, "GET")...)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -100,7 +100,7 @@
 		time.Sleep(100 * time.Millisecond)
 		rg.ln.Close()
 		_, _ = io.WriteString(nc, get("/100/close")+get("/100/never"))
-		res, err := read(nc, began, "GET", "GET", "GET", "GET")
+		res, err := readResponses(nc, began, "GET", "GET", "GET", "GET")
 		if len(res) != 3 || err == nil {
 			t.Errorf("%d answers and %v, want 3 and an error", len(res), err)
 		}
@@ -112,44 +112,44 @@
 	})
 }
 
-// TestIdle: a connection counts as idle once all that was sent ahead has been
+// TestIdleState: a connection counts as idle once all that was sent ahead has been
 // answered, and not when the server's own part of it has: it would be ended under
 // requests that run.
-func TestIdle(t *testing.T) {
+func TestIdleState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rg := newRig(t)
 		nc := rg.dial()
 		_, _ = io.WriteString(nc, get("/100")+get("/300"))
 		time.Sleep(200 * time.Millisecond)
-		if n := rg.idle.Load(); n != 0 {
+		if n := rg.idleReports.Load(); n != 0 {
 			t.Errorf("idle was told %d times while a request runs", n)
 		}
 		time.Sleep(200 * time.Millisecond)
-		if n := rg.idle.Load(); n != 1 {
+		if n := rg.idleReports.Load(); n != 1 {
 			t.Errorf("idle was told %d times, want 1", n)
 		}
 		began := time.Now()
 		_, _ = io.WriteString(nc, get("/100"))
-		if res, err := read(nc, began, "GET", "GET", "GET"); err != nil || len(res) != 3 {
+		if res, err := readResponses(nc, began, "GET", "GET", "GET"); err != nil || len(res) != 3 {
 			t.Errorf("%d answers, %v", len(res), err)
 		}
 	})
 }
 
-// TestLastAnswerArrives: an answer closes a connection on which more requests lie
+// TestLastResponseArrives: an answer closes a connection on which more requests lie
 // unread. Closed at once, the connection is reset, and over real sockets the caller
 // loses the answer as well.
-func TestLastAnswerArrives(t *testing.T) {
-	fr := New(func(*http.Request) bool { return true }, func(net.Conn, http.ConnState) {})
+func TestLastResponseArrives(t *testing.T) {
+	pl := New(func(*http.Request) bool { return true }, func(net.Conn, http.ConnState) {})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	hs := &http.Server{ConnState: fr.ConnState, ConnContext: fr.ConnContext, Handler: fr.Handler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	hs := &http.Server{ConnState: pl.ConnState, ConnContext: pl.ConnContext, Handler: pl.Handler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Connection", "close")
 		_, _ = io.WriteString(w, r.URL.Path)
 	}))}
-	go func() { _ = hs.Serve(fr.Listener(ln)) }()
+	go func() { _ = hs.Serve(pl.Listener(ln)) }()
 	defer hs.Close()
 	for range 50 {
 		nc, err := net.Dial("tcp", ln.Addr().String())
@@ -170,9 +170,9 @@
 	}
 }
 
-// TestAnyOrder: whatever callers send, cut into whatever pieces, each request gets
+// TestResponseOrder: whatever callers send, cut into whatever pieces, each request gets
 // its own answer, in the order sent, as it would one by one.
-func TestAnyOrder(t *testing.T) {
+func TestResponseOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		kinds := rapid.SliceOfN(rapid.SampledFrom([]string{"get", "post", "head", "put", "chunks", "304", "stream", "early"}), 1, 12).Draw(rt, "kinds")
 		times := rapid.SliceOfN(rapid.IntRange(0, 60), len(kinds), len(kinds)).Draw(rt, "ms")
@@ -221,7 +221,7 @@
 				}
 				_, _ = io.WriteString(nc, text[at:])
 			}()
-			res, err := read(nc, time.Now(), methods...)
+			res, err := readResponses(nc, time.Now(), methods...)
 			if err != nil || len(res) != len(want) {
 				t.Errorf("%d answers of %d, %v", len(res), len(want), err)
 			}
@@ -252,9 +252,9 @@
 				b.Fatal(err)
 			}
 			if name == "front" {
-				fr := New(func(*http.Request) bool { return true }, func(net.Conn, http.ConnState) {})
-				hs.Handler, hs.ConnState, hs.ConnContext = fr.Handler(handler), fr.ConnState, fr.ConnContext
-				ln = fr.Listener(ln)
+				pl := New(func(*http.Request) bool { return true }, func(net.Conn, http.ConnState) {})
+				hs.Handler, hs.ConnState, hs.ConnContext = pl.Handler(handler), pl.ConnState, pl.ConnContext
+				ln = pl.Listener(ln)
 			}
 			go func() { _ = hs.Serve(ln) }()
 			defer hs.Close()
--- a/internal/path/piping/idle_test.go
+++ b/internal/path/piping/idle_test.go
@@ -17,24 +17,24 @@
 // slowListener makes reads of its connections return late.
 type slowListener struct {
 	net.Listener
-	// by is how long a read that has brought bytes takes to return.
-	by func() time.Duration
+	// delay is how long a read that has brought bytes takes to return.
+	delay func() time.Duration
 }
 
 func (sl slowListener) Accept() (net.Conn, error) {
 	nc, err := sl.Listener.Accept()
-	return &slowConn{Conn: nc, by: sl.by}, err
+	return &slowConn{Conn: nc, delay: sl.delay}, err
 }
 
 type slowConn struct {
 	net.Conn
-	by func() time.Duration
+	delay func() time.Duration
 }
 
 func (sc *slowConn) Read(p []byte) (int, error) {
 	n, err := sc.Conn.Read(p)
 	if n > 0 {
-		time.Sleep(sc.by())
+		time.Sleep(sc.delay())
 	}
 	return n, err
 }
@@ -47,14 +47,14 @@
 		ho, _ := nw.Listen("caller:1", "")
 		_, ln := nw.Listen("server:1", "")
 		var st idle.Set
-		fr := New(func(r *http.Request) bool { return r.Method == http.MethodGet }, func(nc net.Conn, state http.ConnState) { st.State(nc.(*slowConn).Conn, state) })
+		pl := New(func(r *http.Request) bool { return r.Method == http.MethodGet }, func(nc net.Conn, state http.ConnState) { st.State(nc.(*slowConn).Conn, state) })
 		var slow atomic.Int64
 		rg := &rig{t: t, nw: nw, ho: ho, ages: map[string]time.Duration{}}
-		hs := &http.Server{Handler: fr.Handler(rg), ConnState: fr.ConnState, ConnContext: fr.ConnContext}
+		hs := &http.Server{Handler: pl.Handler(rg), ConnState: pl.ConnState, ConnContext: pl.ConnContext}
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			_ = hs.Serve(fr.Listener(slowListener{st.Listener(ln), func() time.Duration { return time.Duration(slow.Load()) }}))
+			_ = hs.Serve(pl.Listener(slowListener{st.Listener(ln), func() time.Duration { return time.Duration(slow.Load()) }}))
 		}()
 		defer func() {
 			hs.Close()
--- a/internal/path/piping/overlap_test.go
+++ b/internal/path/piping/overlap_test.go
@@ -16,15 +16,15 @@
 
 // The load of TestNextBeginsAsFirstEnds.
 const (
-	overlapCallers = 16
-	overlapConns   = 400
-	overlapAhead   = 5
+	overlapCallers  = 16
+	overlapConns    = 400
+	overlapRequests = 5
 )
 
 // TestNextBeginsAsFirstEnds guards against a request that is lost since it begins in the
 // moment in which the first one of its connection ends. Only several threads show it.
 func TestNextBeginsAsFirstEnds(t *testing.T) {
-	fr := New(func(*http.Request) bool { return true }, func(net.Conn, http.ConnState) {})
+	pl := New(func(*http.Request) bool { return true }, func(net.Conn, http.ConnState) {})
 	// A request yields as often as its path is long, so that ends fall on all moments.
 	brief := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for range len(r.URL.Path) {
@@ -33,7 +33,7 @@
 		_, _ = io.WriteString(w, r.URL.Path)
 	})
 	hs := &http.Server{
-		Handler: fr.Handler(brief), ConnState: fr.ConnState, ConnContext: fr.ConnContext,
+		Handler: pl.Handler(brief), ConnState: pl.ConnState, ConnContext: pl.ConnContext,
 		ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError),
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	served := make(chan error)
-	go func() { served <- hs.Serve(fr.Listener(ln)) }()
+	go func() { served <- hs.Serve(pl.Listener(ln)) }()
 	defer func() {
 		hs.Close()
 		<-served
@@ -71,14 +71,14 @@
 	}
 	defer nc.Close()
 	var text string
-	for j := range overlapAhead {
+	for j := range overlapRequests {
 		text += get("/" + strings.Repeat("x", (7*i+3*j)%20))
 	}
 	if _, err := io.WriteString(nc, text); err != nil {
 		return err
 	}
 	br := bufio.NewReader(nc)
-	for j := range overlapAhead {
+	for j := range overlapRequests {
 		re, err := http.ReadResponse(br, nil)
 		if err != nil {
 			return fmt.Errorf("answer %d: %w", j, err)
--- a/internal/path/piping/front.go
+++ b/internal/path/piping/pipeliner.go
@@ -13,20 +13,20 @@
 
 // The bounds of what callers can make a connection do.
 const (
-	// MostUnderWay is how many requests of one connection are run at once. Callers
+	// MaxConcurrent is how many requests of one connection are run at once. Callers
 	// send a handful ahead; more would let one connection take all that an outlet
 	// runs.
-	MostUnderWay = 16
-	// MostHeld is how many bytes of answers wait for their turn, over all
+	MaxConcurrent = 16
+	// MaxBuffered is how many bytes of answers wait for their turn, over all
 	// connections. An answer that finds no room waits before it is written.
-	MostHeld = 4 << 20
-	// mostUnread is how many bytes of requests that wait for their turn are read
+	MaxBuffered = 4 << 20
+	// maxUnread is how many bytes of requests that wait for their turn are read
 	// from one connection; the rest stays in the system's buffer.
-	mostUnread = 16 << 10
-	// linger is how long a connection on which more was sent than was answered
+	maxUnread = 16 << 10
+	// lingerTimeout is how long a connection on which more was sent than was answered
 	// stays half open after its last answer. Closed at once, it would be reset, and
 	// the caller could lose the answer too.
-	linger = 500 * time.Millisecond
+	lingerTimeout = 500 * time.Millisecond
 )
 
 // Front joins connections of callers to an http.Server: its listener, its
@@ -36,27 +36,27 @@
 	// Ahead reports whether a request without a body may run before those that were
 	// sent before it have been answered, and run again if its answer is lost.
 	Ahead func(*http.Request) bool
-	// State is told when a caller's connection becomes active and when all that was
+	// OnConnState is told when a caller's connection becomes active and when all that was
 	// read from it has been answered, as http.Server.ConnState is.
-	State func(net.Conn, http.ConnState)
+	OnConnState func(net.Conn, http.ConnState)
 
-	held  proxy.Bound
-	ahead chan net.Conn
-	once  sync.Once
-	done  chan struct{}
+	buffered proxy.Bound
+	early    chan net.Conn
+	once     sync.Once
+	done     chan struct{}
 }
 
 // New returns a front.
-func New(ahead func(*http.Request) bool, state func(net.Conn, http.ConnState)) *Front {
-	fr := &Front{Ahead: ahead, State: state, ahead: make(chan net.Conn), done: make(chan struct{})}
-	fr.held.Most = MostHeld
-	return fr
+func New(mayRunEarly func(*http.Request) bool, onConnState func(net.Conn, http.ConnState)) *Front {
+	pl := &Front{Ahead: mayRunEarly, OnConnState: onConnState, early: make(chan net.Conn), done: make(chan struct{})}
+	pl.buffered.Most = MaxBuffered
+	return pl
 }
 
 // Listener returns ln with its connections joined.
-func (fr *Front) Listener(ln net.Listener) net.Listener {
-	ls := &listener{Listener: ln, fr: fr, accepted: make(chan accepted)}
-	go ls.accept()
+func (pl *Front) Listener(ln net.Listener) net.Listener {
+	ls := &listener{Listener: ln, pl: pl, results: make(chan acceptResult)}
+	go ls.acceptLoop()
 	return ls
 }
 
@@ -64,26 +64,26 @@
 // was sent ahead.
 type listener struct {
 	net.Listener
-	fr       *Front
-	accepted chan accepted
+	pl      *Front
+	results chan acceptResult
 }
 
-type accepted struct {
+type acceptResult struct {
 	nc  net.Conn
 	err error
 }
 
-// accept passes on what the listener beneath accepts until that is closed.
-func (ls *listener) accept() {
+// acceptLoop passes on what the listener beneath accepts until that is closed.
+func (ls *listener) acceptLoop() {
 	for {
 		nc, err := ls.Listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
-			ls.fr.close()
+			ls.pl.close()
 			return
 		}
 		select {
-		case ls.accepted <- accepted{nc, err}:
-		case <-ls.fr.done:
+		case ls.results <- acceptResult{nc, err}:
+		case <-ls.pl.done:
 			if err == nil {
 				// Nobody accepts it any more; its caller goes elsewhere.
 				_ = nc.Close()
@@ -95,37 +95,37 @@
 
 // close ends accepting. Requests that are sent ahead wait for their turn from now
 // on.
-func (fr *Front) close() { fr.once.Do(func() { close(fr.done) }) }
+func (pl *Front) close() { pl.once.Do(func() { close(pl.done) }) }
 
 // Accept returns the next connection.
 func (ls *listener) Accept() (net.Conn, error) {
 	select {
-	case ac := <-ls.accepted:
+	case ac := <-ls.results:
 		if ac.err != nil {
 			return nil, ac.err
 		}
-		return newConn(ls.fr, ac.nc), nil
-	case nc := <-ls.fr.ahead:
+		return newConn(ls.pl, ac.nc), nil
+	case nc := <-ls.pl.early:
 		return nc, nil
-	case <-ls.fr.done:
+	case <-ls.pl.done:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close closes the listener beneath.
 func (ls *listener) Close() error {
-	ls.fr.close()
+	ls.pl.close()
 	return ls.Listener.Close()
 }
 
 // ConnState is the hook of an http.Server.
-func (fr *Front) ConnState(nc net.Conn, state http.ConnState) {
+func (pl *Front) ConnState(nc net.Conn, state http.ConnState) {
 	switch cn := nc.(type) {
 	case *conn:
 		cn.setState(state)
-	case *branch:
+	case *virtualConn:
 		if state == http.StateIdle {
-			cn.end(false)
+			cn.responseDone(false)
 		}
 	}
 }
@@ -134,19 +134,19 @@
 type connKey struct{}
 
 // ConnContext is the hook of an http.Server.
-func (fr *Front) ConnContext(ctx context.Context, nc net.Conn) context.Context {
+func (pl *Front) ConnContext(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, nc)
 }
 
 // Handler returns next, with each connection told of a request before next is
 // called.
-func (fr *Front) Handler(next http.Handler) http.Handler {
+func (pl *Front) Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch cn := r.Context().Value(connKey{}).(type) {
 		case *conn:
 			cn.setRequest(r)
-		case *branch:
-			cn.cn.entered()
+		case *virtualConn:
+			cn.cn.handlerCalled()
 		}
 		next.ServeHTTP(w, r)
 	})
@@ -160,8 +160,8 @@
 	case *conn:
 		cn.mu.Lock()
 		defer cn.mu.Unlock()
-		return cn.own.arrived
-	case *branch:
+		return cn.direct.arrived
+	case *virtualConn:
 		return cn.arrived
 	}
 	return time.Time{}
--- a/internal/path/piping/piping_test.go
+++ b/internal/path/piping/piping_test.go
@@ -29,9 +29,9 @@
 	mu  sync.Mutex
 	ran []string
 	// running is how many run, most the most that did.
-	running, most atomic.Int32
-	// idle counts how often a connection was told to be idle.
-	idle atomic.Int32
+	running, maxRunning atomic.Int32
+	// idleReports counts how often a connection was told to be idle.
+	idleReports atomic.Int32
 	// ages has by path how long before its handler a request had arrived, as far as that
 	// is known.
 	ages map[string]time.Duration
@@ -43,14 +43,14 @@
 	t.Helper()
 	rg := &rig{t: t, nw: memnet.New(), ages: map[string]time.Duration{}}
 	rg.ho, _ = rg.nw.Listen("caller:1", "")
-	fr := New(func(r *http.Request) bool { return r.Method != http.MethodPost }, func(_ net.Conn, st http.ConnState) {
+	pl := New(func(r *http.Request) bool { return r.Method != http.MethodPost }, func(_ net.Conn, st http.ConnState) {
 		if st == http.StateIdle {
-			rg.idle.Add(1)
+			rg.idleReports.Add(1)
 		}
 	})
-	rg.hs = &http.Server{Handler: fr.Handler(rg), ConnState: fr.ConnState, ConnContext: fr.ConnContext}
+	rg.hs = &http.Server{Handler: pl.Handler(rg), ConnState: pl.ConnState, ConnContext: pl.ConnContext}
 	_, ln := rg.nw.Listen("server:1", "")
-	rg.ln = fr.Listener(ln)
+	rg.ln = pl.Listener(ln)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -60,7 +60,7 @@
 		rg.hs.Close()
 		<-done
 		// What lingers has ended by then.
-		time.Sleep(2 * linger)
+		time.Sleep(2 * lingerTimeout)
 		synctest.Wait()
 	})
 	return rg
@@ -74,15 +74,15 @@
 		rg.ages[r.URL.Path] = time.Since(at)
 	}
 	rg.mu.Unlock()
-	now := rg.running.Add(1)
+	running := rg.running.Add(1)
 	defer rg.running.Add(-1)
-	for old := rg.most.Load(); now > old && !rg.most.CompareAndSwap(old, now); old = rg.most.Load() {
+	for old := rg.maxRunning.Load(); running > old && !rg.maxRunning.CompareAndSwap(old, running); old = rg.maxRunning.Load() {
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	ms, how, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	ms, mode, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	n, err := strconv.Atoi(ms)
 	if err != nil {
 		w.WriteHeader(http.StatusNotFound)
@@ -94,7 +94,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	text := "answer to " + r.URL.Path + " " + string(body)
-	switch how {
+	switch mode {
 	case "close":
 		w.Header().Set("Connection", "close")
 	case "304":
@@ -156,8 +156,8 @@
 	after  time.Duration
 }
 
-// read reads the answers to requests of the methods until the connection ends.
-func read(nc net.Conn, began time.Time, methods ...string) (res []reply, err error) {
+// readResponses reads the answers to requests of the methods until the connection ends.
+func readResponses(nc net.Conn, began time.Time, methods ...string) (res []reply, err error) {
 	br := bufio.NewReader(nc)
 	for _, method := range methods {
 		re, err := http.ReadResponse(br, &http.Request{Method: method})
@@ -192,7 +192,7 @@
 			text += get(fmt.Sprint("/300/", i))
 		}
 		_, _ = io.WriteString(nc, text)
-		res, err := read(nc, began, "GET", "GET", "GET", "GET", "GET")
+		res, err := readResponses(nc, began, "GET", "GET", "GET", "GET", "GET")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -258,7 +258,7 @@
 				if tc.later != "" {
 					time.AfterFunc(50*time.Millisecond, func() { _, _ = io.WriteString(nc, tc.later) })
 				}
-				res, err := read(nc, began, strings.Fields(tc.methods)...)
+				res, err := readResponses(nc, began, strings.Fields(tc.methods)...)
 				var got []string
 				for _, re := range res {
 					got = append(got, fmt.Sprintf("%d@%d", re.status, re.after.Milliseconds()))
--- a/internal/path/result/result.go
+++ b/internal/path/result/result.go
@@ -304,15 +304,15 @@
 const maxRetryAfter = time.Hour
 
 // Share returns the form of a share from 0 to 1 that ParseShare reads.
-func Share(share float64) string { return strconv.FormatFloat(share, 'f', 2, 64) }
+func Share(probability float64) string { return strconv.FormatFloat(probability, 'f', 2, 64) }
 
 // ParseShare reads what Share returns; 0 for what cannot be read.
 func ParseShare(s string) float64 {
-	share, err := strconv.ParseFloat(s, 64)
-	if err != nil || !(share >= 0 && share <= 1) {
+	probability, err := strconv.ParseFloat(s, 64)
+	if err != nil || !(probability >= 0 && probability <= 1) {
 		return 0
 	}
-	return share
+	return probability
 }
 
 // Spent is the time that a request spent at an inlet.
--- a/internal/path/result/result_test.go
+++ b/internal/path/result/result_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestRoundTrip: what an inlet refuses with is what an outlet reads.
-func TestRoundTrip(t *testing.T) {
+// TestRefusalRoundTrip: what an inlet refuses with is what an outlet reads.
+func TestRefusalRoundTrip(t *testing.T) {
 	for _, tc := range []struct {
 		rf     Refusal
 		status int
@@ -59,16 +59,16 @@
 	f.Add("1/2/3")
 	f.Fuzz(func(t *testing.T, s string) {
 		if ld, ok := ParseLoad(s); ok {
-			if again, ok := ParseLoad(ld.String()); !ok || again != ld {
+			if reparsed, ok := ParseLoad(ld.String()); !ok || reparsed != ld {
 				t.Errorf("%q is %v, which prints as %q", s, ld, ld)
 			}
 		}
 	})
 }
 
-// TestFractions: a caller that reads fractions of a second is told to the
+// TestRetryAfterFractions: a caller that reads fractions of a second is told to the
 // millisecond, and never to come back at once.
-func TestFractions(t *testing.T) {
+func TestRetryAfterFractions(t *testing.T) {
 	for after, want := range map[time.Duration]string{
 		120 * time.Millisecond: "0.120", time.Microsecond: "0.001", 2 * time.Second: "2.000",
 	} {
