--- a/internal/path/piping/arrived_test.go
+++ b/internal/path/piping/arrived_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// timedWrite is something that a caller writes after a pause.
+// timedWrite is a text that a caller writes after a delay.
 type timedWrite struct {
 	delay time.Duration
 	text  string
 }
 
-// TestArrivedOnKeptConnection guards against the time of one request being taken for that
-// of a later one on its connection.
+// TestArrivedOnKeptConnection guards against a request being given the arrival time of an earlier
+// one on its keep-alive connection.
 func TestArrivedOnKeptConnection(t *testing.T) {
 	chunked := func(path string) string {
 		return request("PUT", path, "3\r\nbod\r\n0\r\n\r\n", "Transfer-Encoding: chunked")
@@ -22,17 +22,18 @@
 	for _, tc := range []struct {
 		name   string
 		writes []timedWrite
-		// oldest is how long before its handler the request for /1/last may have arrived.
+		// maxAge is how long before its handler is called the request for /1/last may have
+		// arrived.
 		maxAge time.Duration
 	}{
-		{"after one without a body", []timedWrite{{0, get("/10")}, {time.Minute, get("/1/last")}}, 0},
-		{"after one with a length", []timedWrite{{0, request("PUT", "/10", "body!", "Content-Length: 5")}, {time.Minute, get("/1/last")}}, 0},
-		{"after one in chunks", []timedWrite{{0, chunked("/10")}, {time.Minute, get("/1/last")}}, 0},
-		{"after two in chunks", []timedWrite{{0, chunked("/10")}, {time.Minute, chunked("/20")}, {time.Minute, get("/1/last")}}, 0},
-		{"in chunks after one in chunks", []timedWrite{{0, chunked("/10")}, {time.Minute, chunked("/1/last")}}, 0},
-		{"while one in chunks runs", []timedWrite{{0, chunked("/10")}, {time.Minute, chunked("/100")}, {50 * time.Millisecond, get("/1/last")}}, 60 * time.Millisecond},
-		{"its head in two parts", []timedWrite{{0, chunked("/10")}, {time.Minute, "GET /1/last HT"}, {time.Second, "TP/1.1\r\nHost: a\r\n\r\n"}}, time.Second},
-		{"waited for its turn", []timedWrite{{0, get("/100") + request("POST", "/1/last", "")}}, 110 * time.Millisecond},
+		{"after a request without a body", []timedWrite{{0, get("/10")}, {time.Minute, get("/1/last")}}, 0},
+		{"after a body with Content-Length", []timedWrite{{0, request("PUT", "/10", "body!", "Content-Length: 5")}, {time.Minute, get("/1/last")}}, 0},
+		{"after a chunked body", []timedWrite{{0, chunked("/10")}, {time.Minute, get("/1/last")}}, 0},
+		{"after two chunked bodies", []timedWrite{{0, chunked("/10")}, {time.Minute, chunked("/20")}, {time.Minute, get("/1/last")}}, 0},
+		{"chunked body after a chunked body", []timedWrite{{0, chunked("/10")}, {time.Minute, chunked("/1/last")}}, 0},
+		{"while a request with a chunked body runs", []timedWrite{{0, chunked("/10")}, {time.Minute, chunked("/100")}, {50 * time.Millisecond, get("/1/last")}}, 60 * time.Millisecond},
+		{"head in two parts", []timedWrite{{0, chunked("/10")}, {time.Minute, "GET /1/last HT"}, {time.Second, "TP/1.1\r\nHost: a\r\n\r\n"}}, time.Second},
+		{"waited for an earlier response", []timedWrite{{0, get("/100") + request("POST", "/1/last", "")}}, 110 * time.Millisecond},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -46,7 +47,7 @@
 				time.Sleep(time.Second)
 				synctest.Wait()
 				if got := rg.ages["/1/last"]; got > tc.maxAge {
-					t.Errorf("the request is taken for %v old, it can be %v", got, tc.maxAge)
+					t.Errorf("request is reported to be %v old, want at most %v", got, tc.maxAge)
 				}
 			})
 		})
--- a/internal/path/piping/conn.go
+++ b/internal/path/piping/conn.go
@@ -12,31 +12,31 @@
 	"time"
 )
 
-// phase is what the library's server reads next from a connection.
+// phase is what the net/http server reads next from a connection.
 type phase int
 
 const (
 	// readingHead: the head of a request.
 	readingHead phase = iota
-	// headRead: nothing until the handler has told how the body goes.
+	// headRead: nothing until the handler is called and the length of the body is known.
 	headRead
 	// readingBody: a body of known length.
 	readingBody
-	// awaitingResponse: nothing; the request is whole and not answered yet.
+	// awaitingResponse: nothing; the request was read completely and is not answered yet.
 	awaitingResponse
-	// passThrough: whatever comes. The end of a body without a length is known to the
-	// library alone, so nothing is run ahead on the connection any more.
+	// passThrough: any bytes. Only net/http knows where a body without a Content-Length ends, so
+	// no further request of the connection is run early.
 	passThrough
 )
 
-// conn is a caller's connection. The library's server serves those requests on it
-// that begin while no other is under way; for each of the others that may be
-// repeated it gets a branch, a connection that stands for that one request.
+// conn is a caller's connection. The net/http server serves a request on it directly if no other
+// request of the connection is in progress. Of the others, those that may be retried are each
+// passed to the server on a virtualConn, a connection for that request alone; the rest wait.
 //
-// The reads that the server makes drive it: one waits at any time, either for the
-// next request or, beside a handler, to notice that the caller has gone. What it
-// brings meanwhile is kept here and not handed on, so the server never holds a byte
-// of a request whose turn has not come.
+// The server's reads drive it. One read is pending at any time, either for the next request or,
+// while a handler runs, to detect that the caller has disconnected. Bytes that arrive while a
+// handler runs are buffered here and not returned, so the server never holds a byte of a request
+// that it must not start yet.
 type conn struct {
 	net.Conn
 	pl *Front
@@ -44,39 +44,39 @@
 	mu      sync.Mutex
 	changed *sync.Cond
 	phase   phase
-	// direct is the request that the server has on the connection itself.
+	// direct is the request that the server serves on the connection itself.
 	direct exchange
-	// unread was read from the caller and not handed on; stuck is set once it
-	// begins with a request that waits for its turn.
+	// unread was received from the caller and not yet returned to the server. blocked is set once
+	// it begins with a request that must wait until those before it are answered. nextArrived is
+	// when the head of that request was complete.
 	unread      []byte
 	blocked     bool
 	nextArrived time.Time
-	// pending are the requests that are not answered yet, in the order in which they
-	// were sent; nil stands for the one that the server has on this connection.
+	// pending are the requests that are not answered yet, in the order in which they were sent;
+	// nil stands for the direct one.
 	pending []*virtualConn
-	// starting is set while the newest branch was handed over and its handler has
-	// not been called.
+	// starting is set from the submission of the newest virtualConn until its handler is called.
 	starting bool
-	// readDeadline is the read deadline that the server asked for; woken says that a read
-	// was ended to look again.
+	// readDeadline is the read deadline set by the server. interrupted is set while a read is
+	// being ended early so that the state is checked again.
 	readDeadline time.Time
 	interrupted  bool
-	// reading is set while a read of the caller's connection waits.
+	// reading is set while a read of the caller's connection is pending.
 	reading bool
-	// pipelined is set once anything was sent ahead, gone once the caller has left,
-	// ending behind the last answer, and closed at the end.
+	// pipelined is set once a pipelined request was received, callerGone once the caller has
+	// disconnected, finishing after the last response, and closed once the connection is closed.
 	pipelined, callerGone, finishing, closed bool
 }
 
-// exchange is a request and its answer. It is replaced as a whole once the answer is sent,
-// so that nothing of it is taken for a part of the next one.
+// exchange is a request and its response. It is replaced as a whole once the response is sent, so
+// that none of its state carries over to the next request.
 type exchange struct {
 	head headScanner
-	// request is nil until its handler is called, left how many bytes of its body were
-	// not handed on.
+	// request is nil until its handler is called. bodyLeft is how many bytes of its body were not
+	// yet returned to the server.
 	request  *http.Request
 	bodyLeft int64
-	// arrived is when the head was whole, the zero time where only the library knows.
+	// arrived is when the head was complete; the zero time where only net/http knows that.
 	arrived time.Time
 }
 
@@ -86,7 +86,7 @@
 	return cn
 }
 
-// Read hands on what belongs to the request that the server reads.
+// Read returns bytes of the request that the server is reading.
 func (cn *conn) Read(p []byte) (int, error) {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 }
 
-// readResponses takes one step, which may bring nothing; cn.mu is held.
+// readStep makes one step of a read, which may return no bytes. cn.mu is held.
 func (cn *conn) readStep(p []byte) (int, error) {
 	switch {
 	case cn.closed:
@@ -114,7 +114,7 @@
 	case cn.phase == readingHead && len(cn.pending) == 0:
 		return cn.readHead(p)
 	case cn.phase == headRead, len(cn.unread) >= maxUnread:
-		// The only deadline that is set now is one in the past, which ends the wait.
+		// The server sets no deadline at this point but a past one, which ends the wait.
 		if !cn.readDeadline.IsZero() && !cn.readDeadline.After(time.Now()) {
 			return 0, os.ErrDeadlineExceeded
 		}
@@ -124,14 +124,14 @@
 	return 0, cn.readAhead(p)
 }
 
-// consumeBody counts bytes of the body that were handed on; cn.mu is held.
+// consumeBody counts bytes of the body that were returned to the server. cn.mu is held.
 func (cn *conn) consumeBody(n int64) {
 	if cn.direct.bodyLeft -= n; cn.direct.bodyLeft <= 0 {
 		cn.phase = awaitingResponse
 	}
 }
 
-// forward hands on what comes next, what was read before first; cn.mu is held.
+// forward returns the next bytes of the connection, buffered ones first. cn.mu is held.
 func (cn *conn) forward(p []byte) (int, error) {
 	if len(cn.unread) == 0 {
 		return cn.readCaller(p)
@@ -141,7 +141,7 @@
 	return n, nil
 }
 
-// discard forgets bytes that were handed on; cn.mu is held.
+// discard removes bytes from unread that were returned to the server. cn.mu is held.
 func (cn *conn) discard(n int) {
 	if cn.unread = cn.unread[n:]; len(cn.unread) == 0 {
 		cn.unread = nil
@@ -149,7 +149,7 @@
 	cn.blocked = false
 }
 
-// readCaller reads from the caller; cn.mu is held, but not while the read waits.
+// readCaller reads from the caller. cn.mu is held, but not during the read.
 func (cn *conn) readCaller(p []byte) (int, error) {
 	cn.reading = true
 	cn.mu.Unlock()
@@ -158,7 +158,7 @@
 	cn.reading = false
 	if cn.interrupted {
 		cn.interrupted = false
-		// A connection that has failed says so at the next read.
+		// If the connection has failed, the next read returns the error.
 		_ = cn.Conn.SetReadDeadline(cn.readDeadline)
 		if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && (cn.readDeadline.IsZero() || cn.readDeadline.After(time.Now())) {
 			cn.reportIdle()
@@ -168,7 +168,7 @@
 	return n, err
 }
 
-// interruptRead ends a read that waits, so that it looks again; cn.mu is held.
+// interruptRead ends a pending read, so that it checks the state again. cn.mu is held.
 func (cn *conn) interruptRead() {
 	cn.changed.Broadcast()
 	if cn.reading && !cn.interrupted {
@@ -177,7 +177,7 @@
 	}
 }
 
-// past is a deadline that ends a read that waits at once.
+// past is a deadline that ends a pending read at once.
 var past = time.Unix(1, 0)
 
 // SetReadDeadline sets the deadline of the server's reads.
@@ -187,14 +187,13 @@
 	cn.readDeadline = t
 	cn.changed.Broadcast()
 	if cn.interrupted || cn.finishing {
-		// It is set once the read has ended, or not wanted any more.
+		// readCaller sets it when the interrupted read returns; after finish it is not needed.
 		return nil
 	}
 	return cn.Conn.SetReadDeadline(t)
 }
 
-// readHead hands on bytes of the next request's head and none beyond it; cn.mu is
-// held.
+// readHead returns bytes of the next request's head and none beyond it. cn.mu is held.
 func (cn *conn) readHead(p []byte) (int, error) {
 	n, err := cn.forward(p)
 	if n == 0 {
@@ -202,7 +201,7 @@
 	}
 	used, complete := cn.direct.head.scan(p[:n])
 	if used < n {
-		// Before what was read earlier and not handed on.
+		// These bytes precede any that are still in unread.
 		cn.unread = append(bytes.Clone(p[used:n]), cn.unread...)
 	}
 	if !complete {
@@ -220,7 +219,7 @@
 	return used, nil
 }
 
-// setRequest takes the request that the server has and calls the handler for.
+// setRequest records the request that the server passes to the handler.
 func (cn *conn) setRequest(r *http.Request) {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
@@ -239,8 +238,8 @@
 	cn.changed.Broadcast()
 }
 
-// handlerCalled takes note that the handler is called for the request of a branch, and
-// begins what comes behind it.
+// handlerCalled records that the handler of a virtualConn's request is called, and starts the
+// requests behind it.
 func (cn *conn) handlerCalled() {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
@@ -248,7 +247,7 @@
 	cn.startEarly()
 }
 
-// setState takes what the server says of its own part of the connection.
+// setState handles the state that the server reports for the direct request.
 func (cn *conn) setState(state http.ConnState) {
 	switch state {
 	case http.StateActive:
@@ -267,9 +266,9 @@
 	}
 }
 
-// readAhead reads what the caller sends before it has its answers, and begins what
-// may run ahead; cn.mu is held. It returns an error when the server must learn that
-// the caller has gone or that its deadline has passed.
+// readAhead receives pipelined requests and starts those that may run early. cn.mu is held. It
+// returns an error when the server must learn that the caller has disconnected or that its
+// deadline has passed.
 func (cn *conn) readAhead(p []byte) error {
 	if len(cn.unread) > 0 {
 		cn.pipelined = true
@@ -288,16 +287,16 @@
 	return err
 }
 
-// minRead is the size below which a read is followed by a larger one: the read
-// beside a handler is of one byte.
+// minRead is the size below which a read is followed by a larger one: while a handler runs, the
+// server reads a single byte.
 const minRead = 64
 
-// readMore reads what has come behind the first byte; cn.mu is held. The rest of a
-// request mostly came with that, so this does not wait for long.
+// readMore reads what follows the first byte. cn.mu is held. The rest of a request usually
+// arrives together with that byte, so this rarely waits long.
 func (cn *conn) readMore() {
 	buf := buffers.Get().(*[readSize]byte)
 	defer buffers.Put(buf)
-	// An error is found again by the next read.
+	// The next read returns an error again.
 	n, _ := cn.readCaller(buf[:])
 	cn.unread = append(cn.unread, buf[:n]...)
 }
@@ -306,11 +305,11 @@
 
 var buffers = sync.Pool{New: func() any { return new([readSize]byte) }}
 
-// startEarly runs the next requests that were read, as far as they are whole and may run
-// ahead of their turn; cn.mu is held, but not while a branch is handed over.
+// startEarly starts the next requests in unread that are complete and may run early. cn.mu is
+// held, but not while a virtualConn is submitted.
 //
-// Each is begun once the handler of the one before it has been called: behind one
-// that the server refuses as malformed, nothing is run.
+// Each is started only once the handler of the one before it has been called, because nothing may
+// run behind a request that the server rejects as malformed.
 func (cn *conn) startEarly() {
 	for !cn.blocked && !cn.closed && len(cn.pending) > 0 && len(cn.unread) > 0 {
 		var hs headScanner
@@ -342,9 +341,9 @@
 	}
 }
 
-// runsAlone reports whether the request that the server has on the connection itself lets
-// nothing run beside it, because it may have an effect that what comes behind it
-// must see, or because nothing behind it will be answered; cn.mu is held.
+// runsAlone reports whether no request may run concurrently with the direct one, either because
+// it may have a side effect that later requests must observe, or because no request behind it
+// will be answered. cn.mu is held.
 func (cn *conn) runsAlone() bool {
 	if len(cn.pending) == 0 || cn.pending[0] != nil {
 		return false
@@ -361,34 +360,34 @@
 	}
 }
 
-// requeue lets the request of the newest branch, which the server did not take,
-// wait for its turn; cn.mu is held.
+// requeue puts the request of the newest virtualConn back into unread, to wait until those before
+// it are answered, because the server did not accept it. cn.mu is held.
 func (cn *conn) requeue(vc *virtualConn) {
 	cn.pending = cn.pending[:len(cn.pending)-1]
 	cn.unread = append(bytes.Clone(vc.request), cn.unread...)
 	cn.blocked, cn.nextArrived, cn.starting = true, vc.arrived, false
 }
 
-// mayRunEarly reports whether a request may run before those before it are answered;
-// cn.mu is held.
+// mayRunEarly reports whether a request may run before those before it are answered. cn.mu is
+// held.
 //
-// One that may run once only must wait: were the connection to close behind an
-// earlier answer, its caller would take it for not read and send it again.
+// A request that must not run twice has to wait: if the connection closes after an earlier
+// response, its caller assumes that the request was not read and sends it again.
 func (cn *conn) mayRunEarly(head []byte) bool {
 	if len(cn.pending) >= MaxConcurrent {
 		return false
 	}
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(head)))
 	if err != nil {
-		// The server refuses it in its turn.
+		// The server rejects it once those before it are answered.
 		return false
 	}
 	noBody := r.ContentLength == 0 && len(r.TransferEncoding) == 0
 	return noBody && r.ProtoAtLeast(1, 1) && !r.Close && r.Header.Get("Expect") == "" && r.Header.Get("Upgrade") == "" && cn.pl.Ahead(r)
 }
 
-// cancelRead ends what runs ahead for the caller, which has gone; cn.mu is held. The
-// server ends what it runs on the connection itself, by the error of its read.
+// cancelEarly cancels the requests that run early, because the caller has disconnected. cn.mu is
+// held. The server cancels the direct request itself when its read returns an error.
 func (cn *conn) cancelEarly() {
 	cn.callerGone = true
 	for _, vc := range cn.pending {
--- a/internal/path/piping/end_test.go
+++ b/internal/path/piping/end_test.go
@@ -14,9 +14,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestCallerLeaves: a caller sends three lookups at once and closes its connection
-// before the first is answered. Servers went on with work that nobody waited for.
-// All that runs must end at once, and nothing more begin.
+// TestCallerLeaves guards against requests that keep running after their caller has disconnected:
+// all pipelined requests must be cancelled at once, and no further one started.
 func TestCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rg := newRig(t)
@@ -24,18 +23,18 @@
 		_, _ = io.WriteString(nc, get("/900")+get("/900")+get("/900")+request("POST", "/900", ""))
 		time.Sleep(100 * time.Millisecond)
 		if n := rg.running.Load(); n != 3 {
-			t.Fatalf("%d run, want 3", n)
+			t.Fatalf("%d requests run, want 3", n)
 		}
 		nc.Close()
 		time.Sleep(10 * time.Millisecond)
 		if n := rg.running.Load(); n != 0 || len(rg.runs()) != 3 {
-			t.Errorf("%d still run after the caller left, %v were begun", n, rg.runs())
+			t.Errorf("%d requests still run after the caller disconnected; started: %v", n, rg.runs())
 		}
 	})
 }
 
-// TestConcurrencyLimit: a caller sends 40 requests at once. Of one connection no more than
-// MaxConcurrent run at a time, or one caller could take all that an outlet runs.
+// TestConcurrencyLimit guards against a caller that pipelines 40 requests and so uses all of an
+// outlet's concurrency: no more than MaxConcurrent of one connection may run at once.
 func TestConcurrencyLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rg := newRig(t)
@@ -50,16 +49,16 @@
 		_, _ = io.WriteString(nc, text.String())
 		res, err := readResponses(nc, began, methods...)
 		if err != nil || len(res) != 40 {
-			t.Fatalf("%d answers, %v", len(res), err)
+			t.Fatalf("%d responses, %v", len(res), err)
 		}
 		if n := rg.maxRunning.Load(); n != MaxConcurrent {
-			t.Errorf("%d ran at once, want %d", n, MaxConcurrent)
+			t.Errorf("%d requests ran at once, want %d", n, MaxConcurrent)
 		}
 	})
 }
 
-// TestBufferLimit: the first of three requests is slow and those behind it have large
-// answers. What waits for its turn is bounded; the answers are whole all the same.
+// TestBufferLimit: large responses behind a slow first one are buffered up to MaxBuffered. The
+// handlers of those that exceed it block, and all responses arrive complete.
 func TestBufferLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rg := newRig(t)
@@ -74,7 +73,7 @@
 		_, _ = io.WriteString(nc, text)
 		time.Sleep(400 * time.Millisecond)
 		if n := rg.running.Load(); n < 2 {
-			t.Errorf("%d still run; those whose answers find no room must wait", n)
+			t.Errorf("%d requests still run, want at least 2: responses beyond the buffer limit must block", n)
 		}
 		res, err := readResponses(nc, began, append(methods, "GET")...)
 		if err != nil {
@@ -82,15 +81,15 @@
 		}
 		for _, re := range res[1:] {
 			if len(re.body) < 1<<20 {
-				t.Errorf("an answer has %d bytes", len(re.body))
+				t.Errorf("a response has %d bytes, want at least 1 MiB", len(re.body))
 			}
 		}
 	})
 }
 
-// TestListenerCloses: the process is told to end while a caller's requests run. Those
-// that run are answered; what comes after is not begun ahead of its turn any more,
-// and the answer before it closes the connection, so the caller sends it elsewhere.
+// TestListenerCloses: the listener closes while requests run. These are answered. Later requests
+// wait until those before them are answered, and none runs behind a response that closes the
+// connection, because its caller sends it elsewhere.
 func TestListenerCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rg := newRig(t)
@@ -102,19 +101,18 @@
 		_, _ = io.WriteString(nc, get("/100/close")+get("/100/never"))
 		res, err := readResponses(nc, began, "GET", "GET", "GET", "GET")
 		if len(res) != 3 || err == nil {
-			t.Errorf("%d answers and %v, want 3 and an error", len(res), err)
+			t.Errorf("%d responses and %v, want 3 and an error", len(res), err)
 		}
 		for _, one := range rg.runs() {
 			if strings.HasSuffix(one, "/never") {
-				t.Errorf("%s was run behind an answer that closes", one)
+				t.Errorf("%s was run after a response that closes the connection", one)
 			}
 		}
 	})
 }
 
-// TestIdleState: a connection counts as idle once all that was sent ahead has been
-// answered, and not when the server's own part of it has: it would be ended under
-// requests that run.
+// TestIdleState guards against a connection being reported as idle, and so closed, when the
+// direct request has been answered while pipelined ones still run.
 func TestIdleState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rg := newRig(t)
@@ -122,23 +120,23 @@
 		_, _ = io.WriteString(nc, get("/100")+get("/300"))
 		time.Sleep(200 * time.Millisecond)
 		if n := rg.idleReports.Load(); n != 0 {
-			t.Errorf("idle was told %d times while a request runs", n)
+			t.Errorf("idle was reported %d times while a request runs", n)
 		}
 		time.Sleep(200 * time.Millisecond)
 		if n := rg.idleReports.Load(); n != 1 {
-			t.Errorf("idle was told %d times, want 1", n)
+			t.Errorf("idle was reported %d times, want 1", n)
 		}
 		began := time.Now()
 		_, _ = io.WriteString(nc, get("/100"))
 		if res, err := readResponses(nc, began, "GET", "GET", "GET"); err != nil || len(res) != 3 {
-			t.Errorf("%d answers, %v", len(res), err)
+			t.Errorf("%d responses, %v", len(res), err)
 		}
 	})
 }
 
-// TestLastResponseArrives: an answer closes a connection on which more requests lie
-// unread. Closed at once, the connection is reset, and over real sockets the caller
-// loses the answer as well.
+// TestLastResponseArrives: a response closes a connection on which further requests are unread.
+// If the connection were closed at once, TCP would reset it and the caller could lose the
+// response.
 func TestLastResponseArrives(t *testing.T) {
 	pl := New(func(*http.Request) bool { return true }, func(net.Conn, http.ConnState) {})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -170,8 +168,8 @@
 	}
 }
 
-// TestResponseOrder: whatever callers send, cut into whatever pieces, each request gets
-// its own answer, in the order sent, as it would one by one.
+// TestResponseOrder: for any requests, split into any parts, each gets its own response, in the
+// order in which they were sent, as without pipelining.
 func TestResponseOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		kinds := rapid.SliceOfN(rapid.SampledFrom([]string{"get", "post", "head", "put", "chunks", "304", "stream", "early"}), 1, 12).Draw(rt, "kinds")
@@ -223,15 +221,15 @@
 			}()
 			res, err := readResponses(nc, time.Now(), methods...)
 			if err != nil || len(res) != len(want) {
-				t.Errorf("%d answers of %d, %v", len(res), len(want), err)
+				t.Errorf("%d of %d responses, %v", len(res), len(want), err)
 			}
 			for i, re := range res {
 				if strings.TrimSpace(re.body) != strings.TrimSpace(want[i]) {
-					t.Errorf("answer %d is %q, want %q", i, re.body, want[i])
+					t.Errorf("response %d is %q, want %q", i, re.body, want[i])
 				}
 			}
 			if len(rg.runs()) != len(kinds) {
-				t.Errorf("%d were run of %d", len(rg.runs()), len(kinds))
+				t.Errorf("%d of %d requests were run", len(rg.runs()), len(kinds))
 			}
 		})
 		if t.Failed() {
@@ -240,8 +238,8 @@
 	})
 }
 
-// BenchmarkRequest: what a request costs whose caller does not send ahead, on a
-// connection of the library alone and on one of the front.
+// BenchmarkRequest measures a request that is not pipelined, with net/http alone and with a
+// Pipeliner.
 func BenchmarkRequest(b *testing.B) {
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
 	for _, name := range []string{"library", "front"} {
--- a/internal/path/piping/head.go
+++ b/internal/path/piping/head.go
@@ -2,26 +2,26 @@
 
 import "bytes"
 
-// headScanner finds the end of a request's head, which is its first empty line, in bytes
-// that come in parts. The zero value stands before the first line.
+// headScanner finds the end of a request's head, its first empty line, in bytes that arrive in
+// parts. The zero value is ready for the first line.
 //
-// What the head says is left to the library's parser. It ends lines at a line feed
-// with or without a carriage return before it, and so does this: were the two to
-// differ, what one takes for a body would be a request to the other.
+// The contents of the head are parsed by net/http alone. Its parser ends lines at a line feed
+// with or without a carriage return before it, and so does the scanner: if the two differed, one
+// could read as a request what the other reads as a body (request smuggling).
 type headScanner struct {
-	// lineLen is how many bytes of the present line were seen, return whether the last
-	// one is a carriage return.
+	// lineLen is how many bytes of the current line were read; endsInCR says that the last of
+	// them is a carriage return.
 	lineLen  int
 	endsInCR bool
-	// prefaceMatches counts the bytes that agree with http2Preface, from the start on.
+	// prefaceMatches is how many of the first prefaceSeen bytes agree with http2Preface.
 	prefaceMatches, prefaceSeen int
 }
 
-// http2Preface begins a connection of HTTP/2, which has streams of its own.
+// http2Preface begins an HTTP/2 connection, on which the protocol itself multiplexes requests.
 const http2Preface = "PRI * HTTP/2.0\r\n\r\n"
 
-// scan takes further bytes and returns how many of them belong to the head, and
-// whether that is the whole of it.
+// scan processes further bytes. It returns how many of them belong to the head, and whether the
+// head is complete.
 func (hs *headScanner) scan(p []byte) (n int, complete bool) {
 	hs.matchPreface(p)
 	for n < len(p) {
@@ -50,5 +50,5 @@
 	}
 }
 
-// isHTTP2 reports whether a whole head is the preface of HTTP/2.
+// isHTTP2 reports whether a complete head is the HTTP/2 preface.
 func (hs *headScanner) isHTTP2() bool { return hs.prefaceMatches == len(http2Preface) }
--- a/internal/path/piping/idle_test.go
+++ b/internal/path/piping/idle_test.go
@@ -14,10 +14,10 @@
 	"github.com/flamingomast/flamingomast/internal/plat/memnet"
 )
 
-// slowListener makes reads of its connections return late.
+// slowListener delays the return of reads on its connections.
 type slowListener struct {
 	net.Listener
-	// delay is how long a read that has brought bytes takes to return.
+	// delay returns how long a read that received bytes takes to return.
 	delay func() time.Duration
 }
 
@@ -39,8 +39,8 @@
 	return n, err
 }
 
-// TestIdleWhileRequestIsRead guards against a connection that ends as idle since the last
-// answer was sent in the moment in which the next request was read.
+// TestIdleWhileRequestIsRead guards against a connection being closed as idle when the read that
+// received its next request has not returned yet at the time when the last response is sent.
 func TestIdleWhileRequestIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nw := memnet.New()
@@ -65,7 +65,7 @@
 		began := time.Now()
 		_, _ = io.WriteString(nc, get("/10")+get("/100"))
 		time.Sleep(50 * time.Millisecond)
-		// Its read returns after the answer to the second one was sent.
+		// The read of the next request returns after the response to the second one was sent.
 		slow.Store(int64(100 * time.Millisecond))
 		_, _ = io.WriteString(nc, request("POST", "/200", ""))
 		time.Sleep(60 * time.Millisecond)
@@ -83,7 +83,7 @@
 		st.End(0)
 		synctest.Wait()
 		if n := st.Len(); n != 0 {
-			t.Errorf("%d connections are left that are idle", n)
+			t.Errorf("%d idle connections are left open", n)
 		}
 	})
 }
--- a/internal/path/piping/overlap_test.go
+++ b/internal/path/piping/overlap_test.go
@@ -21,11 +21,12 @@
 	overlapRequests = 5
 )
 
-// TestNextBeginsAsFirstEnds guards against a request that is lost since it begins in the
-// moment in which the first one of its connection ends. Only several threads show it.
+// TestNextBeginsAsFirstEnds guards against a request that is lost because it is started at the
+// same time as the first one of its connection ends. Only several threads show the race.
 func TestNextBeginsAsFirstEnds(t *testing.T) {
 	pl := New(func(*http.Request) bool { return true }, func(net.Conn, http.ConnState) {})
-	// A request yields as often as its path is long, so that ends fall on all moments.
+	// The number of yields depends on the length of the path, so that requests end at varying
+	// times.
 	brief := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for range len(r.URL.Path) {
 			runtime.Gosched()
@@ -59,11 +60,11 @@
 	}
 	callers.Wait()
 	if n := lost.Load(); n > 0 {
-		t.Errorf("%d of %d connections closed before all was answered", n, overlapCallers*overlapConns)
+		t.Errorf("%d of %d connections closed before all requests were answered", n, overlapCallers*overlapConns)
 	}
 }
 
-// overlap sends requests at once on a connection of its own and reads their answers.
+// overlap pipelines requests on a connection of its own and reads the responses.
 func overlap(addr string, i int) error {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -81,10 +82,10 @@
 	for j := range overlapRequests {
 		re, err := http.ReadResponse(br, nil)
 		if err != nil {
-			return fmt.Errorf("answer %d: %w", j, err)
+			return fmt.Errorf("response %d: %w", j, err)
 		}
 		if _, err := io.Copy(io.Discard, re.Body); err != nil {
-			return fmt.Errorf("answer %d: %w", j, err)
+			return fmt.Errorf("response %d: %w", j, err)
 		}
 	}
 	return nil
--- a/internal/path/piping/pipeliner.go
+++ b/internal/path/piping/pipeliner.go
@@ -11,33 +11,32 @@
 	"github.com/flamingomast/flamingomast/internal/path/proxy"
 )
 
-// The bounds of what callers can make a connection do.
+// Limits on the resources that callers can make a connection use.
 const (
-	// MaxConcurrent is how many requests of one connection are run at once. Callers
-	// send a handful ahead; more would let one connection take all that an outlet
-	// runs.
+	// MaxConcurrent is how many requests of one connection run at once. Callers pipeline only a
+	// few; a larger limit would let one connection use all of an outlet's concurrency.
 	MaxConcurrent = 16
-	// MaxBuffered is how many bytes of answers wait for their turn, over all
-	// connections. An answer that finds no room waits before it is written.
+	// MaxBuffered is how many bytes of responses are buffered until earlier ones are sent, over
+	// all connections. A write that would exceed it blocks.
 	MaxBuffered = 4 << 20
-	// maxUnread is how many bytes of requests that wait for their turn are read
-	// from one connection; the rest stays in the system's buffer.
+	// maxUnread is how many bytes of waiting requests are read from one connection; the rest
+	// stays in the kernel's receive buffer.
 	maxUnread = 16 << 10
-	// lingerTimeout is how long a connection on which more was sent than was answered
-	// stays half open after its last answer. Closed at once, it would be reset, and
-	// the caller could lose the answer too.
+	// lingerTimeout is how long a connection stays half open after its last response if requests
+	// on it were not answered. Closed at once, it would be reset, and the caller could lose the
+	// response.
 	lingerTimeout = 500 * time.Millisecond
 )
 
-// Front joins connections of callers to an http.Server: its listener, its
-// ConnState and ConnContext hooks and its handler must all be used. The fields are
-// set before use; the zero value runs nothing ahead of its turn.
+// Pipeliner connects callers' connections to an http.Server. Its listener, its ConnState and
+// ConnContext hooks and its handler must all be used. The fields are set before use; the zero
+// value runs no request early.
 type Front struct {
-	// Ahead reports whether a request without a body may run before those that were
-	// sent before it have been answered, and run again if its answer is lost.
+	// MayRunEarly reports whether a request without a body may run before earlier requests of its
+	// connection are answered, and run again if its response is lost.
 	Ahead func(*http.Request) bool
-	// OnConnState is told when a caller's connection becomes active and when all that was
-	// read from it has been answered, as http.Server.ConnState is.
+	// OnConnState is called when a caller's connection becomes active and when all requests read
+	// from it have been answered, like http.Server.ConnState.
 	OnConnState func(net.Conn, http.ConnState)
 
 	buffered proxy.Bound
@@ -46,22 +45,21 @@
 	done     chan struct{}
 }
 
-// New returns a front.
+// New returns a Pipeliner with the given callbacks.
 func New(mayRunEarly func(*http.Request) bool, onConnState func(net.Conn, http.ConnState)) *Front {
 	pl := &Front{Ahead: mayRunEarly, OnConnState: onConnState, early: make(chan net.Conn), done: make(chan struct{})}
 	pl.buffered.Most = MaxBuffered
 	return pl
 }
 
-// Listener returns ln with its connections joined.
+// Listener wraps ln so that pipelined requests on its connections can run early.
 func (pl *Front) Listener(ln net.Listener) net.Listener {
 	ls := &listener{Listener: ln, pl: pl, results: make(chan acceptResult)}
 	go ls.acceptLoop()
 	return ls
 }
 
-// listener accepts callers' connections, and those that stand for one request that
-// was sent ahead.
+// listener accepts callers' connections and virtual connections of pipelined requests.
 type listener struct {
 	net.Listener
 	pl      *Front
@@ -73,7 +71,7 @@
 	err error
 }
 
-// acceptLoop passes on what the listener beneath accepts until that is closed.
+// acceptLoop passes on connections from the wrapped listener until that is closed.
 func (ls *listener) acceptLoop() {
 	for {
 		nc, err := ls.Listener.Accept()
@@ -85,7 +83,7 @@
 		case ls.results <- acceptResult{nc, err}:
 		case <-ls.pl.done:
 			if err == nil {
-				// Nobody accepts it any more; its caller goes elsewhere.
+				// Accept no longer returns it; the caller has to connect elsewhere.
 				_ = nc.Close()
 			}
 			return
@@ -93,11 +91,11 @@
 	}
 }
 
-// close ends accepting. Requests that are sent ahead wait for their turn from now
-// on.
+// close ends accepting. Pipelined requests that arrive later wait until those before them are
+// answered.
 func (pl *Front) close() { pl.once.Do(func() { close(pl.done) }) }
 
-// Accept returns the next connection.
+// Accept returns the next connection, from a caller or a virtual one.
 func (ls *listener) Accept() (net.Conn, error) {
 	select {
 	case ac := <-ls.results:
@@ -112,13 +110,13 @@
 	}
 }
 
-// Close closes the listener beneath.
+// Close closes the wrapped listener.
 func (ls *listener) Close() error {
 	ls.pl.close()
 	return ls.Listener.Close()
 }
 
-// ConnState is the hook of an http.Server.
+// ConnState is the ConnState hook of the http.Server.
 func (pl *Front) ConnState(nc net.Conn, state http.ConnState) {
 	switch cn := nc.(type) {
 	case *conn:
@@ -133,13 +131,12 @@
 // connKey is the key of a connection in the context of its requests.
 type connKey struct{}
 
-// ConnContext is the hook of an http.Server.
+// ConnContext is the ConnContext hook of the http.Server.
 func (pl *Front) ConnContext(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, nc)
 }
 
-// Handler returns next, with each connection told of a request before next is
-// called.
+// Handler wraps next so that each connection is notified of a request before next is called.
 func (pl *Front) Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch cn := r.Context().Value(connKey{}).(type) {
@@ -152,9 +149,9 @@
 	})
 }
 
-// Arrived returns when the head of a request had been read from its caller, which
-// is before its handler is called where the request waited for its turn; the zero
-// time where that is not known: with HTTP/2, and behind a body without a length.
+// ArrivalTime returns when the head of a request had been read from its caller. That is before
+// its handler is called if the request had to wait for earlier ones. It returns the zero time
+// where that is unknown: with HTTP/2, and after a body without a Content-Length.
 func Arrived(r *http.Request) time.Time {
 	switch cn := r.Context().Value(connKey{}).(type) {
 	case *conn:
--- a/internal/path/piping/piping_test.go
+++ b/internal/path/piping/piping_test.go
@@ -18,27 +18,27 @@
 	"github.com/flamingomast/flamingomast/internal/plat/memnet"
 )
 
-// rig is a server behind a front, with callers in virtual time.
+// rig is a server with a Pipeliner, and callers, on a network in memory and in virtual time.
 type rig struct {
 	t  *testing.T
 	nw *memnet.Network
 	hs *http.Server
 	ln net.Listener
 	ho *memnet.Host
-	// ran has the paths that were run, in their order.
+	// ran lists the method and path of each request that was run, in order. mu guards ran and
+	// ages.
 	mu  sync.Mutex
 	ran []string
-	// running is how many run, most the most that did.
+	// running is how many requests run now, maxRunning the most that ever ran at once.
 	running, maxRunning atomic.Int32
-	// idleReports counts how often a connection was told to be idle.
+	// idleReports counts how often a connection was reported as idle.
 	idleReports atomic.Int32
-	// ages has by path how long before its handler a request had arrived, as far as that
-	// is known.
+	// ages has, by path, how long before its handler was called a request had arrived, if known.
 	ages map[string]time.Duration
 }
 
-// newRig starts a server whose requests take as many milliseconds as the first
-// part of their path says; the second part, if any, names a way to answer.
+// newRig starts a server whose requests take as many milliseconds as the first part of their path
+// says; the second part, if any, selects a kind of response.
 func newRig(t *testing.T) *rig {
 	t.Helper()
 	rg := &rig{t: t, nw: memnet.New(), ages: map[string]time.Duration{}}
@@ -59,7 +59,7 @@
 	t.Cleanup(func() {
 		rg.hs.Close()
 		<-done
-		// What lingers has ended by then.
+		// Lingering connections have closed by then.
 		time.Sleep(2 * lingerTimeout)
 		synctest.Wait()
 	})
@@ -149,14 +149,14 @@
 	return text + "\r\n" + body
 }
 
-// reply is what a caller got for one request.
+// reply is what a caller received for one request.
 type reply struct {
 	status int
 	body   string
 	after  time.Duration
 }
 
-// readResponses reads the answers to requests of the methods until the connection ends.
+// readResponses reads the responses to requests with the given methods and stops at an error.
 func readResponses(nc net.Conn, began time.Time, methods ...string) (res []reply, err error) {
 	br := bufio.NewReader(nc)
 	for _, method := range methods {
@@ -178,10 +178,9 @@
 	return res, nil
 }
 
-// TestSideBySide: a caller sends five lookups of 300 ms at once on one connection.
-// It had to wait 1.5 s for the last of them, since each one began when the one
-// before it had been answered. Now all run at once, and each gets its own answer,
-// in the order in which they were sent.
+// TestSideBySide guards against pipelined requests that run one after another: the last of five
+// lookups of 300 ms took 1.5 s. All must run at once, and each get its own response, in the order
+// in which they were sent.
 func TestSideBySide(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rg := newRig(t)
@@ -198,56 +197,56 @@
 		}
 		for i, re := range res {
 			if want := fmt.Sprintf("answer to /300/%d ", i); re.body != want || re.after > 310*time.Millisecond {
-				t.Errorf("answer %d is %q after %v; want %q within 310 ms", i, re.body, re.after, want)
+				t.Errorf("response %d is %q after %v; want %q within 310 ms", i, re.body, re.after, want)
 			}
 		}
 	})
 }
 
-// TestCases holds what may be sent ahead against what must come back, and what must
-// have been run by then.
+// TestCases checks, by what a caller sends, which responses it gets and when, and which requests
+// are run.
 func TestCases(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// sent is written at once; later follows 50 ms after it.
+		// sent is written at once, later 50 ms after it.
 		sent, later string
 		methods     string
-		// want are the statuses, each with the ms after which it came, and an error
-		// at the end if one is due.
+		// want has the statuses, each with the milliseconds after which it was received, then the
+		// error, if one is expected.
 		want string
 		ran  string
 	}{
 		{"sent later", get("/100"), get("/100"), "GET GET", "200@102 200@152", "/100 /100"},
-		{"a fast one behind a slow one", get("/300") + get("/10"), "", "GET GET", "200@302 200@302", "/10 /300"},
-		{"a slow one behind a fast one", get("/10") + get("/300"), "", "GET GET", "200@12 200@302", "/10 /300"},
+		{"fast after slow", get("/300") + get("/10"), "", "GET GET", "200@302 200@302", "/10 /300"},
+		{"slow after fast", get("/10") + get("/300"), "", "GET GET", "200@12 200@302", "/10 /300"},
 		{"sent while the first runs", get("/300"), get("/100"), "GET GET", "200@302 200@302", "/100 /300"},
-		{"may run once only", get("/100") + request("POST", "/100", "") + get("/100"), "", "GET POST GET", "200@102 200@202 200@302", "/100 /100 /100"},
-		{"a body in the middle", get("/100") + request("PUT", "/100", "body!", "Content-Length: 5") + get("/100/3"), "", "GET PUT GET", "200@102 200@202 200@202", "/100 /100 /100/3"},
-		{"a body first", request("PUT", "/100", "body!", "Content-Length: 5") + get("/50") + get("/100/3"), "", "PUT GET GET", "200@102 200@102 200@102", "/100 /100/3 /50"},
-		{"a body that comes late", request("PUT", "/100", "bo", "Content-Length: 5"), "dy!" + get("/100"), "PUT GET", "200@152 200@152", "/100 /100"},
-		{"chunks first", request("PUT", "/100", "3\r\nbod\r\n0\r\n\r\n", "Transfer-Encoding: chunked") + get("/100"), "", "PUT GET", "200@102 200@202", "/100 /100"},
-		{"chunks in the middle", get("/100") + request("PUT", "/100", "3\r\nbod\r\n0\r\n\r\n", "Transfer-Encoding: chunked") + get("/100"), "", "GET PUT GET", "200@102 200@202 200@302", "/100 /100 /100"},
+		{"not retryable", get("/100") + request("POST", "/100", "") + get("/100"), "", "GET POST GET", "200@102 200@202 200@302", "/100 /100 /100"},
+		{"body in the second request", get("/100") + request("PUT", "/100", "body!", "Content-Length: 5") + get("/100/3"), "", "GET PUT GET", "200@102 200@202 200@202", "/100 /100 /100/3"},
+		{"body in the first request", request("PUT", "/100", "body!", "Content-Length: 5") + get("/50") + get("/100/3"), "", "PUT GET GET", "200@102 200@102 200@102", "/100 /100/3 /50"},
+		{"late body", request("PUT", "/100", "bo", "Content-Length: 5"), "dy!" + get("/100"), "PUT GET", "200@152 200@152", "/100 /100"},
+		{"chunked body in the first request", request("PUT", "/100", "3\r\nbod\r\n0\r\n\r\n", "Transfer-Encoding: chunked") + get("/100"), "", "PUT GET", "200@102 200@202", "/100 /100"},
+		{"chunked body in the second request", get("/100") + request("PUT", "/100", "3\r\nbod\r\n0\r\n\r\n", "Transfer-Encoding: chunked") + get("/100"), "", "GET PUT GET", "200@102 200@202 200@302", "/100 /100 /100"},
 		{"expects 100", get("/100") + request("PUT", "/100", "", "Content-Length: 4", "Expect: 100-continue"), "body" + get("/10"), "GET PUT GET", "200@102 200@202 200@202", "/10 /100 /100"},
 		{"HEAD", request("HEAD", "/100", "") + get("/100"), "", "HEAD GET", "200@102 200@102", "/100 /100"},
-		{"HEAD behind", get("/100") + request("HEAD", "/100", "") + get("/100"), "", "GET HEAD GET", "200@102 200@102 200@102", "/100 /100 /100"},
+		{"HEAD second", get("/100") + request("HEAD", "/100", "") + get("/100"), "", "GET HEAD GET", "200@102 200@102 200@102", "/100 /100 /100"},
 		{"304", get("/100") + get("/100/304") + get("/100"), "", "GET GET GET", "200@102 304@102 200@102", "/100 /100 /100/304"},
-		{"interim", get("/100") + get("/100/early") + get("/100"), "", "GET GET GET", "200@102 200@102 200@102", "/100 /100 /100/early"},
-		{"without length", get("/100") + get("/100/stream") + get("/100"), "", "GET GET GET", "200@102 200@102 200@102", "/100 /100 /100/stream"},
+		{"early hints", get("/100") + get("/100/early") + get("/100"), "", "GET GET GET", "200@102 200@102 200@102", "/100 /100 /100/early"},
+		{"response without Content-Length", get("/100") + get("/100/stream") + get("/100"), "", "GET GET GET", "200@102 200@102 200@102", "/100 /100 /100/stream"},
 		{"large", get("/100") + get("/10/large") + get("/20/large"), "", "GET GET GET", "200@102 200@102 200@102", "/10/large /100 /20/large"},
-		{"cut", get("/100") + get("/100/cut") + get("/200"), "", "GET GET GET", "200@102 unexpected EOF", "/100 /100/cut /200"},
-		{"cut first", get("/100/cut") + get("/100"), "", "GET GET", "unexpected EOF", "/100 /100/cut"},
-		{"the server closes in the middle", get("/100") + get("/100/close") + get("/200"), "", "GET GET GET", "200@102 200@102 unexpected EOF", "/100 /100/close /200"},
-		{"the server closes first", get("/100/close") + request("POST", "/100", ""), "", "GET POST", "200@102 unexpected EOF", "/100/close"},
-		{"the caller closes in the middle", get("/100") + get("/100", "Connection: close") + get("/200"), "", "GET GET GET", "200@102 200@202 unexpected EOF", "/100 /100"},
-		{"a bad one in the middle", get("/100") + "GET / NONSENSE\r\n\r\n" + get("/100"), "", "GET GET GET", "200@102 400@102 unexpected EOF", "/100"},
-		{"a colon with a space", get("/100") + get("/100", "Content-Length : 3") + get("/100"), "", "GET GET GET", "200@102 400@102 unexpected EOF", "/100"},
-		{"two lengths", get("/100") + get("/100", "Content-Length: 3", "Content-Length: 0") + get("/100"), "", "GET GET GET", "200@102 400@102 unexpected EOF", "/100"},
-		{"length and chunks", get("/100") + request("PUT", "/100", "0\r\n\r\n", "Content-Length: 3", "Transfer-Encoding: chunked") + get("/100"), "", "GET PUT GET", "200@102 200@202 200@302", "/100 /100 /100"},
+		{"second response truncated", get("/100") + get("/100/cut") + get("/200"), "", "GET GET GET", "200@102 unexpected EOF", "/100 /100/cut /200"},
+		{"first response truncated", get("/100/cut") + get("/100"), "", "GET GET", "unexpected EOF", "/100 /100/cut"},
+		{"server closes after the second response", get("/100") + get("/100/close") + get("/200"), "", "GET GET GET", "200@102 200@102 unexpected EOF", "/100 /100/close /200"},
+		{"server closes after the first response", get("/100/close") + request("POST", "/100", ""), "", "GET POST", "200@102 unexpected EOF", "/100/close"},
+		{"second request closes the connection", get("/100") + get("/100", "Connection: close") + get("/200"), "", "GET GET GET", "200@102 200@202 unexpected EOF", "/100 /100"},
+		{"malformed second request", get("/100") + "GET / NONSENSE\r\n\r\n" + get("/100"), "", "GET GET GET", "200@102 400@102 unexpected EOF", "/100"},
+		{"space before a colon", get("/100") + get("/100", "Content-Length : 3") + get("/100"), "", "GET GET GET", "200@102 400@102 unexpected EOF", "/100"},
+		{"two Content-Length", get("/100") + get("/100", "Content-Length: 3", "Content-Length: 0") + get("/100"), "", "GET GET GET", "200@102 400@102 unexpected EOF", "/100"},
+		{"Content-Length and chunked", get("/100") + request("PUT", "/100", "0\r\n\r\n", "Content-Length: 3", "Transfer-Encoding: chunked") + get("/100"), "", "GET PUT GET", "200@102 200@202 200@302", "/100 /100 /100"},
 		{"bare line feeds", "GET /100 HTTP/1.1\nHost: a\n\n" + "GET /100 HTTP/1.1\nHost: a\n\n", "", "GET GET", "200@102 200@102", "/100 /100"},
-		{"half a request at the end", get("/100") + "GET /100 HTTP/1.1\r\nHo", "st: a\r\n\r\n", "GET GET", "200@102 200@152", "/100 /100"},
-		{"half an end", get("/100") + "GET /100 HTTP/1.1\r\nHost: a\r\n\r", "\n" + get("/10"), "GET GET GET", "200@102 200@152 200@152", "/10 /100 /100"},
-		{"half a request that is never whole", get("/100") + "GET /100 HTTP/1.1\r\nHo", "", "GET", "200@102", "/100"},
-		{"the whole server", request("OPTIONS", "*", "") + get("/100"), "", "OPTIONS GET", "200@2 200@102", "/100"},
+		{"second head split", get("/100") + "GET /100 HTTP/1.1\r\nHo", "st: a\r\n\r\n", "GET GET", "200@102 200@152", "/100 /100"},
+		{"second head split in its last line", get("/100") + "GET /100 HTTP/1.1\r\nHost: a\r\n\r", "\n" + get("/10"), "GET GET GET", "200@102 200@152 200@152", "/10 /100 /100"},
+		{"second head incomplete", get("/100") + "GET /100 HTTP/1.1\r\nHo", "", "GET", "200@102", "/100"},
+		{"OPTIONS *", request("OPTIONS", "*", "") + get("/100"), "", "OPTIONS GET", "200@2 200@102", "/100"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -274,7 +273,7 @@
 				for _, one := range rg.runs() {
 					ran = append(ran, strings.Fields(one)[1])
 				}
-				// Those that run side by side begin in any order.
+				// Requests that run concurrently start in any order.
 				slices.Sort(ran)
 				if text := strings.Join(ran, " "); text != tc.ran {
 					t.Errorf("ran %s, want %s", text, tc.ran)
--- a/internal/path/piping/respond.go
+++ b/internal/path/piping/respond.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// responseDone takes note that a request has been answered, br nil for the one that the
-// server has on the connection itself; last says that its answer closes the
-// connection. Whoever ends a turn sends what is held of the next answers; cn.mu is held,
-// but not while it writes.
+// responseDone records that a request has been answered, with vc nil for the direct one; closes
+// says that its response closes the connection. If the request is the first pending one, the
+// buffered responses behind it are sent. cn.mu is held, but not during writes.
 func (cn *conn) responseDone(vc *virtualConn, closes bool) {
 	if vc != nil {
 		if vc.done {
@@ -17,7 +16,7 @@
 		vc.done, vc.closes = true, closes
 		vc.cancelRead()
 		if !vc.sending {
-			// Whoever has the turn before it goes on with it.
+			// sendReady continues with it once the responses before it are sent.
 			return
 		}
 	}
@@ -28,18 +27,18 @@
 	cn.sendReady(closes)
 }
 
-// popPending takes the first turn off; cn.mu is held.
+// popPending removes the first pending request. cn.mu is held.
 func (cn *conn) popPending() {
 	if len(cn.pending) == 1 {
-		// The place is kept for the next request.
+		// Keeps the capacity for the next request.
 		cn.pending = cn.pending[:0]
 		return
 	}
 	cn.pending = cn.pending[1:]
 }
 
-// sendReady sends the answers whose turn has come; cn.mu is held, but not while it
-// writes. After it the first of the turns may write by itself.
+// sendReady sends the buffered responses whose predecessors are all sent. cn.mu is held, but not
+// during writes. Afterwards the first pending request writes its response directly.
 func (cn *conn) sendReady(closes bool) {
 	for !closes && len(cn.pending) > 0 {
 		vc := cn.pending[0]
@@ -61,23 +60,23 @@
 	switch {
 	case cn.phase != readingHead:
 	case len(cn.unread) > 0, cn.reading:
-		// The server takes the next request itself. A read that waits may have brought
-		// one that is not seen here yet.
+		// The server reads the next request itself. A pending read may have received a request
+		// that is not in unread yet.
 		cn.interruptRead()
 	default:
 		cn.pl.OnConnState(cn.Conn, http.StateIdle)
 	}
 }
 
-// reportIdle says that the connection is idle, if nothing of a request was read; cn.mu is held.
+// reportIdle reports the connection as idle if no byte of a request is unread. cn.mu is held.
 func (cn *conn) reportIdle() {
 	if cn.phase == readingHead && len(cn.pending) == 0 && len(cn.unread) == 0 {
 		cn.pl.OnConnState(cn.Conn, http.StateIdle)
 	}
 }
 
-// sendBuffered sends what is held of an answer and reports whether the connection goes on;
-// cn.mu is held, but not while it writes.
+// sendBuffered sends the buffered part of a response and reports whether the connection stays
+// open. cn.mu is held, but not during writes.
 func (cn *conn) sendBuffered(vc *virtualConn) bool {
 	for len(vc.buffered) > 0 {
 		buffered, deadline := vc.buffered, vc.writeDeadline
@@ -93,12 +92,12 @@
 			return false
 		}
 	}
-	// What it still writes has its own deadline; an error shows at the next write.
+	// Later writes have a deadline of their own; the next write returns an error, if any.
 	_ = cn.Conn.SetWriteDeadline(vc.writeDeadline)
 	return true
 }
 
-// writeCaller writes to the caller until a deadline.
+// writeCaller writes to the caller with a deadline.
 func (cn *conn) writeCaller(p []byte, deadline time.Time) error {
 	if err := cn.Conn.SetWriteDeadline(deadline); err != nil {
 		return err
@@ -107,21 +106,22 @@
 	return err
 }
 
-// finish ends writing behind the last answer. Nothing more is taken, and what was
-// run ahead is not answered: the caller takes what it has sent behind that answer
-// for not read. The server's next read tells it to close; cn.mu is held.
+// finish ends the response stream after the last response. No more requests are accepted, and
+// those that run early are not answered, because the caller assumes that requests behind that
+// response were not read. The server's next read returns io.EOF, so that it closes the
+// connection. cn.mu is held.
 func (cn *conn) finish() {
 	cn.finishing = true
 	cn.abortPending()
 	cn.unread = nil
 	if cw, ok := cn.Conn.(interface{ CloseWrite() error }); ok {
-		// One that has failed needs no end.
+		// A connection that has failed needs no FIN.
 		_ = cw.CloseWrite()
 	}
 	cn.interruptRead()
 }
 
-// abortPending ends all that runs ahead; cn.mu is held.
+// abortPending aborts all requests that run early. cn.mu is held.
 func (cn *conn) abortPending() {
 	for _, vc := range cn.pending {
 		if vc != nil {
@@ -135,21 +135,20 @@
 	cn.changed.Broadcast()
 }
 
-// scan closes the connection and all that runs for it; cn.mu is held.
+// abort closes the connection and aborts all its requests that run early. cn.mu is held.
 func (cn *conn) abort() {
 	if cn.closed {
 		return
 	}
 	cn.closed = true
 	cn.abortPending()
-	// Nothing is lost with it that could still be told.
+	// An error of Close cannot be reported to the caller any more.
 	_ = cn.Conn.Close()
 }
 
-// Close is called by the server when its own part of the connection has ended.
-// Where more was sent than is answered, the caller may have to read the last answer
-// yet, so what still comes is read for a while: closed with unread bytes, the
-// connection would be reset.
+// Close is called by the server when it has finished with the connection. If more requests were
+// received than answered, the caller may not have read the last response yet, so further bytes
+// are read for a while: closing with unread bytes would reset the connection.
 func (cn *conn) Close() error {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
@@ -167,7 +166,7 @@
 	return nil
 }
 
-// drain reads what still comes until the caller closes or linger is over.
+// drain reads and drops further bytes until the caller closes or lingerTimeout has passed.
 func (cn *conn) drain() {
 	buf := buffers.Get().(*[readSize]byte)
 	defer buffers.Put(buf)
--- a/internal/path/piping/virtual.go
+++ b/internal/path/piping/virtual.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// virtualConn is the connection by which the library's server gets one request that was
-// sent ahead. What the server writes is held until the turn of the answer comes.
+// virtualConn is the connection on which the net/http server gets one pipelined request. What the
+// server writes is buffered until the responses before it are sent.
 type virtualConn struct {
-	// Conn is the server's end of a pipe in memory, peer the other one. Nothing
-	// passes over it: its reads wait until the request is over or the caller gone,
-	// and its deadlines end them.
+	// Conn is the server's end of an in-memory pipe, and peer the other end. No data passes over
+	// it: its reads block until the request is finished, the caller has disconnected or the
+	// deadline passes.
 	net.Conn
 	peer net.Conn
 	cn   *conn
-	// arrived is when the request had been read.
+	// arrived is when the head of the request had been read.
 	arrived time.Time
 
-	// request is what the server has not read of the request. Only reads use it.
+	// request is the part of the request that the server has not read. Only Read uses it.
 	request []byte
 
-	// The rest belongs to cn.mu.
+	// The following fields are guarded by cn.mu.
 
-	// buffered is what was written before the turn of the answer, writeDeadline the deadline
-	// of writes.
+	// buffered is what was written while earlier responses were not sent, and writeDeadline the
+	// deadline of writes.
 	buffered      []byte
 	writeDeadline time.Time
-	// sending says that the turn has come and held was sent, done that the answer is
-	// whole, last that its connection closes behind it, cut that it is not wanted.
+	// sending is set once all earlier responses and the buffered part of this one are sent, done
+	// once the response is complete, closes if it closes the caller's connection, and aborted if
+	// it is discarded.
 	sending, done, closes, aborted bool
 }
 
@@ -38,13 +39,13 @@
 	return vc
 }
 
-// LocalAddr and RemoteAddr return those of the caller's connection.
+// LocalAddr returns the local address of the caller's connection.
 func (vc *virtualConn) LocalAddr() net.Addr { return vc.cn.Conn.LocalAddr() }
 
 // RemoteAddr returns the caller's address.
 func (vc *virtualConn) RemoteAddr() net.Addr { return vc.cn.Conn.RemoteAddr() }
 
-// Read reads the request, then waits for its end.
+// Read returns the request, then blocks until the request is finished or cancelled.
 func (vc *virtualConn) Read(p []byte) (int, error) {
 	if len(vc.request) > 0 {
 		n := copy(p, vc.request)
@@ -54,13 +55,15 @@
 	return vc.Conn.Read(p)
 }
 
-// cancelRead ends the read beside the request: its answer is whole, or the caller gone.
+// cancelRead ends the read that the server has pending while the handler runs, because the
+// response is complete or the caller has disconnected.
 func (vc *virtualConn) cancelRead() {
-	// A pipe closes without an error.
+	// Closing a net.Pipe returns no error.
 	_ = vc.peer.Close()
 }
 
-// Write sends a part of the answer to the caller, or holds it until its turn.
+// Write sends a part of the response to the caller, or buffers it while earlier responses are not
+// sent.
 func (vc *virtualConn) Write(p []byte) (int, error) {
 	cn := vc.cn
 	cn.mu.Lock()
@@ -84,7 +87,7 @@
 	}
 }
 
-// waitForChange waits for a change or until the deadline of writes; cn.mu is held.
+// waitForChange waits until cn.changed is signalled or the write deadline passes. cn.mu is held.
 func (vc *virtualConn) waitForChange() {
 	cn := vc.cn
 	if vc.writeDeadline.IsZero() {
@@ -113,7 +116,7 @@
 	return nil
 }
 
-// SetDeadline sets both deadlines.
+// SetDeadline sets the read and write deadlines.
 func (vc *virtualConn) SetDeadline(t time.Time) error {
 	if err := vc.SetWriteDeadline(t); err != nil {
 		return err
@@ -121,14 +124,15 @@
 	return vc.SetReadDeadline(t)
 }
 
-// Close is called by the server behind an answer that closes the connection, or
-// that broke off. After an answer that does not, it changes nothing.
+// Close is called by the server after a response that closes the connection or was interrupted.
+// After any other response it has no effect.
 func (vc *virtualConn) Close() error {
 	vc.responseDone(true)
 	return vc.Conn.Close()
 }
 
-// scan says that the answer is whole, and with last that its connection closes behind it.
+// responseDone records that the response is complete; closes says that it closes the caller's
+// connection.
 func (vc *virtualConn) responseDone(closes bool) {
 	vc.cn.mu.Lock()
 	defer vc.cn.mu.Unlock()
--- a/internal/path/result/doc.go
+++ b/internal/path/result/doc.go
@@ -1,3 +1,3 @@
-// Package result names the outcomes of a request and the headers that carry
-// them between callers, outlets, inlets and backend servers.
+// Package result defines the outcomes of a request and the HTTP headers that carry them between
+// callers, outlets, inlets and backend servers.
 package result
--- a/internal/path/result/result.go
+++ b/internal/path/result/result.go
@@ -12,23 +12,23 @@
 	"github.com/flamingomast/flamingomast/internal/stat/logs"
 )
 
-// Outcome is how one attempt, or a request as a whole, ended. Whether it may
-// be sent again follows from it alone.
+// Outcome is how one attempt, or a request as a whole, ended. It alone decides whether the
+// request may be sent again.
 type Outcome int
 
 // The outcomes.
 const (
-	// Answered means that the backend server's answer was passed on whole.
+	// Answered means that the backend server's response was forwarded completely.
 	Answered Outcome = iota + 1
-	// NotRun means that no backend server has begun to run the request.
+	// NotRun means that no backend server has started to run the request.
 	NotRun
-	// MayHaveRun means that it failed after a backend server may have begun.
+	// MayHaveRun means that the request failed after a backend server may have started to run it.
 	MayHaveRun
-	// Ended means that the caller has gone or the deadline has passed.
+	// Ended means that the caller has disconnected or the deadline has passed.
 	Ended
 )
 
-// String returns the outcome as the header Outcome bears it.
+// String returns the outcome as OutcomeHeader carries it.
 func (oc Outcome) String() string {
 	switch oc {
 	case Answered:
@@ -43,7 +43,7 @@
 	return "unknown"
 }
 
-// Reason says why a request was not answered, in a word for scripts.
+// Reason says why a request was not answered, in a form for scripts.
 type Reason string
 
 // The reasons.
@@ -73,89 +73,84 @@
 	ReasonForeign     Reason = "foreign-answer"
 )
 
-// The headers of this system. All begin with Prefix, and none but TimeoutMs is
-// taken from a caller.
+// The headers of this system. All begin with Prefix, and all but TimeoutHeader are dropped from
+// callers' requests.
 const (
 	Prefix = "Flamingomast-"
-	// OutcomeHeader and ReasonHeader stand on each answer that no backend
-	// server gave.
+	// OutcomeHeader and ReasonHeader are set on every response that no backend server produced.
 	OutcomeHeader = Prefix + "Outcome"
 	ReasonHeader  = Prefix + "Reason"
-	// TimeoutMs is how many milliseconds the sender gives the request. A
-	// caller may set it; a backend server receives what is left of it and
-	// passes it on to the services that it calls.
+	// TimeoutHeader is how many milliseconds the sender allows for the request. A caller may set
+	// it; a backend server receives the remaining time and passes it on to the services that it
+	// calls.
 	TimeoutMs = Prefix + "Timeout-Ms"
-	// NotRunHeader on a 429 or 503 of a backend server says that it has not
-	// begun to run the request.
+	// NotRunHeader on a 429 or 503 of a backend server says that it has not started to run the
+	// request.
 	NotRunHeader = Prefix + "Not-Run"
-	// The target of a request from an outlet to an inlet.
+	// VMHeader and the three that follow are the target of a request from an outlet to an inlet.
 	VMHeader      = Prefix + "Vm"
 	ProcessHeader = Prefix + "Process"
 	ServiceHeader = Prefix + "Service"
 	ClassHeader   = Prefix + "Class"
-	// UrgencyHeader ranks the request: its priority and, where an objective is
-	// declared, how many milliseconds of it are left, joined by a slash. Final
-	// ends it where the caller cannot come back after a refusal.
+	// UrgencyHeader ranks the request: its priority and, if a latency objective is declared, how
+	// many milliseconds of it are left, separated by a slash. FinalSuffix is appended if the
+	// caller cannot retry after a refusal.
 	UrgencyHeader = Prefix + "Urgency"
 	Final         = "/final"
 	// RouteHeader names the route.
 	RouteHeader = Prefix + "Route"
-	// SizeHeader is how many bytes the answer is expected to have, where that is
-	// large.
+	// SizeHeader is the expected size of the response in bytes, set if that is large.
 	SizeHeader = Prefix + "Size"
-	// SentHeader is the sender's process and its steady clock in milliseconds,
-	// joined by a slash: the time that TimeoutMs gives counts from then.
+	// SentHeader is the sender's process and its monotonic clock in milliseconds, separated by a
+	// slash. The time in TimeoutHeader counts from then.
 	SentHeader = Prefix + "Sent"
-	// EndsHeader is how many backend servers ended while they ran the request: on a
-	// request as far as its outlet knows, on a refusal as far as the inlet does. It is
-	// left out where none is known.
+	// CrashesHeader is how many backend servers crashed while they ran the request: on a request
+	// as known to its outlet, on a refusal as known to the inlet. It is omitted if none is known.
 	EndsHeader = Prefix + "Ends"
-	// RepeatHeader is how likely the request has been sent to a backend server before,
-	// 0 to 1; it is left out where it certainly has not.
+	// RepeatHeader is the probability, from 0 to 1, that the request has been sent to a backend
+	// server before. It is omitted if it certainly has not.
 	RepeatHeader = Prefix + "Repeat"
-	// TokenHeader bears the mesh token, the outlet's proof to the inlet.
+	// TokenHeader carries the mesh token, which authenticates the outlet to the inlet.
 	TokenHeader = Prefix + "Token"
-	// RateHeader on a request is how many bytes a second of its answer the sender
-	// can take, where its link is narrow.
+	// RateHeader on a request is how many bytes per second of its response the sender can
+	// receive, set if its link is narrow.
 	RateHeader = Prefix + "Rate"
-	// LoadHeader on an inlet's answer gives running requests, waiting requests
-	// and slots.
+	// LoadHeader on an inlet's response has the numbers of running requests, waiting requests and
+	// slots, followed by the times in Load.
 	LoadHeader = Prefix + "Load"
-	// SpentHeader on an inlet's answer gives for how many milliseconds the request
-	// waited for a slot and held it, joined by a slash.
+	// SlotTimesHeader on an inlet's response has the milliseconds for which the request waited
+	// for a slot and held it, separated by a slash.
 	SpentHeader = Prefix + "Spent"
 )
 
-// Names are the headers in which callers and backend servers speak to this
-// system. An empty one stands for this system's own name, where it has one, or
-// for a matter that is not spoken of.
+// HeaderNames are the names of the headers that callers and backend servers exchange with this
+// system. An empty name means this system's own header, if there is one, or that the header is
+// not used.
 type Names struct {
 	// Timeout is how many milliseconds the sender of a request waits.
 	Timeout string
-	// Request is the id that a caller gives each request and that a backend
-	// server repeats on its answer. With it, an answer to another request is
-	// told from the one that is due.
+	// RequestID is the id that a caller gives each request and that a backend server repeats on
+	// its response, so that a response to another request is recognized.
 	Request string
-	// Caller is set to the service of the VM on which the request began.
+	// Caller is set to the service of the VM on which the request originated.
 	Caller string
-	// Instance is set to the lifetime of the backend server that is meant; any
-	// other one answers 421 and does not run the request.
+	// Instance is set to the lifetime of the intended backend server. Any other one answers 421
+	// and does not run the request.
 	Instance string
-	// Stamp is on every answer that a backend server makes, so that bytes which
-	// are no answer of it are told from one.
+	// Stamp is set on every response that a backend server produces, so that bytes from another
+	// source are not taken for its response.
 	Stamp string
-	// NotRun on a backend server's refusal says that it has not begun to run
-	// the request.
+	// NotRun on a backend server's refusal says that it has not started to run the request.
 	NotRun string
-	// Lifetime is the header in which a backend server names its lifetime when it is
-	// asked whether it serves, Load the one in which it gives its running and waiting
-	// requests and its slots.
+	// Lifetime is the header in which a backend server returns its lifetime on a readiness check,
+	// Load the one in which it returns its running and waiting requests and its slots.
 	Lifetime, Load string
-	// Fractions lets Retry-After bear fractions of a second.
+	// FractionalRetryAfter allows fractions of a second in Retry-After.
 	Fractions bool
 }
 
-// Or returns the names with this system's own for those that are empty.
+// WithDefaults returns the names, with this system's own for Timeout and NotRun if they are
+// empty.
 func (nm Names) Or() Names {
 	if nm.Timeout == "" {
 		nm.Timeout = TimeoutMs
@@ -174,17 +169,17 @@
 	Outcome Outcome
 	Reason  Reason
 	Status  int
-	// RetryAfter is when the caller should come back; zero for no advice.
+	// RetryAfter is when the caller should retry; zero for no advice.
 	RetryAfter time.Duration
 	Detail     string
-	// Cause is the error of the connection, for logs alone; nil where none broke.
+	// Cause is the error of the connection, for logs only; nil if none failed.
 	Cause error
-	// Ends is how many backend servers ended while they ran the request, where one did
-	// in this attempt.
+	// Crashes is how many backend servers crashed while they ran the request, if one did in this
+	// attempt.
 	Ends int
 }
 
-// CauseAttr returns the cause for a log line, nothing where there is none.
+// CauseAttr returns the cause for a log line, or an empty attribute without one.
 func (rf *Refusal) CauseAttr() slog.Attr {
 	if rf.Cause == nil {
 		return slog.Attr{}
@@ -192,7 +187,8 @@
 	return slog.Any(logs.Error, rf.Cause)
 }
 
-// Crowded reports whether the request was refused for want of room.
+// Overloaded reports whether the request was refused for lack of capacity, or its deadline passed
+// before it ran.
 func (rf *Refusal) Crowded() bool {
 	if rf.Outcome != NotRun {
 		return false
@@ -200,12 +196,12 @@
 	return rf.Reason.NoRoom() || rf.Reason == ReasonDeadline
 }
 
-// NoRoom reports whether the reason is that a VM had no room for a request.
+// NoCapacity reports whether the reason is that a VM had no capacity for a request.
 func (re Reason) NoRoom() bool {
 	return re == ReasonFull || re == ReasonTooLate || re == ReasonLink || re == ReasonApart
 }
 
-// StatusFor returns the HTTP status of an outcome and reason.
+// StatusFor returns the HTTP status for an outcome and reason.
 func StatusFor(oc Outcome, re Reason) int {
 	switch re {
 	case ReasonNoRoute:
@@ -229,13 +225,13 @@
 	case oc == MayHaveRun:
 		return http.StatusBadGateway
 	}
-	// Also for a deadline that passed or was too near before the request ran:
-	// 503 promises that it has not, so that the caller may send it again.
+	// This includes a deadline that passed or was too near before the request ran: 503 guarantees
+	// that it did not run, so that the caller may send it again.
 	return http.StatusServiceUnavailable
 }
 
-// Write sends the refusal to a caller as status, headers and a small JSON body.
-// With fractions, Retry-After is given to the millisecond.
+// Write sends the refusal to a caller as status, headers and a small JSON body. With fractions,
+// Retry-After has millisecond precision.
 func (rf *Refusal) Write(w http.ResponseWriter, fractions bool) {
 	hdr := w.Header()
 	hdr.Set(OutcomeHeader, rf.Outcome.String())
@@ -263,8 +259,8 @@
 	_, _ = w.Write(body)
 }
 
-// Seconds returns a duration for Retry-After: in whole seconds, at least 1, or
-// with fractions to the millisecond.
+// FormatRetryAfter formats a duration for Retry-After: in whole seconds, rounded up and at least
+// 1, or, with fractions, in seconds with three decimals.
 func Seconds(d time.Duration, fractions bool) string {
 	if fractions {
 		return strconv.FormatFloat(max(0.001, d.Seconds()), 'f', 3, 64)
@@ -272,8 +268,8 @@
 	return strconv.Itoa(max(1, int(math.Ceil(d.Seconds()))))
 }
 
-// FromAnswer reads the refusal of an inlet from its answer. It returns nil for
-// an answer of a backend server.
+// FromResponse reads the refusal of an inlet from its response. It returns nil for a response of
+// a backend server.
 func FromAnswer(res *http.Response) *Refusal {
 	oc := res.Header.Get(OutcomeHeader)
 	if oc == "" {
@@ -290,8 +286,8 @@
 	return rf
 }
 
-// ParseSeconds reads a Retry-After in seconds, with or without fractions; 0
-// for none that can be read.
+// ParseRetryAfter parses a Retry-After in seconds, with or without fractions. It returns 0 if
+// that is missing, invalid or longer than maxRetryAfter.
 func ParseSeconds(s string) time.Duration {
 	sec, err := strconv.ParseFloat(s, 64)
 	if err != nil || !(sec > 0) || sec > maxRetryAfter.Seconds() {
@@ -300,13 +296,13 @@
 	return time.Duration(sec * float64(time.Second))
 }
 
-// maxRetryAfter is the longest Retry-After that is believed.
+// maxRetryAfter is the longest Retry-After that is accepted.
 const maxRetryAfter = time.Hour
 
-// Share returns the form of a share from 0 to 1 that ParseShare reads.
+// FormatProbability formats a probability from 0 to 1 for ParseProbability.
 func Share(probability float64) string { return strconv.FormatFloat(probability, 'f', 2, 64) }
 
-// ParseShare reads what Share returns; 0 for what cannot be read.
+// ParseProbability parses what FormatProbability returns. It returns 0 for invalid text.
 func ParseShare(s string) float64 {
 	probability, err := strconv.ParseFloat(s, 64)
 	if err != nil || !(probability >= 0 && probability <= 1) {
@@ -315,45 +311,44 @@
 	return probability
 }
 
-// Spent is the time that a request spent at an inlet.
+// SlotTimes are the times of a request at an inlet.
 type Spent struct {
-	// Wait is for a slot, Held the time of the slot until the answer was read.
+	// Wait is the time until the request got a slot, ServiceTime the time for which it held the
+	// slot until the response was read.
 	Wait, Held time.Duration
 }
 
-// String returns the form that ParseSpent reads.
+// String formats the times for ParseSlotTimes.
 func (sp Spent) String() string {
 	return strconv.FormatInt(sp.Wait.Milliseconds(), 10) + "/" + strconv.FormatInt(sp.Held.Milliseconds(), 10)
 }
 
-// ParseSpent reads what String returns; the zero value for what cannot be read.
+// ParseSlotTimes parses what String returns. It returns the zero value for invalid text.
 func ParseSpent(s string) Spent {
 	wait, held, _ := strings.Cut(s, "/")
 	w, werr := strconv.ParseUint(wait, 10, 31)
 	h, herr := strconv.ParseUint(held, 10, 31)
 	if werr != nil || herr != nil {
-		// An older release sends none.
+		// An older release does not send the header.
 		return Spent{}
 	}
 	return Spent{Wait: time.Duration(w) * time.Millisecond, Held: time.Duration(h) * time.Millisecond}
 }
 
-// Load is what an inlet says of its backend server.
+// Load is what an inlet reports about its backend server.
 type Load struct {
 	Running, Waiting, Slots int
-	// Service is the mean time for which a slot is held, in whole milliseconds;
-	// 0 for not known.
+	// ServiceTime is the mean time for which a slot is held, in whole milliseconds; 0 if unknown.
 	Service time.Duration
-	// Backlog is how long the VM's link takes for what waits to be sent, in whole
+	// Backlog is how long the VM's link needs to send the data that waits for it, in whole
 	// milliseconds.
 	Backlog time.Duration
-	// Waits is how long a request of each rank would wait for a slot, in whole
-	// milliseconds.
+	// Waits is how long a request of each rank would wait for a slot, in whole milliseconds.
 	Waits [Ranks]time.Duration
 }
 
-// Ranks is how many ranks of requests are told apart: those whose callers cannot come
-// back, then by priority.
+// Ranks is the number of ranks of requests. The first is for requests whose callers cannot retry,
+// the others are by priority.
 const Ranks = 4
 
 // Rank returns the rank of a request.
@@ -364,7 +359,7 @@
 	return min(max(0, priority)+1, Ranks-1)
 }
 
-// String returns the form that ParseLoad reads.
+// String formats the load for ParseLoad. Trailing times that are zero are omitted.
 func (ld Load) String() string {
 	fields := [5 + Ranks]int64{
 		int64(ld.Running), int64(ld.Waiting), int64(ld.Slots), ld.Service.Milliseconds(), ld.Backlog.Milliseconds(),
@@ -387,7 +382,7 @@
 	return string(b)
 }
 
-// ParseLoad reads what String returns. An older release leaves out the times.
+// ParseLoad parses what String returns. An older release omits the times.
 func ParseLoad(s string) (ld Load, ok bool) {
 	var fields [5 + Ranks]int
 	n := 0
--- a/internal/path/result/result_test.go
+++ b/internal/path/result/result_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestRefusalRoundTrip: what an inlet refuses with is what an outlet reads.
+// TestRefusalRoundTrip checks that an outlet reads a refusal as the inlet wrote it.
 func TestRefusalRoundTrip(t *testing.T) {
 	for _, tc := range []struct {
 		rf     Refusal
@@ -35,12 +35,12 @@
 	rec := httptest.NewRecorder()
 	rec.WriteHeader(503)
 	if rf := FromAnswer(rec.Result()); rf != nil {
-		t.Errorf("an answer of a backend server was read as %+v", rf)
+		t.Errorf("a response of a backend server was read as the refusal %+v", rf)
 	}
 	rec = httptest.NewRecorder()
 	rec.Header().Set(OutcomeHeader, "a-newer-word")
 	if rf := FromAnswer(rec.Result()); rf == nil || rf.Outcome != MayHaveRun {
-		t.Errorf("an outcome that is not known was read as %+v, want the cautious one", rf)
+		t.Errorf("an unknown outcome was read as %+v, want MayHaveRun", rf)
 	}
 }
 
@@ -60,14 +60,14 @@
 	f.Fuzz(func(t *testing.T, s string) {
 		if ld, ok := ParseLoad(s); ok {
 			if reparsed, ok := ParseLoad(ld.String()); !ok || reparsed != ld {
-				t.Errorf("%q is %v, which prints as %q", s, ld, ld)
+				t.Errorf("%q is parsed as %v, which is formatted as %q", s, ld, ld)
 			}
 		}
 	})
 }
 
-// TestRetryAfterFractions: a caller that reads fractions of a second is told to the
-// millisecond, and never to come back at once.
+// TestRetryAfterFractions checks that Retry-After with fractions has millisecond precision and is
+// never zero.
 func TestRetryAfterFractions(t *testing.T) {
 	for after, want := range map[time.Duration]string{
 		120 * time.Millisecond: "0.120", time.Microsecond: "0.001", 2 * time.Second: "2.000",
@@ -78,7 +78,7 @@
 			t.Errorf("Retry-After for %s is %q, want %q", after, got, want)
 		}
 		if got := FromAnswer(rec.Result()).RetryAfter; got > after+time.Millisecond || got < after-time.Millisecond {
-			t.Errorf("%s was read as %s", after, got)
+			t.Errorf("Retry-After for %s was read as %s", after, got)
 		}
 	}
 }
