--- a/internal/path/inlet/inlet.go
+++ b/internal/path/inlet/inlet.go
@@ -40,7 +40,7 @@
 // Inlet serves outlets.
 type Inlet struct {
 	Stats hist.Set
-	Gate  *limit.Gate
+	Gate  *limit.Limiter
 	// Unreachable is called when the backend server takes no connection.
 	Unreachable func(Target)
 	// Poison returns the requests that servers ended under, Report tells all daemons of
@@ -64,7 +64,7 @@
 	// counts has what the present start of the server did.
 	counts atomic.Pointer[tally.Counter]
 	// held is what answers take that were read and are not sent yet.
-	held proxy.Bound
+	held proxy.Budget
 	// link is the VM's, nil for one that is not paced.
 	link *pacer.Pacer
 }
@@ -78,7 +78,7 @@
 // reached. Large answers are paced by link, which may be nil.
 func New(op proxy.Options, link *pacer.Pacer) *Inlet {
 	in := &Inlet{Gate: limit.New(), Unreachable: func(Target) {}, Poison: func() *poison.View { return nil }, Report: func([]poison.Report) {}, Log: slog.New(slog.DiscardHandler), op: op, link: link}
-	in.held.Most = maxHeld
+	in.held.Limit = maxHeld
 	in.counts.Store(&tally.Counter{})
 	in.fw.Store(proxy.New(op))
 	return in
@@ -145,14 +145,14 @@
 		return
 	}
 	defer leave()
-	tk, rf := in.Gate.Enter(ctx, rq)
+	tk, rf := in.Gate.Acquire(ctx, rq)
 	sr.Queue.Record(time.Since(start))
 	if rf != nil {
 		sr.Outcomes.Add(rf.Outcome.String()+"/"+string(rf.Reason), 1)
 		in.refuse(w, r, rf)
 		return
 	}
-	defer tk.Leave()
+	defer tk.Release()
 	if ctx.Err() != nil {
 		in.refuse(w, r, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonDeadline})
 		return
@@ -236,7 +236,7 @@
 	if err != nil || ms <= 0 {
 		return context.WithCancel(r.Context())
 	}
-	left := time.Duration(ms)*time.Millisecond - in.lapses.Late(r.Header.Get(result.SentHeader), now)
+	left := time.Duration(ms)*time.Millisecond - in.lapses.ExcessOf(r.Header.Get(result.SentHeader), now)
 	return context.WithTimeout(r.Context(), left)
 }
 
@@ -244,13 +244,13 @@
 type passage struct {
 	start time.Time
 	sr    *hist.Series
-	tk    *limit.Ticket
+	tk    *limit.Slot
 	tf    *transfer
 }
 
 // spent returns what the request has spent here until now.
 func (pa *passage) spent(now time.Time) result.Spent {
-	return result.Spent{Wait: pa.tk.Since().Sub(pa.start), Held: now.Sub(pa.tk.Since())}
+	return result.Spent{Wait: pa.tk.AcquiredAt().Sub(pa.start), Held: now.Sub(pa.tk.AcquiredAt())}
 }
 
 // forward sends an admitted request to the backend server and its answer back.
@@ -283,9 +283,9 @@
 		return
 	}
 	size := max(0, at.Response.ContentLength)
-	if in.held.Take(size) {
-		defer in.held.Give(size)
-		if err := at.Hold(maxHeld); err != nil {
+	if in.held.TryAcquire(size) {
+		defer in.held.Release(size)
+		if err := at.Buffer(maxHeld); err != nil {
 			in.tallyFailure(r, false, pa)
 			rf := in.failure(ctx, r, at, tg)
 			rf.Outcome, rf.Reason, rf.Cause = result.MayHaveRun, result.ReasonBroken, err
@@ -296,18 +296,18 @@
 		}
 		if size > 0 {
 			in.crashes.finish(fl, true)
-			pa.tk.Leave()
+			pa.tk.Release()
 			in.clearSuspect(r, lead)
 		}
 	}
 	in.tally(r, at.Response.StatusCode >= http.StatusInternalServerError, pa.spent(time.Now()).Held, tg)
-	proxy.CopyHead(w, at.Response, func(hdr http.Header) {
+	proxy.CopyHeader(w, at.Response, func(hdr http.Header) {
 		hdr[result.LoadHeader] = []string{in.load().String()}
 		hdr[result.SpentHeader] = []string{pa.spent(time.Now()).String()}
 	})
 	if err := proxy.Copy(w, at, pa.tf.pace(r.Context(), size)); err != nil {
 		var ce *proxy.CopyError
-		if errors.As(err, &ce) && ce.Reading {
+		if errors.As(err, &ce) && ce.ReadFailed {
 			in.recordCrash(r, lead, fl, &result.Refusal{Outcome: result.MayHaveRun, Reason: result.ReasonBroken})
 		}
 		sr.Outcomes.Add(result.Ended.String()+"/"+string(result.ReasonBroken), 1)
--- a/internal/path/outlet/attempt.go
+++ b/internal/path/outlet/attempt.go
@@ -41,25 +41,25 @@
 		_, _ = io.Copy(io.Discard, io.LimitReader(at.Response.Body, 4<<10))
 		return rf
 	}
-	vd := pick.Good
+	vd := pick.Success
 	if at.Response.StatusCode >= http.StatusInternalServerError {
-		vd = pick.Bad
+		vd = pick.Failure
 		rq.ou.memory.Failed(rq.try, time.Now(), false, &rq.kn.back)
 	}
 	rq.spent = result.ParseSpent(at.Response.Header.Get(result.SpentHeader))
-	if vd == pick.Good {
-		ep.Measured(rq.spent.Held, rq.kn.ran(rq.spent.Held))
+	if vd == pick.Success {
+		ep.RecordServiceTime(rq.spent.Held, rq.kn.ran(rq.spent.Held))
 	}
 	if rf := rq.readSmall(at); rf != nil {
 		ep.End(time.Now(), verdictOf(rf), rq.gp)
 		return rf
 	}
 	rq.kn.answered(headBytes + bodyBytes(rq.r) + max(0, at.Response.ContentLength))
-	proxy.CopyHead(rq.w, at.Response, nil)
+	proxy.CopyHeader(rq.w, at.Response, nil)
 	err := proxy.Copy(rq.w, at, proxy.Pace{})
 	var ce *proxy.CopyError
-	if errors.As(err, &ce) && ce.Reading && rq.ctx.Err() == nil {
-		vd = pick.Bad
+	if errors.As(err, &ce) && ce.ReadFailed && rq.ctx.Err() == nil {
+		vd = pick.Failure
 	}
 	ep.End(time.Now(), vd, rq.gp)
 	if err != nil {
@@ -73,7 +73,7 @@
 // left out until a connection can be made, so that no request has to find out.
 func (rq *request) ended(ep *pick.Endpoint, vd pick.Verdict) {
 	now := time.Now()
-	wasOut := ep.Out(now)
+	wasOut := ep.Ejected(now)
 	ep.End(now, vd, rq.gp)
 	if vd == pick.Unreachable && !wasOut {
 		go rq.ou.awaitReturn(ep)
@@ -98,14 +98,14 @@
 		case <-ou.life.Done():
 			return
 		}
-		if !ep.Out(time.Now()) {
+		if !ep.Ejected(time.Now()) {
 			return
 		}
-		if ou.fw.Reach(ou.life, ep.Inlet) {
-			ep.Return()
+		if ou.fw.Reachable(ou.life, ep.Inlet) {
+			ep.Reinstate()
 			return
 		}
-		ep.KeepOut(time.Now())
+		ep.EjectAgain(time.Now())
 	}
 }
 
@@ -117,7 +117,7 @@
 // middle would otherwise have cost the caller its connection, where a request
 // that may be repeated can be sent again as long as nothing was passed on.
 func (rq *request) readSmall(at *proxy.Attempt) *result.Refusal {
-	if err := at.Hold(maxHeldAnswer); err != nil {
+	if err := at.Buffer(maxHeldAnswer); err != nil {
 		rf := rq.failure(at, result.MayHaveRun, result.ReasonBroken)
 		rf.Cause = err
 		return rf
@@ -147,7 +147,7 @@
 			return pick.Busy
 		}
 	}
-	return pick.Bad
+	return pick.Failure
 }
 
 // failure describes an attempt without an answer.
@@ -196,7 +196,7 @@
 		out.Header[result.SizeHeader] = []string{strconv.FormatInt(size, 10)}
 		// This one is counted among them.
 		others := int(rq.ou.large.Load()) - 1
-		if rate := pacer.Share(rq.ou.link, others); rate > 0 {
+		if rate := pacer.ReceiverRate(rq.ou.link, others); rate > 0 {
 			out.Header[result.RateHeader] = []string{strconv.Itoa(rate)}
 		}
 	}
--- a/internal/path/outlet/request.go
+++ b/internal/path/outlet/request.go
@@ -68,7 +68,7 @@
 }
 
 func (rq *request) serve() {
-	rq.bu.Request()
+	rq.bu.AddRequest()
 	if rq.repeat > 0 {
 		rq.bu.Charge(rq.repeat)
 	}
@@ -83,11 +83,11 @@
 	}
 	// One that came back is offered in any case: held back, it would be turned away
 	// twice for nothing.
-	if !rq.final && !rq.further && !rq.th.Offer(rq.priority, rq.start, rand.Float64()) {
+	if !rq.final && !rq.further && !rq.th.Allow(rq.priority, rq.start, rand.Float64()) {
 		rq.end(&result.Refusal{Outcome: result.NotRun, Reason: result.ReasonFull})
 		return
 	}
-	rq.th.Done(rq.priority, time.Now(), rq.send())
+	rq.th.RecordOutcome(rq.priority, time.Now(), rq.send())
 }
 
 // send sends the request until it is answered or given up on, and reports whether
@@ -131,10 +131,10 @@
 }
 
 // want returns what the request asks of a server.
-func (rq *request) want() pick.Want {
-	return pick.Want{
-		Size: rq.kn.expected(), Stay: pacer.Narrow(rq.ou.link),
-		Rank: result.Rank(rq.priority, rq.final), Held: time.Duration(rq.kn.held.Load()), Reached: rq.busy > 0,
+func (rq *request) want() pick.Criteria {
+	return pick.Criteria{
+		Size: rq.kn.expected(), StayInDomain: pacer.IsNarrow(rq.ou.link),
+		Rank: result.Rank(rq.priority, rq.final), ServiceTime: time.Duration(rq.kn.held.Load()), FoundFull: rq.busy > 0,
 	}
 }
 
@@ -176,7 +176,7 @@
 	if rq.ctx.Err() != nil || rq.tries >= retry.MaxAttempts || !rq.src.replayable() {
 		return false
 	}
-	if rq.ends >= poison.Most {
+	if rq.ends >= poison.RefuseThreshold {
 		return false
 	}
 	if reached(rf) {
@@ -250,7 +250,7 @@
 // when a slot is expected to be free, spread over as long again, so that those
 // who were refused together do not come back as one wave.
 func (rq *request) spread(rf *result.Refusal) {
-	if rf.Reason == result.ReasonPoison || rq.ends >= poison.Most {
+	if rf.Reason == result.ReasonPoison || rq.ends >= poison.RefuseThreshold {
 		// It would be refused as it is now.
 		rf.RetryAfter = 0
 		return
@@ -331,7 +331,7 @@
 // logAttempt writes the line of a try that did not end in an answer, with what
 // was believed of the server.
 func (rq *request) logAttempt(ep *pick.Endpoint, rf *result.Refusal) {
-	load, age := ep.Believed(time.Now())
+	load, age := ep.EstimatedLoad(time.Now())
 	rq.ou.log.LogAttrs(context.Background(), slog.LevelInfo, logs.Attempt, slog.String(logs.ID, rq.id()),
 		slog.String(logs.VM, ep.VM), slog.String(logs.Outcome, rf.Outcome.String()), slog.String(logs.Reason, string(rf.Reason)),
 		slog.Float64(logs.Load, load), slog.Duration(logs.LoadAge, age), slog.Duration(logs.Took, time.Since(rq.start)), rf.CauseAttr())
--- a/internal/path/piping/pipeliner.go
+++ b/internal/path/piping/pipeliner.go
@@ -39,7 +39,7 @@
 	// from it have been answered, like http.Server.ConnState.
 	OnConnState func(net.Conn, http.ConnState)
 
-	buffered proxy.Bound
+	buffered proxy.Budget
 	early    chan net.Conn
 	once     sync.Once
 	done     chan struct{}
@@ -48,7 +48,7 @@
 // New returns a Pipeliner with the given callbacks.
 func New(mayRunEarly func(*http.Request) bool, onConnState func(net.Conn, http.ConnState)) *Front {
 	pl := &Front{Ahead: mayRunEarly, OnConnState: onConnState, early: make(chan net.Conn), done: make(chan struct{})}
-	pl.buffered.Most = MaxBuffered
+	pl.buffered.Limit = MaxBuffered
 	return pl
 }
 
--- a/internal/path/piping/respond.go
+++ b/internal/path/piping/respond.go
@@ -83,7 +83,7 @@
 		vc.buffered = nil
 		cn.mu.Unlock()
 		err := cn.writeCaller(buffered, deadline)
-		cn.pl.buffered.Give(int64(len(buffered)))
+		cn.pl.buffered.Release(int64(len(buffered)))
 		cn.mu.Lock()
 		if err != nil {
 			cn.abort()
@@ -127,7 +127,7 @@
 		if vc != nil {
 			vc.aborted = true
 			vc.cancelRead()
-			cn.pl.buffered.Give(int64(len(vc.buffered)))
+			cn.pl.buffered.Release(int64(len(vc.buffered)))
 			vc.buffered = nil
 		}
 	}
--- a/internal/path/piping/virtual.go
+++ b/internal/path/piping/virtual.go
@@ -77,7 +77,7 @@
 			n, err := cn.Conn.Write(p)
 			cn.mu.Lock()
 			return n, err
-		case cn.pl.buffered.Take(int64(len(p))):
+		case cn.pl.buffered.TryAcquire(int64(len(p))):
 			vc.buffered = append(vc.buffered, p...)
 			return len(p), nil
 		case !vc.writeDeadline.IsZero() && !vc.writeDeadline.After(time.Now()):
--- a/internal/path/proxy/proxy_test.go
+++ b/internal/path/proxy/proxy_test.go
@@ -169,7 +169,7 @@
 	front := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		at := fw.Do(newRequest(t, "GET", strings.TrimPrefix(back.URL, "http://"), "/"))
 		defer at.Response.Body.Close()
-		CopyHead(w, at.Response, nil)
+		CopyHeader(w, at.Response, nil)
 		if err := Copy(w, at, Pace{}); err != nil {
 			t.Error(err)
 		}
