--- a/internal/path/piping/idle_test.go
+++ b/internal/path/piping/idle_test.go
@@ -14,47 +14,47 @@
 	"github.com/flamingomast/flamingomast/internal/plat/memnet"
 )
 
-// slowListener makes reads of its connections return late.
+// slowListener delays the return of reads on its connections.
 type slowListener struct {
 	net.Listener
-	// by is how long a read that has brought bytes takes to return.
-	by func() time.Duration
+	// delay returns how long a read that received bytes takes to return.
+	delay func() time.Duration
 }
 
 func (sl slowListener) Accept() (net.Conn, error) {
 	nc, err := sl.Listener.Accept()
-	return &slowConn{Conn: nc, by: sl.by}, err
+	return &slowConn{Conn: nc, delay: sl.delay}, err
 }
 
 type slowConn struct {
 	net.Conn
-	by func() time.Duration
+	delay func() time.Duration
 }
 
 func (sc *slowConn) Read(p []byte) (int, error) {
 	n, err := sc.Conn.Read(p)
 	if n > 0 {
-		time.Sleep(sc.by())
+		time.Sleep(sc.delay())
 	}
 	return n, err
 }
 
-// TestIdleWhileRequestIsRead guards against a connection that ends as idle since the last
-// answer was sent in the moment in which the next request was read.
+// TestIdleWhileRequestIsRead guards against a connection being closed as idle when the read that
+// received its next request has not returned yet at the time when the last response is sent.
 func TestIdleWhileRequestIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nw := memnet.New()
 		ho, _ := nw.Listen("caller:1", "")
 		_, ln := nw.Listen("server:1", "")
 		var st idle.Set
-		fr := New(func(r *http.Request) bool { return r.Method == http.MethodGet }, func(nc net.Conn, state http.ConnState) { st.ConnState(nc.(*slowConn).Conn, state) })
+		pl := New(func(r *http.Request) bool { return r.Method == http.MethodGet }, func(nc net.Conn, state http.ConnState) { st.ConnState(nc.(*slowConn).Conn, state) })
 		var slow atomic.Int64
 		rg := &rig{t: t, nw: nw, ho: ho, ages: map[string]time.Duration{}}
-		hs := &http.Server{Handler: fr.Handler(rg), ConnState: fr.ConnState, ConnContext: fr.ConnContext}
+		hs := &http.Server{Handler: pl.Handler(rg), ConnState: pl.ConnState, ConnContext: pl.ConnContext}
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			_ = hs.Serve(fr.Listener(slowListener{st.Listener(ln), func() time.Duration { return time.Duration(slow.Load()) }}))
+			_ = hs.Serve(pl.Listener(slowListener{st.Listener(ln), func() time.Duration { return time.Duration(slow.Load()) }}))
 		}()
 		defer func() {
 			hs.Close()
@@ -65,7 +65,7 @@
 		began := time.Now()
 		_, _ = io.WriteString(nc, get("/10")+get("/100"))
 		time.Sleep(50 * time.Millisecond)
-		// Its read returns after the answer to the second one was sent.
+		// The read of the next request returns after the response to the second one was sent.
 		slow.Store(int64(100 * time.Millisecond))
 		_, _ = io.WriteString(nc, request("POST", "/200", ""))
 		time.Sleep(60 * time.Millisecond)
@@ -83,7 +83,7 @@
 		st.CloseIdle(0)
 		synctest.Wait()
 		if n := st.Len(); n != 0 {
-			t.Errorf("%d connections are left that are idle", n)
+			t.Errorf("%d idle connections are left open", n)
 		}
 	})
 }
--- a/internal/path/piping/overlap_test.go
+++ b/internal/path/piping/overlap_test.go
@@ -16,16 +16,17 @@
 
 // The load of TestNextBeginsAsFirstEnds.
 const (
-	overlapCallers = 16
-	overlapConns   = 400
-	overlapAhead   = 5
+	overlapCallers  = 16
+	overlapConns    = 400
+	overlapRequests = 5
 )
 
-// TestNextBeginsAsFirstEnds guards against a request that is lost since it begins in the
-// moment in which the first one of its connection ends. Only several threads show it.
+// TestNextBeginsAsFirstEnds guards against a request that is lost because it is started at the
+// same time as the first one of its connection ends. Only several threads show the race.
 func TestNextBeginsAsFirstEnds(t *testing.T) {
-	fr := New(func(*http.Request) bool { return true }, func(net.Conn, http.ConnState) {})
-	// A request yields as often as its path is long, so that ends fall on all moments.
+	pl := New(func(*http.Request) bool { return true }, func(net.Conn, http.ConnState) {})
+	// The number of yields depends on the length of the path, so that requests end at varying
+	// times.
 	brief := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for range len(r.URL.Path) {
 			runtime.Gosched()
@@ -33,7 +34,7 @@
 		_, _ = io.WriteString(w, r.URL.Path)
 	})
 	hs := &http.Server{
-		Handler: fr.Handler(brief), ConnState: fr.ConnState, ConnContext: fr.ConnContext,
+		Handler: pl.Handler(brief), ConnState: pl.ConnState, ConnContext: pl.ConnContext,
 		ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError),
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,7 +42,7 @@
 		t.Fatal(err)
 	}
 	served := make(chan error)
-	go func() { served <- hs.Serve(fr.Listener(ln)) }()
+	go func() { served <- hs.Serve(pl.Listener(ln)) }()
 	defer func() {
 		hs.Close()
 		<-served
@@ -59,11 +60,11 @@
 	}
 	callers.Wait()
 	if n := lost.Load(); n > 0 {
-		t.Errorf("%d of %d connections closed before all was answered", n, overlapCallers*overlapConns)
+		t.Errorf("%d of %d connections closed before all requests were answered", n, overlapCallers*overlapConns)
 	}
 }
 
-// overlap sends requests at once on a connection of its own and reads their answers.
+// overlap pipelines requests on a connection of its own and reads the responses.
 func overlap(addr string, i int) error {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -71,20 +72,20 @@
 	}
 	defer nc.Close()
 	var text string
-	for j := range overlapAhead {
+	for j := range overlapRequests {
 		text += get("/" + strings.Repeat("x", (7*i+3*j)%20))
 	}
 	if _, err := io.WriteString(nc, text); err != nil {
 		return err
 	}
 	br := bufio.NewReader(nc)
-	for j := range overlapAhead {
+	for j := range overlapRequests {
 		re, err := http.ReadResponse(br, nil)
 		if err != nil {
-			return fmt.Errorf("answer %d: %w", j, err)
+			return fmt.Errorf("response %d: %w", j, err)
 		}
 		if _, err := io.Copy(io.Discard, re.Body); err != nil {
-			return fmt.Errorf("answer %d: %w", j, err)
+			return fmt.Errorf("response %d: %w", j, err)
 		}
 	}
 	return nil
