--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -97,7 +97,7 @@
 	// their regions.
 	Source func(domains map[string]string) ctrl.Source
 	// Names are the headers of callers and backend servers.
-	Names result.Names
+	Names result.HeaderNames
 	// Pages serves the settings' addresses for readiness and announcements.
 	Pages func(admin.Handlers) http.Handler
 }
--- a/internal/node/daemon/serve.go
+++ b/internal/node/daemon/serve.go
@@ -19,7 +19,7 @@
 	// callers and peers are the connections of the outlet and of the inlet.
 	callers, peers idle.Set
 	// front serves what callers send ahead.
-	front *piping.Front
+	front *piping.Pipeliner
 }
 
 // The limits of what callers may send.
--- a/internal/path/inlet/attribution_test.go
+++ b/internal/path/inlet/attribution_test.go
@@ -101,7 +101,7 @@
 		r.Header.Set(name, value)
 	}
 	if ends > 0 {
-		r.Header.Set(result.EndsHeader, fmt.Sprint(ends))
+		r.Header.Set(result.CrashesHeader, fmt.Sprint(ends))
 	}
 	w := httptest.NewRecorder()
 	rg.in.ServeHTTP(w, r)
@@ -236,7 +236,7 @@
 	wg.Go(func() { rg.send(context.Background(), "/one", poison.IsolateThreshold) })
 	<-rg.started
 	w := rg.send(context.Background(), "/two", poison.IsolateThreshold)
-	if got := result.Reason(w.Header().Get(result.ReasonHeader)); got != result.ReasonApart || w.Header().Get(result.OutcomeHeader) != result.NotRun.String() {
+	if got := result.Reason(w.Header().Get(result.ReasonHeader)); got != result.ReasonSuspectRunning || w.Header().Get(result.OutcomeHeader) != result.NotRun.String() {
 		t.Errorf("second suspect request got %s/%s", w.Header().Get(result.OutcomeHeader), got)
 	}
 	wg.Go(func() {
@@ -284,7 +284,7 @@
 	})
 	rg.target("i-1")
 	w := rg.send(context.Background(), "/b", 0)
-	if got := result.Reason(w.Header().Get(result.ReasonHeader)); got != result.ReasonBroken || rg.crashes("/b") != 0 {
-		t.Errorf("reason %s, %d crashes; want %s and none", got, rg.crashes("/b"), result.ReasonBroken)
+	if got := result.Reason(w.Header().Get(result.ReasonHeader)); got != result.ReasonConnectionBroken || rg.crashes("/b") != 0 {
+		t.Errorf("reason %s, %d crashes; want %s and none", got, rg.crashes("/b"), result.ReasonConnectionBroken)
 	}
 }
--- a/internal/path/inlet/crash.go
+++ b/internal/path/inlet/crash.go
@@ -132,14 +132,14 @@
 // new ones; a server that is draining did not crash.
 func (in *Inlet) recordCrash(r *http.Request, pr *ident.PrefixReader, rr *runningRequest, rf *result.Refusal) {
 	tg := &rr.target
-	gaveUp := rf.Reason == result.ReasonCallerGone || rf.Reason == result.ReasonDeadline
+	gaveUp := rf.Reason == result.ReasonCallerGone || rf.Reason == result.ReasonDeadlinePassed
 	switch {
 	case rf.Outcome == result.MayHaveRun && gaveUp:
 		if id, ok := requestIDOf(r, pr); ok {
 			in.crashes.abandon(id, tg)
 		}
 		return
-	case rf.Outcome == result.MayHaveRun && rf.Reason != result.ReasonBroken, rf.Outcome == result.NotRun && rf.Reason != result.ReasonConnect:
+	case rf.Outcome == result.MayHaveRun && rf.Reason != result.ReasonConnectionBroken, rf.Outcome == result.NotRun && rf.Reason != result.ReasonNoConnection:
 		return
 	}
 	endID, crashed, first := in.crashes.crashed(tg, func() bool { return in.isDown(tg) })
@@ -156,7 +156,7 @@
 		ids = in.crashes.takeAbandoned(tg)
 	}
 	if rf.Outcome == result.MayHaveRun {
-		rf.Reason = result.ReasonServerEnded
+		rf.Reason = result.ReasonServerCrashed
 		if id, ok := requestIDOf(r, pr); ok {
 			in.Log.LogAttrs(context.Background(), slog.LevelWarn, logs.EndedUnder, slog.String(logs.ID, in.callerRequestID(r)),
 				slog.String(logs.Key, id.key.String()), slog.String(logs.Lifetime, tg.Lifetime))
@@ -167,7 +167,7 @@
 		return
 	}
 	in.report(ids, endID)
-	rf.Ends = in.endsOf(r, pr)
+	rf.Crashes = in.endsOf(r, pr)
 }
 
 // logCrash logs that an instance of the server crashed, and how many requests it was running.
@@ -233,13 +233,13 @@
 // isolate admits one suspect request at a time, so that another crash shows which of them caused
 // it.
 func (in *Inlet) isolate(r *http.Request) (release func(), rf *result.Refusal) {
-	ends, err := strconv.Atoi(r.Header.Get(result.EndsHeader))
+	ends, err := strconv.Atoi(r.Header.Get(result.CrashesHeader))
 	if err != nil || ends < poison.IsolateThreshold {
 		// The outlet knows of too few crashes, or is an older release that sends no count.
 		return func() {}, nil
 	}
 	if !in.suspectRunning.CompareAndSwap(false, true) {
-		return nil, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonApart}
+		return nil, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonSuspectRunning}
 	}
 	return func() { in.suspectRunning.Store(false) }, nil
 }
--- a/internal/path/inlet/inlet.go
+++ b/internal/path/inlet/inlet.go
@@ -49,7 +49,7 @@
 	// Token is the mesh token that outlets must present; empty for none. It is set before use.
 	Token string
 	// Names are the headers that backend servers use. They are set before use.
-	Names result.Names
+	Names result.HeaderNames
 	// Log gets a line for each request that is not answered. It is set before use.
 	Log     *slog.Logger
 	op      proxy.Options
@@ -124,7 +124,7 @@
 	ctx, cancel := in.withDeadline(r, start)
 	defer cancel()
 	if ctx.Err() != nil {
-		in.refuse(w, r, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonDeadline})
+		in.refuse(w, r, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonDeadlinePassed})
 		return
 	}
 	class := r.Header.Get(result.ClassHeader)
@@ -153,7 +153,7 @@
 	}
 	defer tk.Release()
 	if ctx.Err() != nil {
-		in.refuse(w, r, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonDeadline})
+		in.refuse(w, r, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonDeadlinePassed})
 		return
 	}
 	in.forward(ctx, w, r, tg, &admittedRequest{start: start, sr: sr, tk: tk, tf: tf})
@@ -166,7 +166,7 @@
 // and sends it elsewhere.
 func (in *Inlet) checkTarget(hdr http.Header) (*Target, *result.Refusal) {
 	if in.Token != "" && subtle.ConstantTimeCompare([]byte(hdr.Get(result.TokenHeader)), []byte(in.Token)) != 1 {
-		return nil, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonToken}
+		return nil, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonBadToken}
 	}
 	tg := in.target.Load()
 	if tg == nil || tg.VM != hdr.Get(result.VMHeader) || tg.Process != hdr.Get(result.ProcessHeader) ||
@@ -181,10 +181,10 @@
 
 // callerRequestID returns the ID that the caller gave the request, or "" if callers give none.
 func (in *Inlet) callerRequestID(r *http.Request) string {
-	if in.Names.Request == "" {
+	if in.Names.RequestID == "" {
 		return ""
 	}
-	return r.Header.Get(in.Names.Request)
+	return r.Header.Get(in.Names.RequestID)
 }
 
 func (in *Inlet) refuse(w http.ResponseWriter, r *http.Request, rf *result.Refusal) {
@@ -211,8 +211,8 @@
 // counts as the least urgent.
 func parseUrgency(hdr http.Header, class string) limit.Request {
 	rq := limit.Request{Class: class, Priority: lowestPriority}
-	text, final := strings.CutSuffix(hdr.Get(result.UrgencyHeader), result.Final)
-	rq.Final, rq.Kind, rq.Repeat = final, hdr.Get(result.RouteHeader), result.ParseShare(hdr.Get(result.RepeatHeader))
+	text, final := strings.CutSuffix(hdr.Get(result.UrgencyHeader), result.FinalSuffix)
+	rq.Final, rq.Kind, rq.Repeat = final, hdr.Get(result.RouteHeader), result.ParseProbability(hdr.Get(result.RepeatHeader))
 	prio, objectiveMs, hasObjective := strings.Cut(text, "/")
 	if n, err := strconv.Atoi(prio); err == nil && n >= 0 {
 		rq.Priority = min(n, lowestPriority)
@@ -230,7 +230,7 @@
 // request was sent. A request that stayed unread for longer than that is not run: its caller has
 // gone, even if the inlet has not noticed yet.
 func (in *Inlet) withDeadline(r *http.Request, now time.Time) (context.Context, context.CancelFunc) {
-	ms, err := strconv.ParseInt(r.Header.Get(result.TimeoutMs), 10, 32)
+	ms, err := strconv.ParseInt(r.Header.Get(result.TimeoutHeader), 10, 32)
 	if err != nil || ms <= 0 {
 		return context.WithCancel(r.Context())
 	}
@@ -247,8 +247,8 @@
 }
 
 // spent returns how long the request has waited for its slot and held it until now.
-func (ar *admittedRequest) spent(now time.Time) result.Spent {
-	return result.Spent{Wait: ar.tk.AcquiredAt().Sub(ar.start), Held: now.Sub(ar.tk.AcquiredAt())}
+func (ar *admittedRequest) spent(now time.Time) result.SlotTimes {
+	return result.SlotTimes{Wait: ar.tk.AcquiredAt().Sub(ar.start), ServiceTime: now.Sub(ar.tk.AcquiredAt())}
 }
 
 // forward sends an admitted request to the backend server and the response back. The slot is
@@ -286,7 +286,7 @@
 		if err := at.Buffer(maxBuffered); err != nil {
 			in.countFailure(r, false, ar)
 			rf := in.failure(ctx, r, at, tg)
-			rf.Outcome, rf.Reason, rf.Cause = result.MayHaveRun, result.ReasonBroken, err
+			rf.Outcome, rf.Reason, rf.Cause = result.MayHaveRun, result.ReasonConnectionBroken, err
 			in.recordCrash(r, pr, rr, rf)
 			sr.Outcomes.Add(rf.Outcome.String()+"/"+string(rf.Reason), 1)
 			in.refuse(w, r, rf)
@@ -298,17 +298,17 @@
 			in.clearSuspect(r, pr)
 		}
 	}
-	in.countResponse(r, at.Response.StatusCode >= http.StatusInternalServerError, ar.spent(time.Now()).Held, tg)
+	in.countResponse(r, at.Response.StatusCode >= http.StatusInternalServerError, ar.spent(time.Now()).ServiceTime, tg)
 	proxy.CopyHeader(w, at.Response, func(hdr http.Header) {
 		hdr[result.LoadHeader] = []string{in.load().String()}
-		hdr[result.SpentHeader] = []string{ar.spent(time.Now()).String()}
+		hdr[result.SlotTimesHeader] = []string{ar.spent(time.Now()).String()}
 	})
 	if err := proxy.Copy(w, at, ar.tf.pace(r.Context(), size)); err != nil {
 		var ce *proxy.CopyError
 		if errors.As(err, &ce) && ce.ReadFailed {
-			in.recordCrash(r, pr, rr, &result.Refusal{Outcome: result.MayHaveRun, Reason: result.ReasonBroken})
+			in.recordCrash(r, pr, rr, &result.Refusal{Outcome: result.MayHaveRun, Reason: result.ReasonConnectionBroken})
 		}
-		sr.Outcomes.Add(result.Ended.String()+"/"+string(result.ReasonBroken), 1)
+		sr.Outcomes.Add(result.Ended.String()+"/"+string(result.ReasonConnectionBroken), 1)
 		panic(http.ErrAbortHandler)
 	}
 	// A response that was not buffered has been read only now.
@@ -332,8 +332,8 @@
 	case r.Context().Err() != nil:
 		rf.Reason = result.ReasonCallerGone
 	case ctx.Err() != nil:
-		rf.Reason = result.ReasonDeadline
-	case oc == result.NotRun && re == result.ReasonConnect:
+		rf.Reason = result.ReasonDeadlinePassed
+	case oc == result.NotRun && re == result.ReasonNoConnection:
 		in.Unreachable(*tg)
 	}
 	return rf
@@ -346,7 +346,7 @@
 	switch {
 	case in.Names.Instance != "" && res.StatusCode == http.StatusMisdirectedRequest:
 		return &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonWrongTarget}
-	case !refusing || res.Header.Get(in.Names.Or().NotRun) == "":
+	case !refusing || res.Header.Get(in.Names.WithDefaults().NotRun) == "":
 		return nil
 	}
 	// Retry-After from the backend server is ignored: the gate never sends it more requests than it
@@ -362,9 +362,9 @@
 	nm := &in.Names
 	success := res.StatusCode < http.StatusMultipleChoices
 	foreign := false
-	if nm.Request != "" {
-		got := res.Header.Get(nm.Request)
-		foreign = got != r.Header.Get(nm.Request) && (success || got != "")
+	if nm.RequestID != "" {
+		got := res.Header.Get(nm.RequestID)
+		foreign = got != r.Header.Get(nm.RequestID) && (success || got != "")
 	}
 	if nm.Stamp != "" && success && res.Header.Get(nm.Stamp) == "" {
 		foreign = true
@@ -372,13 +372,13 @@
 	if !foreign {
 		return nil
 	}
-	return &result.Refusal{Outcome: result.MayHaveRun, Reason: result.ReasonForeign}
+	return &result.Refusal{Outcome: result.MayHaveRun, Reason: result.ReasonForeignResponse}
 }
 
 // outgoing returns the request to the backend server. Of this system's headers it carries only the
 // remaining timeout.
 func (in *Inlet) outgoing(ctx context.Context, r *http.Request, tg *Target, pr *ident.PrefixReader) *http.Request {
-	out := proxy.Outgoing(ctx, r, tg.Addr, in.Names.Or().Timeout)
+	out := proxy.Outgoing(ctx, r, tg.Addr, in.Names.WithDefaults().Timeout)
 	if in.Names.Instance != "" && tg.Lifetime != "" {
 		out.Header.Set(in.Names.Instance, tg.Lifetime)
 	}
--- a/internal/path/inlet/paced.go
+++ b/internal/path/inlet/paced.go
@@ -59,9 +59,9 @@
 		return nil
 	}
 	if objective > 0 {
-		sendTime := tf.link.SendTime(int(n), tf.rate) + ld.Service + smallResponseDelay
+		sendTime := tf.link.SendTime(int(n), tf.rate) + ld.ServiceTime + smallResponseDelay
 		if over := excess(tf.link.Backlog(), sendTime, objective, ld); over > 0 {
-			return &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonLink, RetryAfter: over}
+			return &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonLinkFull, RetryAfter: over}
 		}
 	}
 	tf.rs = tf.link.Reserve(int(n), tf.rate)
@@ -77,7 +77,7 @@
 	case sendTime <= objective:
 		return backlog + sendTime - objective
 	case 2*ld.Running > ld.Slots:
-		return max(ld.Service, backlog)
+		return max(ld.ServiceTime, backlog)
 	}
 	return backlog - maxLateBacklog
 }
--- a/internal/path/inlet/tally.go
+++ b/internal/path/inlet/tally.go
@@ -26,7 +26,7 @@
 	if r.Context().Err() != nil {
 		return
 	}
-	in.counts.Load().Add(r.Header.Get(result.RouteHeader), !expired, ar.spent(time.Now()).Held)
+	in.counts.Load().Add(r.Header.Get(result.RouteHeader), !expired, ar.spent(time.Now()).ServiceTime)
 }
 
 // Counts returns the request counts of the current instance of the backend server.
--- a/internal/path/limit/late_test.go
+++ b/internal/path/limit/late_test.go
@@ -52,8 +52,8 @@
 					sl.Release()
 					return
 				}
-				if rf == nil || rf.Outcome != result.NotRun || rf.Reason != result.ReasonTooLate || took != tc.want {
-					t.Errorf("refused with %+v after %s, want %s after %s", rf, took, result.ReasonTooLate, tc.want)
+				if rf == nil || rf.Outcome != result.NotRun || rf.Reason != result.ReasonDeadlineTooNear || took != tc.want {
+					t.Errorf("refused with %+v after %s, want %s after %s", rf, took, result.ReasonDeadlineTooNear, tc.want)
 				}
 				if ctx.Err() != nil {
 					t.Error("the refusal came after the deadline")
--- a/internal/path/limit/limit.go
+++ b/internal/path/limit/limit.go
@@ -196,10 +196,10 @@
 	wait := lm.expectedWait(cl, wt, pos)
 	last := pos >= len(cl.queue)
 	if last && len(cl.queue) >= cl.Queue || wait > wt.maxExpectedWait() {
-		return refuse(result.ReasonFull, wait)
+		return refuse(result.ReasonSlotsFull, wait)
 	}
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) < wait+wt.serviceTime {
-		return refuse(result.ReasonTooLate, wait)
+		return refuse(result.ReasonDeadlineTooNear, wait)
 	}
 	return nil
 }
@@ -249,11 +249,11 @@
 	case lm.draining:
 		return nil, refuse(result.ReasonDraining, 0)
 	case ctx.Err() != nil:
-		return nil, refuse(result.ReasonDeadline, retryAfter)
+		return nil, refuse(result.ReasonDeadlinePassed, retryAfter)
 	case late:
-		return nil, refuse(result.ReasonTooLate, retryAfter)
+		return nil, refuse(result.ReasonDeadlineTooNear, retryAfter)
 	}
-	return nil, refuse(result.ReasonFull, retryAfter)
+	return nil, refuse(result.ReasonSlotsFull, retryAfter)
 }
 
 // evict refuses the victim of a full queue to make room for a request ranked ahead of it. Without
@@ -394,7 +394,7 @@
 func (lm *Limiter) Load() result.Load {
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
-	ld := result.Load{Running: lm.running, Waiting: lm.waiting, Slots: lm.slots, Service: lm.service.value.Truncate(time.Millisecond)}
+	ld := result.Load{Running: lm.running, Waiting: lm.waiting, Slots: lm.slots, ServiceTime: lm.service.value.Truncate(time.Millisecond)}
 	if lm.running < lm.slots || lm.slots <= 0 {
 		return ld
 	}
--- a/internal/path/limit/limit_test.go
+++ b/internal/path/limit/limit_test.go
@@ -144,7 +144,7 @@
 		defer cancel()
 		began := time.Now()
 		_, rf := lm.Acquire(ctx, Request{Class: "lookup"})
-		if took := time.Since(began); rf == nil || rf.Reason != result.ReasonTooLate || took != 0 {
+		if took := time.Since(began); rf == nil || rf.Reason != result.ReasonDeadlineTooNear || took != 0 {
 			t.Errorf("refused with %+v after %s, want deadline-too-near at once", rf, took)
 		}
 		if rf.RetryAfter < 1500*time.Millisecond || rf.RetryAfter > 4*time.Second {
@@ -166,7 +166,7 @@
 			go func() { _, _ = lm.Acquire(ctx, Request{Class: "lookup"}) }()
 		}
 		synctest.Wait()
-		if _, rf := lm.Acquire(t.Context(), Request{Class: "lookup"}); rf == nil || rf.Reason != result.ReasonFull {
+		if _, rf := lm.Acquire(t.Context(), Request{Class: "lookup"}); rf == nil || rf.Reason != result.ReasonSlotsFull {
 			t.Errorf("the third queued request: %+v, want slots-full", rf)
 		}
 		go func() { _, _ = lm.Acquire(ctx, Request{Class: "confirm"}) }()
@@ -281,7 +281,7 @@
 		enter("document", 2)
 		enter("lookup", 2)
 		enter("call", 0)
-		if got := <-ends; got.name != "lookup" || got.rf == nil || got.rf.Reason != result.ReasonFull || got.rf.Outcome != result.NotRun {
+		if got := <-ends; got.name != "lookup" || got.rf == nil || got.rf.Reason != result.ReasonSlotsFull || got.rf.Outcome != result.NotRun {
 			t.Errorf("%s ended with %+v; want the lookup refused with slots-full", got.name, got.rf)
 		}
 		enter("another", 2)
--- a/internal/path/outlet/answer_test.go
+++ b/internal/path/outlet/answer_test.go
@@ -106,7 +106,7 @@
 			return err == nil
 		})
 		rg := newRig(t, be.Addr)
-		rg.outlet = outlet.New(outlet.Options{Forwarder: proxy.New(proxy.Options{Dial: dialWithoutTimeout}), Names: result.Names{Fractions: true}})
+		rg.outlet = outlet.New(outlet.Options{Forwarder: proxy.New(proxy.Options{Dial: dialWithoutTimeout}), Names: result.HeaderNames{FractionalRetryAfter: true}})
 		rg.update()
 		rg.front.Config.Handler = rg.outlet
 		an := rg.do(rg.request("GET", "/always", ""))
--- a/internal/path/outlet/attempt.go
+++ b/internal/path/outlet/attempt.go
@@ -35,7 +35,7 @@
 	if ld, ok := result.ParseLoad(at.Response.Header.Get(result.LoadHeader)); ok {
 		ep.SetLoad(ld, time.Now(), rq.gp)
 	}
-	if rf := result.FromAnswer(at.Response); rf != nil {
+	if rf := result.FromResponse(at.Response); rf != nil {
 		ep.End(time.Now(), verdictOf(rf), rq.gp)
 		// Drain a short body so that the connection can be reused.
 		_, _ = io.Copy(io.Discard, io.LimitReader(at.Response.Body, 4<<10))
@@ -46,9 +46,9 @@
 		vd = pick.Failure
 		rq.ou.callerTries.Failed(rq.callerTry, time.Now(), false, &rq.rs.callerRetries)
 	}
-	rq.spent = result.ParseSpent(at.Response.Header.Get(result.SpentHeader))
+	rq.spent = result.ParseSlotTimes(at.Response.Header.Get(result.SlotTimesHeader))
 	if vd == pick.Success {
-		ep.RecordServiceTime(rq.spent.Held, rq.rs.recordHeld(rq.spent.Held))
+		ep.RecordServiceTime(rq.spent.ServiceTime, rq.rs.recordHeld(rq.spent.ServiceTime))
 	}
 	if rf := rq.bufferAnswer(at); rf != nil {
 		ep.End(time.Now(), verdictOf(rf), rq.gp)
@@ -63,7 +63,7 @@
 	}
 	ep.End(time.Now(), vd, rq.gp)
 	if err != nil {
-		rq.record(result.Ended, result.ReasonBroken)
+		rq.record(result.Ended, result.ReasonConnectionBroken)
 		panic(http.ErrAbortHandler)
 	}
 	return nil
@@ -118,7 +118,7 @@
 // was forwarded; otherwise the caller would lose its connection.
 func (rq *request) bufferAnswer(at *proxy.Attempt) *result.Refusal {
 	if err := at.Buffer(maxBufferedAnswer); err != nil {
-		rf := rq.failure(at, result.MayHaveRun, result.ReasonBroken)
+		rf := rq.failure(at, result.MayHaveRun, result.ReasonConnectionBroken)
 		rf.Cause = err
 		return rf
 	}
@@ -130,17 +130,17 @@
 	if staleConn(rf) {
 		return pick.Busy
 	}
-	if rf.Reason.NoRoom() {
+	if rf.Reason.NoCapacity() {
 		return pick.Busy
 	}
 	switch rf.Reason {
 	case result.ReasonCallerGone:
 		return pick.Busy
-	case result.ReasonWrongTarget, result.ReasonDraining, result.ReasonNoServer, result.ReasonConnect:
+	case result.ReasonWrongTarget, result.ReasonDraining, result.ReasonNoServer, result.ReasonNoConnection:
 		return pick.Unreachable
 	case result.ReasonShed:
 		return pick.Shed
-	case result.ReasonDeadline:
+	case result.ReasonDeadlinePassed:
 		// Waiting for a slot until the deadline is not the server's fault; running until then may
 		// be.
 		if rf.Outcome == result.NotRun {
@@ -157,7 +157,7 @@
 	case rq.r.Context().Err() != nil:
 		rf.Reason = result.ReasonCallerGone
 	case rq.ctx.Err() != nil:
-		rf.Reason = result.ReasonDeadline
+		rf.Reason = result.ReasonDeadlinePassed
 	case rq.body.tooLarge():
 		rf.Reason, rf.RetryAfter = result.ReasonTooLarge, 0
 	case at.Err != nil:
@@ -168,9 +168,9 @@
 
 // outgoing builds the request to a server's inlet.
 func (rq *request) outgoing(ep *pick.Endpoint) *http.Request {
-	out := proxy.Outgoing(rq.ctx, rq.r, ep.Inlet, result.TimeoutMs)
+	out := proxy.Outgoing(rq.ctx, rq.r, ep.Inlet, result.TimeoutHeader)
 	nm := &rq.ou.names
-	if nm.Timeout != result.TimeoutMs {
+	if nm.Timeout != result.TimeoutHeader {
 		out.Header.Del(nm.Timeout)
 	}
 	if nm.Instance != "" {
@@ -187,10 +187,10 @@
 	out.Header[result.UrgencyHeader] = []string{urgency(rq.route, rq.priority, rq.elapsed, time.Since(rq.start), rq.final)}
 	out.Header[result.RouteHeader] = []string{rq.route.Name}
 	if rq.serverExits > 0 {
-		out.Header[result.EndsHeader] = []string{strconv.Itoa(rq.serverExits)}
+		out.Header[result.CrashesHeader] = []string{strconv.Itoa(rq.serverExits)}
 	}
 	if share := rq.retryProbability(); share > 0 {
-		out.Header[result.RepeatHeader] = []string{result.Share(share)}
+		out.Header[result.RepeatHeader] = []string{result.FormatProbability(share)}
 	}
 	if size := rq.rs.expectedSize(); pick.Large(size) {
 		out.Header[result.SizeHeader] = []string{strconv.FormatInt(size, 10)}
--- a/internal/path/outlet/outlet.go
+++ b/internal/path/outlet/outlet.go
@@ -33,7 +33,7 @@
 	fw         *proxy.Forwarder
 	log        *slog.Logger
 	token      string
-	names      result.Names
+	names      result.HeaderNames
 	service    string
 	work       func() limit.Activity
 	retryBound retry.Bound
@@ -76,7 +76,7 @@
 	// Token is the mesh token that inlets require, empty for none.
 	Token string
 	// Names are the names of the headers that callers use.
-	Names result.Names
+	Names result.HeaderNames
 	// LinkRate is the rate of the VM's link in bits per second, 0 if unknown.
 	LinkRate float64
 	// Work returns what the VM's own backend server is doing; nil if the VM has none.
@@ -92,7 +92,7 @@
 
 // New returns an outlet without a table. It refuses requests until SetTable is called.
 func New(op Options) *Outlet {
-	ou := &Outlet{fw: op.Forwarder, log: op.Log, token: op.Token, names: op.Names.Or(), service: op.Service, linkRate: op.LinkRate, work: op.Work, retryBound: retry.Default, poison: op.Poison, poisonJitter: rand.N(poison.RetryJitter), started: time.Now()}
+	ou := &Outlet{fw: op.Forwarder, log: op.Log, token: op.Token, names: op.Names.WithDefaults(), service: op.Service, linkRate: op.LinkRate, work: op.Work, retryBound: retry.Default, poison: op.Poison, poisonJitter: rand.N(poison.RetryJitter), started: time.Now()}
 	if ou.poison == nil {
 		ou.poison = func() *poison.View { return nil }
 	}
@@ -243,7 +243,7 @@
 // arrivalTime returns when a request had been read. The time that a pipelined request waits behind
 // earlier ones counts towards its deadline.
 func arrivalTime(r *http.Request) time.Time {
-	if at := piping.Arrived(r); !at.IsZero() {
+	if at := piping.ArrivalTime(r); !at.IsZero() {
 		return at
 	}
 	return time.Now()
@@ -288,5 +288,5 @@
 		// another request.
 		w.Header().Set("Connection", "close")
 	}
-	rf.Write(w, ou.names.Fractions)
+	rf.Write(w, ou.names.FractionalRetryAfter)
 }
--- a/internal/path/outlet/request.go
+++ b/internal/path/outlet/request.go
@@ -59,7 +59,7 @@
 	// software is the software version of the last server.
 	software string
 	// spent is the time that the answered attempt took at the inlet.
-	spent result.Spent
+	spent result.SlotTimes
 	// attempts counts all attempts, rejections those rejected for lack of capacity or shed,
 	// delivered those that may have reached a backend server.
 	attempts, rejections, delivered int
@@ -86,7 +86,7 @@
 	// A caller's retry bypasses the throttle: throttling it would refuse the same request twice
 	// without any benefit.
 	if !rq.final && !rq.callerRetry && !rq.th.Allow(rq.priority, rq.start, rand.Float64()) {
-		rq.refuse(&result.Refusal{Outcome: result.NotRun, Reason: result.ReasonFull})
+		rq.refuse(&result.Refusal{Outcome: result.NotRun, Reason: result.ReasonSlotsFull})
 		return
 	}
 	rq.th.RecordOutcome(rq.priority, time.Now(), rq.send())
@@ -103,7 +103,7 @@
 				last = &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonNoServer, RetryAfter: time.Second}
 			}
 			rq.refuse(last)
-			return !last.Crowded()
+			return !last.Overloaded()
 		}
 		rq.software = ep.Software
 		rf := rq.attempt(ep)
@@ -114,8 +114,8 @@
 		}
 		rq.lastRefusal = rf
 		rq.logAttempt(ep, rf)
-		if rf.Reason == result.ReasonServerEnded {
-			rq.serverExits = max(rq.serverExits+1, rf.Ends)
+		if rf.Reason == result.ReasonServerCrashed {
+			rq.serverExits = max(rq.serverExits+1, rf.Crashes)
 		}
 		if !staleConn(rf) {
 			rq.tried.Add(ep)
@@ -127,7 +127,7 @@
 		}
 		if !rq.shouldRetry(rf) {
 			rq.refuse(last)
-			return !last.Crowded()
+			return !last.Overloaded()
 		}
 	}
 }
@@ -143,7 +143,7 @@
 // staleConn reports whether the request was sent on a kept connection that was already closed. That
 // says nothing about the server, which may be tried again.
 func staleConn(rf *result.Refusal) bool {
-	return rf.Outcome == result.NotRun && rf.Reason == result.ReasonBroken
+	return rf.Outcome == result.NotRun && rf.Reason == result.ReasonConnectionBroken
 }
 
 // combineRefusals returns the refusal that describes two attempts together: if one attempt may have
@@ -192,7 +192,7 @@
 		// deadline, and the caller would not learn whether it had run.
 		return false
 	}
-	if rf.Reason.NoRoom() || rf.Reason == result.ReasonShed {
+	if rf.Reason.NoCapacity() || rf.Reason == result.ReasonShed {
 		if rq.rejections++; rq.rejections >= rq.rejectionLimit() {
 			return false
 		}
@@ -232,7 +232,7 @@
 	if rq.body.streamed() || rq.body.incomplete {
 		rq.w.Header().Set("Connection", "close")
 	}
-	rf.Write(rq.w, rq.ou.names.Fractions)
+	rf.Write(rq.w, rq.ou.names.FractionalRetryAfter)
 }
 
 // Delays after which refused callers are asked to retry.
@@ -308,7 +308,7 @@
 		slog.Int("attempts", rq.attempts), slog.String(logs.VM, rq.vm), rq.softwareAttr(), slog.Duration(logs.Elapsed, rq.elapsed),
 		slog.Duration(logs.Queued, rq.queued), slog.Duration(logs.Limit, rq.limit), rq.causeAttr(),
 		slog.Duration(logs.Objective, rq.route.Objective),
-		slog.Duration(logs.Wait, rq.spent.Wait), slog.Duration(logs.Held, rq.spent.Held), slog.Duration(logs.Took, took))
+		slog.Duration(logs.Wait, rq.spent.Wait), slog.Duration(logs.Held, rq.spent.ServiceTime), slog.Duration(logs.Took, took))
 }
 
 // softwareAttr returns the log attribute for the last server's software version, empty unless the
@@ -339,7 +339,7 @@
 
 // id returns the caller's request id, empty if callers set none.
 func (rq *request) id() string {
-	if name := rq.ou.names.Request; name != "" {
+	if name := rq.ou.names.RequestID; name != "" {
 		return rq.r.Header.Get(name)
 	}
 	return ""
--- a/internal/path/outlet/routestats.go
+++ b/internal/path/outlet/routestats.go
@@ -69,7 +69,7 @@
 		text += "/" + strconv.FormatInt(max(1, (rt.Objective-elapsed-spent).Milliseconds()), 10)
 	}
 	if final {
-		text += result.Final
+		text += result.FinalSuffix
 	}
 	return text
 }
--- a/internal/path/pick/endpoint.go
+++ b/internal/path/pick/endpoint.go
@@ -229,7 +229,7 @@
 	gp.meanUse.add(ld)
 	ep.live.linkFreeAt.Store(steady.Nanos(now.Add(ld.Backlog)))
 	load := uint64(min(ld.Running+ld.Waiting, math.MaxUint16))
-	service := uint64(min(ld.Service.Milliseconds(), math.MaxUint16))
+	service := uint64(min(ld.ServiceTime.Milliseconds(), math.MaxUint16))
 	var waits uint64
 	for i, wait := range ld.Waits {
 		waits |= uint64(min(wait.Milliseconds(), math.MaxUint16)) << (16 * i)
--- a/internal/path/piping/conn.go
+++ b/internal/path/piping/conn.go
@@ -39,7 +39,7 @@
 // that it must not start yet.
 type conn struct {
 	net.Conn
-	pl *Front
+	pl *Pipeliner
 
 	mu      sync.Mutex
 	changed *sync.Cond
@@ -80,7 +80,7 @@
 	arrived time.Time
 }
 
-func newConn(pl *Front, nc net.Conn) *conn {
+func newConn(pl *Pipeliner, nc net.Conn) *conn {
 	cn := &conn{Conn: nc, pl: pl}
 	cn.changed = sync.NewCond(&cn.mu)
 	return cn
@@ -348,7 +348,7 @@
 	if len(cn.pending) == 0 || cn.pending[0] != nil {
 		return false
 	}
-	return cn.direct.request.Close || !cn.pl.Ahead(cn.direct.request)
+	return cn.direct.request.Close || !cn.pl.MayRunEarly(cn.direct.request)
 }
 
 func (cn *conn) submit(vc *virtualConn) bool {
@@ -383,7 +383,7 @@
 		return false
 	}
 	noBody := r.ContentLength == 0 && len(r.TransferEncoding) == 0
-	return noBody && r.ProtoAtLeast(1, 1) && !r.Close && r.Header.Get("Expect") == "" && r.Header.Get("Upgrade") == "" && cn.pl.Ahead(r)
+	return noBody && r.ProtoAtLeast(1, 1) && !r.Close && r.Header.Get("Expect") == "" && r.Header.Get("Upgrade") == "" && cn.pl.MayRunEarly(r)
 }
 
 // cancelEarly cancels the requests that run early, because the caller has disconnected. cn.mu is
--- a/internal/path/piping/pipeliner.go
+++ b/internal/path/piping/pipeliner.go
@@ -31,10 +31,10 @@
 // Pipeliner connects callers' connections to an http.Server. Its listener, its ConnState and
 // ConnContext hooks and its handler must all be used. The fields are set before use; the zero
 // value runs no request early.
-type Front struct {
+type Pipeliner struct {
 	// MayRunEarly reports whether a request without a body may run before earlier requests of its
 	// connection are answered, and run again if its response is lost.
-	Ahead func(*http.Request) bool
+	MayRunEarly func(*http.Request) bool
 	// OnConnState is called when a caller's connection becomes active and when all requests read
 	// from it have been answered, like http.Server.ConnState.
 	OnConnState func(net.Conn, http.ConnState)
@@ -46,14 +46,14 @@
 }
 
 // New returns a Pipeliner with the given callbacks.
-func New(mayRunEarly func(*http.Request) bool, onConnState func(net.Conn, http.ConnState)) *Front {
-	pl := &Front{Ahead: mayRunEarly, OnConnState: onConnState, early: make(chan net.Conn), done: make(chan struct{})}
+func New(mayRunEarly func(*http.Request) bool, onConnState func(net.Conn, http.ConnState)) *Pipeliner {
+	pl := &Pipeliner{MayRunEarly: mayRunEarly, OnConnState: onConnState, early: make(chan net.Conn), done: make(chan struct{})}
 	pl.buffered.Limit = MaxBuffered
 	return pl
 }
 
 // Listener wraps ln so that pipelined requests on its connections can run early.
-func (pl *Front) Listener(ln net.Listener) net.Listener {
+func (pl *Pipeliner) Listener(ln net.Listener) net.Listener {
 	ls := &listener{Listener: ln, pl: pl, results: make(chan acceptResult)}
 	go ls.acceptLoop()
 	return ls
@@ -62,7 +62,7 @@
 // listener accepts callers' connections and virtual connections of pipelined requests.
 type listener struct {
 	net.Listener
-	pl      *Front
+	pl      *Pipeliner
 	results chan acceptResult
 }
 
@@ -93,7 +93,7 @@
 
 // close ends accepting. Pipelined requests that arrive later wait until those before them are
 // answered.
-func (pl *Front) close() { pl.once.Do(func() { close(pl.done) }) }
+func (pl *Pipeliner) close() { pl.once.Do(func() { close(pl.done) }) }
 
 // Accept returns the next connection, from a caller or a virtual one.
 func (ls *listener) Accept() (net.Conn, error) {
@@ -117,7 +117,7 @@
 }
 
 // ConnState is the ConnState hook of the http.Server.
-func (pl *Front) ConnState(nc net.Conn, state http.ConnState) {
+func (pl *Pipeliner) ConnState(nc net.Conn, state http.ConnState) {
 	switch cn := nc.(type) {
 	case *conn:
 		cn.setState(state)
@@ -132,12 +132,12 @@
 type connKey struct{}
 
 // ConnContext is the ConnContext hook of the http.Server.
-func (pl *Front) ConnContext(ctx context.Context, nc net.Conn) context.Context {
+func (pl *Pipeliner) ConnContext(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, nc)
 }
 
 // Handler wraps next so that each connection is notified of a request before next is called.
-func (pl *Front) Handler(next http.Handler) http.Handler {
+func (pl *Pipeliner) Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch cn := r.Context().Value(connKey{}).(type) {
 		case *conn:
@@ -152,7 +152,7 @@
 // ArrivalTime returns when the head of a request had been read from its caller. That is before
 // its handler is called if the request had to wait for earlier ones. It returns the zero time
 // where that is unknown: with HTTP/2, and after a body without a Content-Length.
-func Arrived(r *http.Request) time.Time {
+func ArrivalTime(r *http.Request) time.Time {
 	switch cn := r.Context().Value(connKey{}).(type) {
 	case *conn:
 		cn.mu.Lock()
--- a/internal/path/proxy/header.go
+++ b/internal/path/proxy/header.go
@@ -48,7 +48,7 @@
 // none.
 func ReservedHeader(hdr http.Header) string {
 	for name := range hdr {
-		if result.IsControl(name) && name != result.TimeoutMs {
+		if result.IsControl(name) && name != result.TimeoutHeader {
 			return name
 		}
 	}
--- a/internal/path/proxy/proxy.go
+++ b/internal/path/proxy/proxy.go
@@ -162,12 +162,12 @@
 func (at *Attempt) Outcome() (result.Outcome, result.Reason) {
 	cn, writtenBefore := at.connection()
 	if cn == nil && !at.sent.Load() {
-		return result.NotRun, result.ReasonConnect
+		return result.NotRun, result.ReasonNoConnection
 	}
 	if cn != nil && !cn.wrote(writtenBefore) {
-		return result.NotRun, result.ReasonBroken
+		return result.NotRun, result.ReasonConnectionBroken
 	}
-	return result.MayHaveRun, result.ReasonBroken
+	return result.MayHaveRun, result.ReasonConnectionBroken
 }
 
 // Discard closes the connection of an attempt whose response is not used, so that the rest of it
--- a/internal/path/proxy/proxy_test.go
+++ b/internal/path/proxy/proxy_test.go
@@ -102,12 +102,12 @@
 		want   result.Outcome
 		reason result.Reason
 	}{
-		{"no connection", func() (net.Conn, error) { return nil, refused }, result.NotRun, result.ReasonConnect},
+		{"no connection", func() (net.Conn, error) { return nil, refused }, result.NotRun, result.ReasonNoConnection},
 		{"closed before the request", func() (net.Conn, error) {
 			client, server := net.Pipe()
 			server.Close()
 			return &brokenConn{Conn: client}, nil
-		}, result.MayHaveRun, result.ReasonBroken},
+		}, result.MayHaveRun, result.ReasonConnectionBroken},
 		{"closed after a byte", func() (net.Conn, error) {
 			client, server := net.Pipe()
 			go func() {
@@ -115,7 +115,7 @@
 				server.Close()
 			}()
 			return client, nil
-		}, result.MayHaveRun, result.ReasonBroken},
+		}, result.MayHaveRun, result.ReasonConnectionBroken},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			fw := New(Options{Dial: func(context.Context, string) (net.Conn, error) { return tc.dial() }})
--- a/internal/path/result/result.go
+++ b/internal/path/result/result.go
@@ -48,29 +48,29 @@
 
 // The reasons.
 const (
-	ReasonNoRoute     Reason = "no-route"
-	ReasonNoConfig    Reason = "no-configuration"
-	ReasonNoServer    Reason = "no-backend-server"
-	ReasonWrongTarget Reason = "wrong-target"
-	ReasonFull        Reason = "slots-full"
-	ReasonOutletFull  Reason = "outlet-full"
-	ReasonDraining    Reason = "draining"
-	ReasonTooLate     Reason = "deadline-too-near"
-	ReasonLink        Reason = "link-full"
-	ReasonDeadline    Reason = "deadline-passed"
-	ReasonConnect     Reason = "no-connection"
-	ReasonBroken      Reason = "connection-broken"
-	ReasonServerEnded Reason = "server-ended"
-	ReasonPoison      Reason = "poison-request"
-	ReasonApart       Reason = "another-suspect-runs"
-	ReasonShed        Reason = "shed-by-server"
-	ReasonBadRequest  Reason = "bad-request"
-	ReasonTooLarge    Reason = "too-large"
-	ReasonSlowBody    Reason = "body-too-slow"
-	ReasonToken       Reason = "token-missing-or-wrong"
-	ReasonUpgrade     Reason = "upgrade-not-carried"
-	ReasonCallerGone  Reason = "caller-gone"
-	ReasonForeign     Reason = "foreign-answer"
+	ReasonNoRoute          Reason = "no-route"
+	ReasonNoConfig         Reason = "no-configuration"
+	ReasonNoServer         Reason = "no-backend-server"
+	ReasonWrongTarget      Reason = "wrong-target"
+	ReasonSlotsFull        Reason = "slots-full"
+	ReasonOutletFull       Reason = "outlet-full"
+	ReasonDraining         Reason = "draining"
+	ReasonDeadlineTooNear  Reason = "deadline-too-near"
+	ReasonLinkFull         Reason = "link-full"
+	ReasonDeadlinePassed   Reason = "deadline-passed"
+	ReasonNoConnection     Reason = "no-connection"
+	ReasonConnectionBroken Reason = "connection-broken"
+	ReasonServerCrashed    Reason = "server-ended"
+	ReasonPoison           Reason = "poison-request"
+	ReasonSuspectRunning   Reason = "another-suspect-runs"
+	ReasonShed             Reason = "shed-by-server"
+	ReasonBadRequest       Reason = "bad-request"
+	ReasonTooLarge         Reason = "too-large"
+	ReasonSlowBody         Reason = "body-too-slow"
+	ReasonBadToken         Reason = "token-missing-or-wrong"
+	ReasonUpgrade          Reason = "upgrade-not-carried"
+	ReasonCallerGone       Reason = "caller-gone"
+	ReasonForeignResponse  Reason = "foreign-answer"
 )
 
 // The headers of this system. All begin with Prefix, and all but TimeoutHeader are dropped from
@@ -83,7 +83,7 @@
 	// TimeoutHeader is how many milliseconds the sender allows for the request. A caller may set
 	// it; a backend server receives the remaining time and passes it on to the services that it
 	// calls.
-	TimeoutMs = Prefix + "Timeout-Ms"
+	TimeoutHeader = Prefix + "Timeout-Ms"
 	// NotRunHeader on a 429 or 503 of a backend server says that it has not started to run the
 	// request.
 	NotRunHeader = Prefix + "Not-Run"
@@ -96,7 +96,7 @@
 	// many milliseconds of it are left, separated by a slash. FinalSuffix is appended if the
 	// caller cannot retry after a refusal.
 	UrgencyHeader = Prefix + "Urgency"
-	Final         = "/final"
+	FinalSuffix   = "/final"
 	// RouteHeader names the route.
 	RouteHeader = Prefix + "Route"
 	// SizeHeader is the expected size of the response in bytes, set if that is large.
@@ -106,7 +106,7 @@
 	SentHeader = Prefix + "Sent"
 	// CrashesHeader is how many backend servers crashed while they ran the request: on a request
 	// as known to its outlet, on a refusal as known to the inlet. It is omitted if none is known.
-	EndsHeader = Prefix + "Ends"
+	CrashesHeader = Prefix + "Ends"
 	// RepeatHeader is the probability, from 0 to 1, that the request has been sent to a backend
 	// server before. It is omitted if it certainly has not.
 	RepeatHeader = Prefix + "Repeat"
@@ -120,18 +120,18 @@
 	LoadHeader = Prefix + "Load"
 	// SlotTimesHeader on an inlet's response has the milliseconds for which the request waited
 	// for a slot and held it, separated by a slash.
-	SpentHeader = Prefix + "Spent"
+	SlotTimesHeader = Prefix + "Spent"
 )
 
 // HeaderNames are the names of the headers that callers and backend servers exchange with this
 // system. An empty name means this system's own header, if there is one, or that the header is
 // not used.
-type Names struct {
+type HeaderNames struct {
 	// Timeout is how many milliseconds the sender of a request waits.
 	Timeout string
 	// RequestID is the id that a caller gives each request and that a backend server repeats on
 	// its response, so that a response to another request is recognized.
-	Request string
+	RequestID string
 	// Caller is set to the service of the VM on which the request originated.
 	Caller string
 	// Instance is set to the lifetime of the intended backend server. Any other one answers 421
@@ -146,19 +146,19 @@
 	// Load the one in which it returns its running and waiting requests and its slots.
 	Lifetime, Load string
 	// FractionalRetryAfter allows fractions of a second in Retry-After.
-	Fractions bool
+	FractionalRetryAfter bool
 }
 
 // WithDefaults returns the names, with this system's own for Timeout and NotRun if they are
 // empty.
-func (nm Names) Or() Names {
-	if nm.Timeout == "" {
-		nm.Timeout = TimeoutMs
+func (hn HeaderNames) WithDefaults() HeaderNames {
+	if hn.Timeout == "" {
+		hn.Timeout = TimeoutHeader
 	}
-	if nm.NotRun == "" {
-		nm.NotRun = NotRunHeader
+	if hn.NotRun == "" {
+		hn.NotRun = NotRunHeader
 	}
-	return nm
+	return hn
 }
 
 // IsControl reports whether a canonical header name belongs to this system.
@@ -176,7 +176,7 @@
 	Cause error
 	// Crashes is how many backend servers crashed while they ran the request, if one did in this
 	// attempt.
-	Ends int
+	Crashes int
 }
 
 // CauseAttr returns the cause for a log line, or an empty attribute without one.
@@ -189,16 +189,16 @@
 
 // Overloaded reports whether the request was refused for lack of capacity, or its deadline passed
 // before it ran.
-func (rf *Refusal) Crowded() bool {
+func (rf *Refusal) Overloaded() bool {
 	if rf.Outcome != NotRun {
 		return false
 	}
-	return rf.Reason.NoRoom() || rf.Reason == ReasonDeadline
+	return rf.Reason.NoCapacity() || rf.Reason == ReasonDeadlinePassed
 }
 
 // NoCapacity reports whether the reason is that a VM had no capacity for a request.
-func (re Reason) NoRoom() bool {
-	return re == ReasonFull || re == ReasonTooLate || re == ReasonLink || re == ReasonApart
+func (re Reason) NoCapacity() bool {
+	return re == ReasonSlotsFull || re == ReasonDeadlineTooNear || re == ReasonLinkFull || re == ReasonSuspectRunning
 }
 
 // StatusFor returns the HTTP status for an outcome and reason.
@@ -216,11 +216,11 @@
 		return http.StatusNotImplemented
 	case ReasonWrongTarget:
 		return http.StatusMisdirectedRequest
-	case ReasonToken:
+	case ReasonBadToken:
 		return http.StatusForbidden
 	}
 	switch {
-	case re == ReasonDeadline && oc != NotRun:
+	case re == ReasonDeadlinePassed && oc != NotRun:
 		return http.StatusGatewayTimeout
 	case oc == MayHaveRun:
 		return http.StatusBadGateway
@@ -239,10 +239,10 @@
 	hdr.Set("Content-Type", "application/json")
 	hdr.Set("Cache-Control", "no-store")
 	if rf.RetryAfter > 0 {
-		hdr.Set("Retry-After", Seconds(rf.RetryAfter, fractions))
+		hdr.Set("Retry-After", FormatRetryAfter(rf.RetryAfter, fractions))
 	}
-	if rf.Ends > 0 {
-		hdr.Set(EndsHeader, strconv.Itoa(rf.Ends))
+	if rf.Crashes > 0 {
+		hdr.Set(CrashesHeader, strconv.Itoa(rf.Crashes))
 	}
 	status := rf.Status
 	if status == 0 {
@@ -261,7 +261,7 @@
 
 // FormatRetryAfter formats a duration for Retry-After: in whole seconds, rounded up and at least
 // 1, or, with fractions, in seconds with three decimals.
-func Seconds(d time.Duration, fractions bool) string {
+func FormatRetryAfter(d time.Duration, fractions bool) string {
 	if fractions {
 		return strconv.FormatFloat(max(0.001, d.Seconds()), 'f', 3, 64)
 	}
@@ -270,7 +270,7 @@
 
 // FromResponse reads the refusal of an inlet from its response. It returns nil for a response of
 // a backend server.
-func FromAnswer(res *http.Response) *Refusal {
+func FromResponse(res *http.Response) *Refusal {
 	oc := res.Header.Get(OutcomeHeader)
 	if oc == "" {
 		return nil
@@ -279,16 +279,16 @@
 	if oc == NotRun.String() {
 		rf.Outcome = NotRun
 	}
-	rf.RetryAfter = ParseSeconds(res.Header.Get("Retry-After"))
-	if n, err := strconv.ParseUint(res.Header.Get(EndsHeader), 10, 16); err == nil {
-		rf.Ends = int(n)
+	rf.RetryAfter = ParseRetryAfter(res.Header.Get("Retry-After"))
+	if n, err := strconv.ParseUint(res.Header.Get(CrashesHeader), 10, 16); err == nil {
+		rf.Crashes = int(n)
 	}
 	return rf
 }
 
 // ParseRetryAfter parses a Retry-After in seconds, with or without fractions. It returns 0 if
 // that is missing, invalid or longer than maxRetryAfter.
-func ParseSeconds(s string) time.Duration {
+func ParseRetryAfter(s string) time.Duration {
 	sec, err := strconv.ParseFloat(s, 64)
 	if err != nil || !(sec > 0) || sec > maxRetryAfter.Seconds() {
 		return 0
@@ -300,10 +300,12 @@
 const maxRetryAfter = time.Hour
 
 // FormatProbability formats a probability from 0 to 1 for ParseProbability.
-func Share(probability float64) string { return strconv.FormatFloat(probability, 'f', 2, 64) }
+func FormatProbability(probability float64) string {
+	return strconv.FormatFloat(probability, 'f', 2, 64)
+}
 
 // ParseProbability parses what FormatProbability returns. It returns 0 for invalid text.
-func ParseShare(s string) float64 {
+func ParseProbability(s string) float64 {
 	probability, err := strconv.ParseFloat(s, 64)
 	if err != nil || !(probability >= 0 && probability <= 1) {
 		return 0
@@ -312,34 +314,34 @@
 }
 
 // SlotTimes are the times of a request at an inlet.
-type Spent struct {
+type SlotTimes struct {
 	// Wait is the time until the request got a slot, ServiceTime the time for which it held the
 	// slot until the response was read.
-	Wait, Held time.Duration
+	Wait, ServiceTime time.Duration
 }
 
 // String formats the times for ParseSlotTimes.
-func (sp Spent) String() string {
-	return strconv.FormatInt(sp.Wait.Milliseconds(), 10) + "/" + strconv.FormatInt(sp.Held.Milliseconds(), 10)
+func (st SlotTimes) String() string {
+	return strconv.FormatInt(st.Wait.Milliseconds(), 10) + "/" + strconv.FormatInt(st.ServiceTime.Milliseconds(), 10)
 }
 
 // ParseSlotTimes parses what String returns. It returns the zero value for invalid text.
-func ParseSpent(s string) Spent {
+func ParseSlotTimes(s string) SlotTimes {
 	wait, held, _ := strings.Cut(s, "/")
 	w, werr := strconv.ParseUint(wait, 10, 31)
 	h, herr := strconv.ParseUint(held, 10, 31)
 	if werr != nil || herr != nil {
 		// An older release does not send the header.
-		return Spent{}
+		return SlotTimes{}
 	}
-	return Spent{Wait: time.Duration(w) * time.Millisecond, Held: time.Duration(h) * time.Millisecond}
+	return SlotTimes{Wait: time.Duration(w) * time.Millisecond, ServiceTime: time.Duration(h) * time.Millisecond}
 }
 
 // Load is what an inlet reports about its backend server.
 type Load struct {
 	Running, Waiting, Slots int
 	// ServiceTime is the mean time for which a slot is held, in whole milliseconds; 0 if unknown.
-	Service time.Duration
+	ServiceTime time.Duration
 	// Backlog is how long the VM's link needs to send the data that waits for it, in whole
 	// milliseconds.
 	Backlog time.Duration
@@ -362,7 +364,7 @@
 // String formats the load for ParseLoad. Trailing times that are zero are omitted.
 func (ld Load) String() string {
 	fields := [5 + Ranks]int64{
-		int64(ld.Running), int64(ld.Waiting), int64(ld.Slots), ld.Service.Milliseconds(), ld.Backlog.Milliseconds(),
+		int64(ld.Running), int64(ld.Waiting), int64(ld.Slots), ld.ServiceTime.Milliseconds(), ld.Backlog.Milliseconds(),
 	}
 	for i, wait := range ld.Waits {
 		fields[5+i] = wait.Milliseconds()
@@ -398,7 +400,7 @@
 		return Load{}, false
 	}
 	ms := func(i int) time.Duration { return time.Duration(fields[i]) * time.Millisecond }
-	ld = Load{Running: fields[0], Waiting: fields[1], Slots: fields[2], Service: ms(3), Backlog: ms(4)}
+	ld = Load{Running: fields[0], Waiting: fields[1], Slots: fields[2], ServiceTime: ms(3), Backlog: ms(4)}
 	for i := range ld.Waits {
 		ld.Waits[i] = ms(5 + i)
 	}
