--- a/internal/plat/steady/steady_test.go
+++ b/internal/plat/steady/steady_test.go
@@ -39,7 +39,7 @@
 	"internal/mesh/ctrl/node.go":     "the incarnation of a process, raised above what peers know of the VM",
 	"internal/mesh/ctrl/holds.go":    "a stamp that orders the reports of one relay, for status alone",
 	"internal/mesh/ctrl/rollout.go":  "when a rollout began, for daemons that start after all were killed: it ends sooner or later by as much, or is rolled back",
-	"internal/mesh/poison/keep.go":   "when a server ended, for later processes: a request is tried again sooner or later by as much",
+	"internal/mesh/poison/encode.go": "when a server ended, for later processes: a request is tried again sooner or later by as much",
 }
 
 // TestNoTimeOfDay: the time of day of a VM jumped back by seconds. Servers that were
