--- a/internal/roll/canary/admit.go
+++ b/internal/roll/canary/admit.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// unorderedHold is how long servers of a version that nobody ordered are kept from requests:
+// unorderedHoldDown is how long servers of a version that nobody ordered are kept from requests:
 // the order may be on its way. Later they are taken for a release without a rollout.
-const unorderedHold = 5 * time.Second
+const unorderedHoldDown = 5 * time.Second
 
 // Admission decides which versions of a service's software may take requests, by the
 // rollouts known and by when a version was first seen. The zero value is ready for use; it
@@ -19,7 +19,7 @@
 
 // versions has when each version of one service was first seen.
 type versions struct {
-	seen map[string]time.Time
+	firstSeen map[string]time.Time
 	// admitted are those that take requests without an order.
 	admitted map[string]bool
 }
@@ -32,29 +32,29 @@
 	}
 	vs := ad.services[service]
 	if vs == nil {
-		vs = &versions{seen: map[string]time.Time{}, admitted: map[string]bool{}}
+		vs = &versions{firstSeen: map[string]time.Time{}, admitted: map[string]bool{}}
 		ad.services[service] = vs
 	}
-	maps.DeleteFunc(vs.seen, func(software string, _ time.Time) bool { return servers[software] == 0 })
+	maps.DeleteFunc(vs.firstSeen, func(software string, _ time.Time) bool { return servers[software] == 0 })
 	maps.DeleteFunc(vs.admitted, func(software string, _ bool) bool { return servers[software] == 0 })
 	for software := range servers {
-		if vs.seen[software].IsZero() {
-			vs.seen[software] = now
+		if vs.firstSeen[software].IsZero() {
+			vs.firstSeen[software] = now
 		}
 	}
 	cohorts = map[string]Cohort{}
 	if ro == nil {
-		return vs.admit(servers, now)
+		return vs.cohortsWithoutRollout(servers, now)
 	}
 	for software := range servers {
 		cohort := ro.CohortOf(software)
-		if ro.State.Final() && !ro.names(software) && software != "" {
+		if ro.State.Final() && !ro.includes(software) && software != "" {
 			// A release without a rollout, after one.
-			until := vs.seen[software].Add(unorderedHold)
+			until := vs.firstSeen[software].Add(unorderedHoldDown)
 			cohort = Baseline
 			if now.Before(until) && !vs.admitted[software] {
 				cohort = Idle
-				next = sooner(next, until)
+				next = earlier(next, until)
 			}
 		}
 		cohorts[software] = cohort
@@ -65,22 +65,22 @@
 	return cohorts, next
 }
 
-// sooner returns the sooner one of two times, of which the zero time is never.
-func sooner(a, b time.Time) time.Time {
+// earlier returns the sooner one of two times, of which the zero time is never.
+func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
 	}
 	return a
 }
 
-// admit returns the cohorts of a service without a rollout.
-func (vs *versions) admit(servers map[string]int, now time.Time) (cohorts map[string]Cohort, next time.Time) {
+// cohortsWithoutRollout returns the cohorts of a service without a rollout.
+func (vs *versions) cohortsWithoutRollout(servers map[string]int, now time.Time) (cohorts map[string]Cohort, next time.Time) {
 	cohorts = map[string]Cohort{}
 	if len(vs.admitted) == 0 && len(servers) > 0 {
-		vs.admitted[mostUsed(servers)] = true
+		vs.admitted[mostDeployed(servers)] = true
 	}
 	for software := range servers {
-		until := vs.seen[software].Add(unorderedHold)
+		until := vs.firstSeen[software].Add(unorderedHoldDown)
 		if software == "" || !now.Before(until) {
 			vs.admitted[software] = true
 		}
@@ -88,14 +88,14 @@
 			continue
 		}
 		cohorts[software] = Idle
-		next = sooner(next, until)
+		next = earlier(next, until)
 	}
 	return cohorts, next
 }
 
-// mostUsed returns the version with the most servers, the first by name of those with as
+// mostDeployed returns the version with the most servers, the first by name of those with as
 // many.
-func mostUsed(servers map[string]int) (best string) {
+func mostDeployed(servers map[string]int) (best string) {
 	for i, software := range slices.Sorted(maps.Keys(servers)) {
 		if i == 0 || servers[software] > servers[best] {
 			best = software
--- a/internal/roll/canary/canary.go
+++ b/internal/roll/canary/canary.go
@@ -135,7 +135,7 @@
 const maxServices = 1024
 
 // Merge returns the view with a statement in it, and whether that was news.
-func (vw *View) Merge(ro *Rollout) (next *View, news bool) {
+func (vw *View) Merge(ro *Rollout) (next *View, changed bool) {
 	cur := vw.Of(ro.Order.Service)
 	if cur != nil && compare(ro, cur) <= 0 || vw != nil && cur == nil && len(vw.rollouts) >= maxServices {
 		return vw, false
@@ -161,8 +161,8 @@
 	Idle
 )
 
-// names reports whether a version has a part in the rollout.
-func (ro *Rollout) names(software string) bool {
+// includes reports whether a version has a part in the rollout.
+func (ro *Rollout) includes(software string) bool {
 	return software == ro.Order.Target || slices.Contains(ro.Baseline, software)
 }
 
--- a/internal/roll/canary/canary_test.go
+++ b/internal/roll/canary/canary_test.go
@@ -11,7 +11,7 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-func at(epoch store.Epoch, number int64) store.Revision {
+func revision(epoch store.Epoch, number int64) store.Revision {
 	return store.Revision{Epoch: epoch, Number: number}
 }
 
@@ -19,29 +19,29 @@
 // another daemon that decides, or from before the store lost its order.
 func TestMerge(t *testing.T) {
 	base := func(fn func(*Rollout)) *Rollout {
-		ro := &Rollout{Order: Order{Service: "s", Target: "v2", Revision: at(1, 7)}, State: InProgress, Seq: 100}
+		ro := &Rollout{Order: Order{Service: "s", Target: "v2", Revision: revision(1, 7)}, State: InProgress, Seq: 100}
 		fn(ro)
 		return ro
 	}
 	for _, tc := range []struct {
-		name       string
-		older, now func(*Rollout)
+		name         string
+		older, newer func(*Rollout)
 	}{
 		{"a later decision", func(*Rollout) {}, func(ro *Rollout) { ro.Seq = 101 }},
 		{"the end", func(ro *Rollout) { ro.Seq = 900 }, func(ro *Rollout) { ro.State = RolledBack }},
 		{"the end that the store has", func(ro *Rollout) { ro.State, ro.Seq = RolledBack, 900 }, func(ro *Rollout) { ro.State, ro.Stored = Complete, true }},
-		{"another order", func(ro *Rollout) { ro.State, ro.Stored = Complete, true }, func(ro *Rollout) { ro.Order.Revision = at(1, 8) }},
-		{"another epoch", func(ro *Rollout) { ro.State, ro.Stored = Complete, true }, func(ro *Rollout) { ro.Order.Revision = at(2, 3) }},
+		{"another order", func(ro *Rollout) { ro.State, ro.Stored = Complete, true }, func(ro *Rollout) { ro.Order.Revision = revision(1, 8) }},
+		{"another epoch", func(ro *Rollout) { ro.State, ro.Stored = Complete, true }, func(ro *Rollout) { ro.Order.Revision = revision(2, 3) }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			older, now := base(tc.older), base(tc.now)
-			for _, order := range [][]*Rollout{{older, now}, {now, older}, {now, now, older}} {
+			older, newer := base(tc.older), base(tc.newer)
+			for _, order := range [][]*Rollout{{older, newer}, {newer, older}, {newer, newer, older}} {
 				var vw *View
 				for _, ro := range order {
 					vw, _ = vw.Merge(ro)
 				}
-				if vw.Of("s") != now {
-					t.Errorf("kept %+v, want %+v", vw.Of("s"), now)
+				if vw.Of("s") != newer {
+					t.Errorf("kept %+v, want %+v", vw.Of("s"), newer)
 				}
 			}
 		})
@@ -53,7 +53,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		list := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) *Rollout {
 			return &Rollout{
-				Order: Order{Service: "s", Revision: at(store.Epoch(rapid.IntRange(1, 2).Draw(t, "epoch")), rapid.Int64Range(1, 2).Draw(t, "number"))},
+				Order: Order{Service: "s", Revision: revision(store.Epoch(rapid.IntRange(1, 2).Draw(t, "epoch")), rapid.Int64Range(1, 2).Draw(t, "number"))},
 				State: State(rapid.IntRange(1, 3).Draw(t, "state")), Stored: rapid.Bool().Draw(t, "stored"), Seq: rapid.Uint64Range(1, 3).Draw(t, "seq"),
 			}
 		}), 1, 6).Draw(t, "list")
--- a/internal/roll/judge/judge.go
+++ b/internal/roll/judge/judge.go
@@ -13,16 +13,16 @@
 	target   string
 	duration time.Duration
 	servers  map[serverKey]*server
-	// sums are the counts of the last look.
-	sums map[string]tally.Sum
-	// times are the looks whose counts are kept, the starts of the windows.
-	times []time.Duration
-	// requests is how many the target has run, all how many the service has since the
+	// latest are the counts of the last look.
+	latest map[string]tally.Sum
+	// withServiceTimes are the looks whose counts are kept, the starts of the windows.
+	checkpointTimes []time.Duration
+	// targetRequests is how many the target has run, all how many the service has since the
 	// first look.
-	requests, all uint64
-	// first and looked are when the first and the last look were.
-	first, looked time.Duration
-	began         bool
+	targetRequests, totalRequests uint64
+	// firstObserved and looked are when the first and the last look were.
+	firstObserved, lastObserved time.Duration
+	started                     bool
 }
 
 // serverKey identifies a backend server. Servers without a VM go by their place in the sum.
@@ -32,16 +32,16 @@
 
 // server is what is known of a backend server.
 type server struct {
-	target bool
-	seen   map[string]tally.Row
-	routes map[string]*series
+	target     bool
+	lastCounts map[string]tally.Row
+	routes     map[string]*series
 }
 
 // series has the counts of a server on one route: all of them, and those that it had at each
 // of the judge's times.
 type series struct {
-	total tally.Row
-	marks []tally.Row
+	total       tally.Row
+	checkpoints []tally.Row
 }
 
 // New returns a judge of a rollout.
@@ -51,10 +51,10 @@
 
 // Look takes what the servers of the service did by failure domain, some time after the
 // order. Failure domains that are not heard are left out.
-func (ju *Judge) Look(elapsed time.Duration, sums map[string]tally.Sum) {
-	for domain, sum := range sums {
-		for software, list := range sum {
-			for i, ch := range list {
+func (ju *Judge) Look(elapsed time.Duration, byDomain map[string]tally.Sum) {
+	for domain, cohorts := range byDomain {
+		for software, versionCohorts := range cohorts {
+			for i, ch := range versionCohorts {
 				vm := ch.VM
 				if vm == "" {
 					vm = "#" + strconv.Itoa(i)
@@ -63,18 +63,18 @@
 			}
 		}
 	}
-	if !ju.began {
-		ju.first = elapsed
+	if !ju.started {
+		ju.firstObserved = elapsed
 	}
-	ju.sums, ju.looked, ju.began = sums, elapsed, true
-	ju.mark(elapsed)
+	ju.latest, ju.lastObserved, ju.started = byDomain, elapsed, true
+	ju.addCheckpoint(elapsed)
 }
 
 const (
-	// lateLook is from when on a first look is that of a judge that takes over.
-	lateLook = 2 * time.Second
-	// historyWeight is how many requests of a server's history count to such a judge.
-	historyWeight = 20
+	// takeoverAfter is from when on a first look is that of a judge that takes over.
+	takeoverAfter = 2 * time.Second
+	// maxHistoryRequests is how many requests of a server's history count to such a judge.
+	maxHistoryRequests = 20
 )
 
 // update adds what a server counted since it was seen last. What servers of other versions did
@@ -83,57 +83,57 @@
 func (ju *Judge) update(key serverKey, routes map[string]*tally.Row, elapsed time.Duration) {
 	sr := ju.servers[key]
 	if sr == nil {
-		sr = &server{target: key.software == ju.target, seen: map[string]tally.Row{}, routes: map[string]*series{}}
+		sr = &server{target: key.software == ju.target, lastCounts: map[string]tally.Row{}, routes: map[string]*series{}}
 		ju.servers[key] = sr
-		for name, ro := range routes {
+		for name, counts := range routes {
 			if sr.target {
 				break
 			}
-			sr.seen[name] = *ro
-			if !ju.began && elapsed >= lateLook {
-				sr.routes[name] = &series{total: ro.Scaled(historyWeight)}
+			sr.lastCounts[name] = *counts
+			if !ju.started && elapsed >= takeoverAfter {
+				sr.routes[name] = &series{total: counts.ScaledTo(maxHistoryRequests)}
 			}
 		}
 	}
-	for name, ro := range routes {
-		before := sr.seen[name]
-		sr.seen[name] = *ro
-		next, ok := ro.Since(&before)
+	for name, counts := range routes {
+		previous := sr.lastCounts[name]
+		sr.lastCounts[name] = *counts
+		delta, ok := counts.Since(&previous)
 		if !ok {
 			// A process was replaced, and its counts begin anew.
 			continue
 		}
 		if sr.routes[name] == nil {
-			sr.routes[name] = &series{marks: make([]tally.Row, len(ju.times))}
+			sr.routes[name] = &series{checkpoints: make([]tally.Row, len(ju.checkpointTimes))}
 		}
-		sr.routes[name].total.Add(&next)
-		ju.all += next.Requests
+		sr.routes[name].total.Add(&delta)
+		ju.totalRequests += delta.Requests
 		if sr.target {
-			ju.requests += next.Requests
+			ju.targetRequests += delta.Requests
 		}
 	}
 }
 
-// markSpacing is the least ratio of the ages of two kept times that have one between them.
-const markSpacing = 2.0
+// checkpointSpacing is the least ratio of the ages of two kept times that have one between them.
+const checkpointSpacing = 2.0
 
-// mark keeps the counts of this look as the start of a window. Kept times get sparser with
+// addCheckpoint keeps the counts of this look as the start of a window. Kept times get sparser with
 // their age, so that there are a few more each time the elapsed time doubles.
-func (ju *Judge) mark(elapsed time.Duration) {
-	ju.times = append(ju.times, elapsed)
+func (ju *Judge) addCheckpoint(elapsed time.Duration) {
+	ju.checkpointTimes = append(ju.checkpointTimes, elapsed)
 	for _, sr := range ju.servers {
 		for _, se := range sr.routes {
-			se.marks = append(se.marks, se.total)
+			se.checkpoints = append(se.checkpoints, se.total)
 		}
 	}
-	for i := len(ju.times) - 3; i >= 0; i-- {
-		if float64(elapsed-ju.times[i]) > markSpacing*float64(elapsed-ju.times[i+2]) {
+	for i := len(ju.checkpointTimes) - 3; i >= 0; i-- {
+		if float64(elapsed-ju.checkpointTimes[i]) > checkpointSpacing*float64(elapsed-ju.checkpointTimes[i+2]) {
 			continue
 		}
-		ju.times = append(ju.times[:i+1], ju.times[i+2:]...)
+		ju.checkpointTimes = append(ju.checkpointTimes[:i+1], ju.checkpointTimes[i+2:]...)
 		for _, sr := range ju.servers {
 			for _, se := range sr.routes {
-				se.marks = append(se.marks[:i+1], se.marks[i+2:]...)
+				se.checkpoints = append(se.checkpoints[:i+1], se.checkpoints[i+2:]...)
 			}
 		}
 	}
@@ -153,20 +153,20 @@
 	Requests uint64
 }
 
-// count returns how many servers of the target and of others there are, and how many
+// countServers returns how many servers of the target and of others there are, and how many
 // requests the others run.
-func (ju *Judge) count() (targets, others, running int) {
-	for _, sum := range ju.sums {
-		for software, list := range sum {
-			for _, ch := range list {
+func (ju *Judge) countServers() (targets, baseline, running int) {
+	for _, cohorts := range ju.latest {
+		for software, versionCohorts := range cohorts {
+			for _, ch := range versionCohorts {
 				if software == ju.target {
 					targets += ch.Servers
 					continue
 				}
-				others += ch.Servers
+				baseline += ch.Servers
 				running += ch.Running
 			}
 		}
 	}
-	return targets, others, running
+	return targets, baseline, running
 }
--- a/internal/roll/judge/model.go
+++ b/internal/roll/judge/model.go
@@ -17,19 +17,19 @@
 type measure struct {
 	name string
 	// points are all levels at which a server may be, first those with a good version.
-	points []float64
-	good   int
+	points     []float64
+	goodPoints int
 	// healthy and bad are the points of healthy and of bad servers, by way and level of the
 	// service. In way 0 the version is good, in each of the others bad in that way.
 	healthy [][]int
 	bad     [][][]int
-	// logLikes sets the log likelihood of counts at the first points, up to what all share.
-	logLikes func(list []float64, ro *tally.Row)
+	// logLikelihoods sets the log likelihood of counts at the first points, up to what all share.
+	logLikelihoods func(list []float64, ro *tally.Row)
 }
 
-// newMeasure returns a measure without logLikes. Levels are those of healthy servers; bad
+// newMeasure returns a measure without logLikelihoods. Levels are those of healthy servers; bad
 // servers and bad versions are above by one of ofServer and ofVersion.
-func newMeasure(name string, levels, ofServer, ofVersion []float64) *measure {
+func newMeasure(name string, levels, serverOffsets, versionOffsets []float64) *measure {
 	me := &measure{name: name}
 	index := map[float64]int{}
 	point := func(level float64) int {
@@ -41,43 +41,43 @@
 		}
 		return i
 	}
-	for _, version := range append([]float64{0}, ofVersion...) {
+	for _, versionOffset := range append([]float64{0}, versionOffsets...) {
 		var healthy []int
 		var bad [][]int
 		for _, level := range levels {
-			healthy = append(healthy, point(level+version))
-			var list []int
-			for _, more := range ofServer {
-				list = append(list, point(level+version+more))
+			healthy = append(healthy, point(level+versionOffset))
+			var badPoints []int
+			for _, serverOffset := range serverOffsets {
+				badPoints = append(badPoints, point(level+versionOffset+serverOffset))
 			}
-			bad = append(bad, list)
+			bad = append(bad, badPoints)
 		}
 		me.healthy, me.bad = append(me.healthy, healthy), append(me.bad, bad)
-		if version == 0 {
-			me.good = len(me.points)
+		if versionOffset == 0 {
+			me.goodPoints = len(me.points)
 		}
 	}
 	return me
 }
 
 const (
-	// maxWeight is the most requests of a server that count, since no two healthy servers
+	// maxEffectiveRequests is the most requests of a server that count, since no two healthy servers
 	// are quite alike.
-	maxWeight = 60.0
-	// leastLike is the least likelihood of what a server did, beside that of the point that
+	maxEffectiveRequests = 60.0
+	// minLikelihood is the least likelihood of what a server did, beside that of the point that
 	// fits best: any server may do what no model tells.
-	leastLike = 1e-5
-	// becomesBad and recovers are the parts of the servers that change their state within
+	minLikelihood = 1e-5
+	// turnBadProb and recovers are the parts of the servers that change their state within
 	// a window.
-	becomesBad = 0.02
-	recovers   = 0.05
+	turnBadProb = 0.02
+	recoverProb = 0.05
 )
 
-// badServers are the parts of the servers that may be bad by themselves, with how likely
+// badServerFractions are the parts of the servers that may be bad by themselves, with how likely
 // each is.
 var (
-	badServers       = [...]float64{0.03, 0.12, 0.35}
-	badServersWeight = [...]float64{0.4, 0.4, 0.2}
+	badServerFractions       = [...]float64{0.03, 0.12, 0.35}
+	badServerFractionWeights = [...]float64{0.4, 0.4, 0.2}
 )
 
 // failures measures the share of requests that fail, as hazards.
@@ -90,33 +90,33 @@
 	for i, hazard := range me.points {
 		logs[i] = math.Log(-math.Expm1(-hazard))
 	}
-	me.logLikes = func(list []float64, ro *tally.Row) {
-		weight := min(1, maxWeight/float64(ro.Requests))
-		failed, answered := weight*float64(ro.Failures), weight*float64(ro.Requests-ro.Failures)
+	me.logLikelihoods = func(list []float64, counts *tally.Row) {
+		weight := min(1, maxEffectiveRequests/float64(counts.Requests))
+		failed, succeeded := weight*float64(counts.Failures), weight*float64(counts.Requests-counts.Failures)
 		for i := range list {
-			list[i] = failed*logs[i] - answered*me.points[i]
+			list[i] = failed*logs[i] - succeeded*me.points[i]
 		}
 	}
 	return me
 }
 
 // hazards returns the hazards of some probabilities. Those of independent causes add up.
-func hazards(list ...float64) []float64 {
-	for i, p := range list {
-		list[i] = -math.Log1p(-p)
+func hazards(probabilities ...float64) []float64 {
+	for i, p := range probabilities {
+		probabilities[i] = -math.Log1p(-p)
 	}
-	return list
+	return probabilities
 }
 
 // The service times, in doublings.
 const (
-	// speedSpread is the standard deviation of the speeds of healthy servers.
-	speedSpread = 0.6
+	// speedStdDev is the standard deviation of the speeds of healthy servers.
+	speedStdDev = 0.6
 	// The levels of healthy servers lie around the mean of the servers before, which is
 	// above them where many of these are slow.
-	levelStep  = 0.25
-	lowestStep = -10
-	levelSteps = 14
+	levelStep      = 0.25
+	firstLevelStep = -10
+	levelCount     = 14
 )
 
 // slowness measures service times, around the mean of the servers before.
@@ -124,112 +124,112 @@
 
 func newSlowness() *measure {
 	var levels []float64
-	for i := range levelSteps {
-		levels = append(levels, levelStep*float64(lowestStep+i))
+	for i := range levelCount {
+		levels = append(levels, levelStep*float64(firstLevelStep+i))
 	}
 	return newMeasure("slowness", levels, []float64{1.5, 2.25, 3, 4}, []float64{1.5, 2, 2.5, 3})
 }
 
-// around returns the measure of service times around a mean logarithm, with the variance of
+// centeredOn returns the measure of service times around a mean logarithm, with the variance of
 // those of a single server.
-func (me measure) around(mean, variance float64) *measure {
-	me.logLikes = func(list []float64, ro *tally.Row) {
-		if ro.Timed == 0 {
+func (me measure) centeredOn(mean, variance float64) *measure {
+	me.logLikelihoods = func(list []float64, counts *tally.Row) {
+		if counts.Timed == 0 {
 			return
 		}
-		at := meanLog(ro) - mean
-		n := min(maxWeight, float64(ro.Timed))
-		scale := -1 / (2 * (speedSpread*speedSpread + variance/n))
+		deviation := meanLog(counts) - mean
+		n := min(maxEffectiveRequests, float64(counts.Timed))
+		scale := -1 / (2 * (speedStdDev*speedStdDev + variance/n))
 		for i := range list {
-			list[i] = scale * (at - me.points[i]) * (at - me.points[i])
+			list[i] = scale * (deviation - me.points[i]) * (deviation - me.points[i])
 		}
 	}
 	return &me
 }
 
 // meanLog returns the mean logarithm of the service times in doublings.
-func meanLog(ro *tally.Row) float64 {
-	return float64(ro.Logs) / float64(ro.Timed) / tally.PerDoubling
+func meanLog(counts *tally.Row) float64 {
+	return float64(counts.Logs) / float64(counts.Timed) / tally.UnitsPerDoubling
 }
 
 // observation is what a server did before a window and within it.
 type observation struct {
-	before, within tally.Row
+	history, window tally.Row
 }
 
-// fits are the likelihoods of one observation.
-type fits struct {
-	within []float64
-	// part is how likely the server is bad by itself, by level and index of badServers.
-	part [][len(badServers)]float64
+// fit are the likelihoods of one observation.
+type serverFit struct {
+	window []float64
+	// badProb is how likely the server is bad by itself, by level and index of badServerFractions.
+	badProb [][len(badServerFractions)]float64
 }
 
-// likes sets the likelihoods of counts at the first points, beside that of the best one.
-func (me *measure) likes(list []float64, ro *tally.Row) {
+// likelihoods sets the likelihoods of counts at the first points, beside that of the best one.
+func (me *measure) likelihoods(list []float64, counts *tally.Row) {
 	clear(list)
-	me.logLikes(list, ro)
-	top := slices.Max(list)
+	me.logLikelihoods(list, counts)
+	maxLog := slices.Max(list)
 	for i, v := range list {
-		list[i] = max(leastLike, math.Exp(v-top))
+		list[i] = max(minLikelihood, math.Exp(v-maxLog))
 	}
 }
 
-// ofBad returns the likelihood of a bad server.
-func (me *measure) ofBad(likes []float64, way, level int) float64 {
+// badLikelihood returns the likelihood of a bad server.
+func (me *measure) badLikelihood(likelihoods []float64, hypothesis, level int) float64 {
 	sum := 0.0
-	list := me.bad[way][level]
-	for _, point := range list {
-		sum += likes[point]
+	points := me.bad[hypothesis][level]
+	for _, point := range points {
+		sum += likelihoods[point]
 	}
-	return sum / float64(len(list))
+	return sum / float64(len(points))
 }
 
-// fits returns the likelihoods of observations at the first points. What a server did before
+// fit returns the likelihoods of observations at the first points. What a server did before
 // the window, with the version good, says in which state it was.
-func (me *measure) fits(list []observation, points int) []fits {
+func (me *measure) fit(observations []observation, points int) []serverFit {
 	levels := len(me.healthy[0])
-	all := make([]fits, len(list))
-	within := make([]float64, len(list)*points)
-	part := make([][len(badServers)]float64, len(list)*levels)
-	before := make([]float64, me.good)
-	for i := range list {
-		ob, ft := &list[i], &all[i]
-		ft.within, within = within[:points], within[points:]
-		ft.part, part = part[:levels], part[levels:]
-		me.likes(ft.within, &ob.within)
-		if ob.before.Requests == 0 {
-			for level := range ft.part {
-				ft.part[level] = badServers
+	fits := make([]serverFit, len(observations))
+	window := make([]float64, len(observations)*points)
+	badProb := make([][len(badServerFractions)]float64, len(observations)*levels)
+	historyLikelihoods := make([]float64, me.goodPoints)
+	for i := range observations {
+		ob, ft := &observations[i], &fits[i]
+		ft.window, window = window[:points], window[points:]
+		ft.badProb, badProb = badProb[:levels], badProb[levels:]
+		me.likelihoods(ft.window, &ob.window)
+		if ob.history.Requests == 0 {
+			for level := range ft.badProb {
+				ft.badProb[level] = badServerFractions
 			}
 			continue
 		}
-		me.likes(before, &ob.before)
+		me.likelihoods(historyLikelihoods, &ob.history)
 		for level, healthy := range me.healthy[0] {
-			ofBad := me.ofBad(before, 0, level)
-			for j, prior := range badServers {
-				bad := prior * ofBad
-				ft.part[level][j] = becomesBad + (1-becomesBad-recovers)*bad/(bad+(1-prior)*before[healthy])
+			badLikelihood := me.badLikelihood(historyLikelihoods, 0, level)
+			for j, prior := range badServerFractions {
+				bad := prior * badLikelihood
+				ft.badProb[level][j] = turnBadProb + (1-turnBadProb-recoverProb)*bad/(bad+(1-prior)*historyLikelihoods[healthy])
 			}
 		}
 	}
-	return all
+	return fits
 }
 
 // evidence returns the logarithm of how many times as likely the observations are if the
 // version of the targets is bad as if it is good.
-func (me *measure) evidence(others, targets []observation) float64 {
-	ways := len(me.healthy)
+func (me *measure) evidence(baseline, targets []observation) float64 {
+	hypotheses := len(me.healthy)
 	var good, bad float64
-	olds, news := me.fits(others, me.good), me.fits(targets, len(me.points))
+	baselineFits, targetFits := me.fit(baseline, me.goodPoints), me.fit(targets, len(me.points))
 	for level := range me.healthy[0] {
-		before := me.product(olds, 0, level)
-		for way := range ways {
-			for i, p := range me.product(news, way, level) {
-				p *= before[i] * badServersWeight[i]
-				if way == 0 {
+		baselineJoint := me.jointLikelihoods(baselineFits, 0, level)
+		for hypothesis := range hypotheses {
+			for i, p := range me.jointLikelihoods(targetFits, hypothesis, level) {
+				p *= baselineJoint[i] * badServerFractionWeights[i]
+				if hypothesis == 0 {
 					good += p
 				} else {
-					bad += p / float64(ways-1)
+					bad += p / float64(hypotheses-1)
 				}
 			}
 		}
@@ -237,18 +237,18 @@
 	return math.Log(bad) - math.Log(good)
 }
 
-// product returns the likelihood of several servers in a way and at a level, by index of
-// badServers.
-func (me *measure) product(list []fits, way, level int) (products [len(badServers)]float64) {
-	for j := range products {
-		products[j] = 1
+// jointLikelihoods returns the likelihood of several servers in a way and at a level, by index of
+// badServerFractions.
+func (me *measure) jointLikelihoods(fits []serverFit, hypothesis, level int) (joint [len(badServerFractions)]float64) {
+	for j := range joint {
+		joint[j] = 1
 	}
-	for i := range list {
-		ft := &list[i]
-		healthy, bad := ft.within[me.healthy[way][level]], me.ofBad(ft.within, way, level)
-		for j, part := range ft.part[level] {
-			products[j] *= (1-part)*healthy + part*bad
+	for i := range fits {
+		ft := &fits[i]
+		healthy, bad := ft.window[me.healthy[hypothesis][level]], me.badLikelihood(ft.window, hypothesis, level)
+		for j, badProb := range ft.badProb[level] {
+			joint[j] *= (1-badProb)*healthy + badProb*bad
 		}
 	}
-	return products
+	return joint
 }
--- a/internal/roll/judge/model_test.go
+++ b/internal/roll/judge/model_test.go
@@ -12,20 +12,20 @@
 	"github.com/flamingomast/flamingomast/internal/roll/tally"
 )
 
-// failed returns the counts of a server that failed some of its requests.
-func failed(failures, requests uint64) observation {
-	return observation{within: tally.Row{Requests: requests, Failures: failures}}
+// withFailures returns the counts of a server that failed some of its requests.
+func withFailures(failures, requests uint64) observation {
+	return observation{window: tally.Row{Requests: requests, Failures: failures}}
 }
 
-// times returns the counts of a server whose requests all took as long.
-func times(held time.Duration, requests uint64) observation {
-	lg := tally.Log(held)
-	return observation{within: tally.Row{Requests: requests, Timed: requests, Logs: lg * requests, Squares: lg * lg * requests}}
+// withServiceTimes returns the counts of a server whose requests all took as long.
+func withServiceTimes(serviceTime time.Duration, requests uint64) observation {
+	lg := tally.LogUnits(serviceTime)
+	return observation{window: tally.Row{Requests: requests, Timed: requests, Logs: lg * requests, Squares: lg * lg * requests}}
 }
 
-// after returns the counts with what the server did before.
-func (ob observation) after(before observation) observation {
-	ob.before = before.within
+// startsAt returns the counts with what the server did before.
+func (ob observation) withHistory(history observation) observation {
+	ob.history = history.window
 	return ob
 }
 
@@ -39,10 +39,10 @@
 // TestFailureEvidence guards against a version that is taken for bad as some of its servers
 // are, and against a bad version that is taken for good as servers before it are bad as well.
 func TestFailureEvidence(t *testing.T) {
-	good, bad := failed(0, 30), failed(13, 30)
+	good, bad := withFailures(0, 30), withFailures(13, 30)
 	for _, tc := range []struct {
-		name            string
-		others, targets []observation
+		name              string
+		baseline, targets []observation
 		// low and high bound the evidence.
 		low, high float64
 	}{
@@ -56,13 +56,13 @@
 		{"most servers before bad, none of the target", append(repeat(4, bad), good, good), repeat(6, good), -100, -5},
 		{"all servers bad", repeat(6, bad), repeat(6, bad), -100, 0},
 		{"some of both bad", append(repeat(56, good), repeat(9, bad)...), append(repeat(10, good), bad, bad), -100, -5},
-		{"a little worse on all servers", append(repeat(56, good), repeat(9, bad)...), repeat(12, failed(2, 12)), 6, 100},
-		{"healthy servers turn bad together", repeat(3, good.after(good)), repeat(2, failed(4, 8).after(good)), 4, 100},
-		{"a bad server stays bad", repeat(3, good.after(good)), repeat(1, failed(4, 8).after(bad)), -1, 1},
+		{"a little worse on all servers", append(repeat(56, good), repeat(9, bad)...), repeat(12, withFailures(2, 12)), 6, 100},
+		{"healthy servers turn bad together", repeat(3, good.withHistory(good)), repeat(2, withFailures(4, 8).withHistory(good)), 4, 100},
+		{"a bad server stays bad", repeat(3, good.withHistory(good)), repeat(1, withFailures(4, 8).withHistory(bad)), -1, 1},
 		{"no other servers", nil, repeat(3, bad), -1, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if ev := failures.evidence(tc.others, tc.targets); !(ev >= tc.low && ev <= tc.high) {
+			if ev := failures.evidence(tc.baseline, tc.targets); !(ev >= tc.low && ev <= tc.high) {
 				t.Errorf("evidence %.1f, want %.0f to %.0f", ev, tc.low, tc.high)
 			}
 		})
@@ -73,24 +73,24 @@
 // that is taken for slow as its machines are.
 func TestSlownessEvidence(t *testing.T) {
 	const ms = time.Millisecond
-	normal, slow, half := times(200*ms, 30), times(1000*ms, 30), times(400*ms, 30)
+	normal, slow, half := withServiceTimes(200*ms, 30), withServiceTimes(1000*ms, 30), withServiceTimes(400*ms, 30)
 	for _, tc := range []struct {
-		name            string
-		others, targets []observation
-		low, high       float64
+		name              string
+		baseline, targets []observation
+		low, high         float64
 	}{
 		{"as fast", repeat(6, normal), repeat(6, normal), -100, -5},
-		{"faster", repeat(6, normal), repeat(6, times(50*ms, 30)), -100, -5},
+		{"faster", repeat(6, normal), repeat(6, withServiceTimes(50*ms, 30)), -100, -5},
 		{"slower machines", repeat(3, normal), append(repeat(2, half), normal), -100, 0},
 		{"one slow server", repeat(6, normal), append(repeat(5, normal), slow), -100, -4},
-		{"four times slower", repeat(6, normal), repeat(6, times(800*ms, 30)), 6, 100},
-		{"four times slower on three", repeat(3, normal), repeat(3, times(800*ms, 30)), 3, 100},
+		{"four times slower", repeat(6, normal), repeat(6, withServiceTimes(800*ms, 30)), 6, 100},
+		{"four times slower on three", repeat(3, normal), repeat(3, withServiceTimes(800*ms, 30)), 3, 100},
 		{"most servers before slow, all of the target", append(repeat(4, slow), normal, normal), repeat(6, slow), 1, 100},
 		{"most servers before slow, none of the target", append(repeat(4, slow), normal, normal), repeat(6, normal), -100, -3},
-		{"no times", repeat(6, failed(0, 30)), repeat(6, failed(0, 30)), -0.1, 0.1},
+		{"no times", repeat(6, withFailures(0, 30)), repeat(6, withFailures(0, 30)), -0.1, 0.1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if ev := slownessOf(tc.others).evidence(tc.others, tc.targets); !(ev >= tc.low && ev <= tc.high) {
+			if ev := slownessAround(tc.baseline).evidence(tc.baseline, tc.targets); !(ev >= tc.low && ev <= tc.high) {
 				t.Errorf("evidence %.1f, want %.0f to %.0f", ev, tc.low, tc.high)
 			}
 		})
@@ -106,30 +106,30 @@
 		return tally.Row{Requests: n, Failures: rapid.Uint64Range(0, n).Draw(t, "failures"), Timed: timed, Logs: lg * timed, Squares: lg * lg * timed}
 	})
 	list := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) observation {
-		ob := observation{before: row.Draw(t, "before"), within: row.Draw(t, "within")}
-		ob.within.Requests++
+		ob := observation{history: row.Draw(t, "before"), window: row.Draw(t, "within")}
+		ob.window.Requests++
 		return ob
-	}), 0, maxServers)
+	}), 0, maxComparedServers)
 	rapid.Check(t, func(t *rapid.T) {
-		others, targets := list.Draw(t, "others"), list.Draw(t, "targets")
-		for _, me := range []*measure{failures, slownessOf(others)} {
-			if ev := me.evidence(others, targets); math.IsNaN(ev) || math.IsInf(ev, 0) {
+		baseline, targets := list.Draw(t, "others"), list.Draw(t, "targets")
+		for _, me := range []*measure{failures, slownessAround(baseline)} {
+			if ev := me.evidence(baseline, targets); math.IsNaN(ev) || math.IsInf(ev, 0) {
 				t.Errorf("%s: evidence %v", me.name, ev)
 			}
 		}
 	})
 }
 
-// TestNoServersBefore guards against a version that is rolled back when no server of the one
+// TestNoBaselineServers guards against a version that is rolled back when no server of the one
 // before is left, and against a bad one that is completed when those are only not heard.
-func TestNoServersBefore(t *testing.T) {
+func TestNoBaselineServers(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// failing is one in how many requests fails, 0 for none.
-		failing int
+		// failureRate is one in how many requests fails, 0 for none.
+		failEvery int
 		// heardUntil is until when a server of the version before is heard.
-		heardUntil time.Duration
-		want       canary.State
+		baselineUntil time.Duration
+		want          canary.State
 	}{
 		{"good, none before", 0, 0, canary.Complete},
 		{"bad, none before", 3, 0, canary.RolledBack},
@@ -139,23 +139,23 @@
 		t.Run(tc.name, func(t *testing.T) {
 			ju, ramp := New("v2", 10*time.Second), Ramp{}
 			counters := make([]tally.Counter, 6)
-			var old tally.Counter
+			var baselineCounter tally.Counter
 			var de Decision
 			requests := 0
 			for now := time.Duration(0); now < 10*time.Second && !de.State.Final(); now += 250 * time.Millisecond {
-				sum := tally.Sum{}
+				cohorts := tally.Sum{}
 				for i := range counters {
 					requests++
-					counters[i].Add("", tc.failing > 0 && (requests+requests/len(counters))%tc.failing == 0, 100*time.Millisecond)
-					sum.Add("v2", &tally.Cohort{VM: fmt.Sprint("a-", i), Servers: 1, Routes: counters[i].Rows()})
+					counters[i].Add("", tc.failEvery > 0 && (requests+requests/len(counters))%tc.failEvery == 0, 100*time.Millisecond)
+					cohorts.Add("v2", &tally.Cohort{VM: fmt.Sprint("a-", i), Servers: 1, Routes: counters[i].Rows()})
 				}
-				if now < tc.heardUntil {
+				if now < tc.baselineUntil {
 					for range 10 {
-						old.Add("", false, 100*time.Millisecond)
+						baselineCounter.Add("", false, 100*time.Millisecond)
 					}
-					sum.Add("v1", &tally.Cohort{VM: "b-1", Servers: 1, Running: 1, Routes: old.Rows()})
+					cohorts.Add("v1", &tally.Cohort{VM: "b-1", Servers: 1, Running: 1, Routes: baselineCounter.Rows()})
 				}
-				ju.Look(now, map[string]tally.Sum{"a": sum})
+				ju.Look(now, map[string]tally.Sum{"a": cohorts})
 				de = ramp.Step(now, ju)
 			}
 			if de.State != tc.want {
@@ -165,20 +165,20 @@
 	}
 }
 
-// TestMarks guards against a judge that grows without bound with the time of a rollout.
-func TestMarks(t *testing.T) {
+// TestCheckpoints guards against a judge that grows without bound with the time of a rollout.
+func TestCheckpoints(t *testing.T) {
 	ju := New("v2", time.Hour)
 	co := &tally.Counter{}
 	for now := time.Duration(0); now < time.Hour; now += 250 * time.Millisecond {
 		co.Add("", false, 100*time.Millisecond)
 		ju.Look(now, map[string]tally.Sum{"a": {"v1": {{Servers: 1, Routes: co.Rows()}}}})
 	}
-	if n := len(ju.times); n > 40 {
+	if n := len(ju.checkpointTimes); n > 40 {
 		t.Errorf("%d times are kept", n)
 	}
 	for _, sr := range ju.servers {
-		if se := sr.routes[""]; len(se.marks) != len(ju.times) {
-			t.Errorf("%d marks at %d times", len(se.marks), len(ju.times))
+		if se := sr.routes[""]; len(se.checkpoints) != len(ju.checkpointTimes) {
+			t.Errorf("%d marks at %d times", len(se.checkpoints), len(ju.checkpointTimes))
 		}
 	}
 }
@@ -187,22 +187,22 @@
 // against a share that goes by it.
 func TestHistory(t *testing.T) {
 	ju := New("v2", 10*time.Second)
-	var old, now tally.Counter
+	var baseline, target tally.Counter
 	for range 100_000 {
-		old.Add("", false, 20*time.Millisecond)
+		baseline.Add("", false, 20*time.Millisecond)
 	}
-	for at := time.Duration(0); at < 6*time.Second; at += 250 * time.Millisecond {
-		ju.Look(at, map[string]tally.Sum{"a": {"v1": {{VM: "a-1", Servers: 1, Routes: old.Rows()}}, "v2": {{VM: "a-2", Servers: 1, Routes: now.Rows()}}}})
+	for elapsed := time.Duration(0); elapsed < 6*time.Second; elapsed += 250 * time.Millisecond {
+		ju.Look(elapsed, map[string]tally.Sum{"a": {"v1": {{VM: "a-1", Servers: 1, Routes: baseline.Rows()}}, "v2": {{VM: "a-2", Servers: 1, Routes: target.Rows()}}}})
 		for range 10 {
-			old.Add("", false, 200*time.Millisecond)
-			now.Add("", false, 200*time.Millisecond)
+			baseline.Add("", false, 200*time.Millisecond)
+			target.Add("", false, 200*time.Millisecond)
 		}
 	}
-	if ev, cause, compared := ju.against(); ev >= acceptBelow || !compared {
+	if ev, cause, compared := ju.strongestEvidence(); ev >= acceptBelow || !compared {
 		t.Errorf("evidence %.1f, %+v, compared %t", ev, cause, compared)
 	}
-	if ju.all != 2*230 {
-		t.Errorf("%d requests since the first look, want 460", ju.all)
+	if ju.totalRequests != 2*230 {
+		t.Errorf("%d requests since the first look, want 460", ju.totalRequests)
 	}
 }
 
@@ -210,33 +210,33 @@
 // since the first look: they count as slow beside those of other routes.
 func TestRouteWithoutReference(t *testing.T) {
 	ju := New("v2", 10*time.Second)
-	var old, now tally.Counter
-	for at := time.Duration(0); at < 4*time.Second; at += 250 * time.Millisecond {
-		ju.Look(at, map[string]tally.Sum{"a": {"v1": {{VM: "a-1", Servers: 1, Routes: old.Rows()}}, "v2": {{VM: "a-2", Servers: 1, Routes: now.Rows()}}}})
+	var baseline, target tally.Counter
+	for elapsed := time.Duration(0); elapsed < 4*time.Second; elapsed += 250 * time.Millisecond {
+		ju.Look(elapsed, map[string]tally.Sum{"a": {"v1": {{VM: "a-1", Servers: 1, Routes: baseline.Rows()}}, "v2": {{VM: "a-2", Servers: 1, Routes: target.Rows()}}}})
 		for range 5 {
-			old.Add("often", false, 200*time.Millisecond)
-			now.Add("often", false, 200*time.Millisecond)
+			baseline.Add("often", false, 200*time.Millisecond)
+			target.Add("often", false, 200*time.Millisecond)
 		}
-		now.Add("rare", false, 50*time.Millisecond)
+		target.Add("rare", false, 50*time.Millisecond)
 	}
-	if ev, cause, compared := ju.against(); ev >= acceptBelow || !compared {
+	if ev, cause, compared := ju.strongestEvidence(); ev >= acceptBelow || !compared {
 		t.Errorf("evidence %.1f, %+v, compared %t", ev, cause, compared)
 	}
 }
 
-// BenchmarkAgainst has 65 servers of each version and three routes.
-func BenchmarkAgainst(b *testing.B) {
-	wo := newSimWorld(1, 65)
-	ju := New("v2", wo.duration)
+// BenchmarkStrongestEvidence has 65 servers of each version and three routes.
+func BenchmarkStrongestEvidence(b *testing.B) {
+	si := newSimulation(1, 65)
+	ju := New("v2", si.duration)
 	var rs simResult
 	for now := time.Duration(0); now < 8*time.Second; now += simStep {
-		wo.serve(&rs, now, wo.rate, 0.04, firstServers, 0)
-		if now%tallyEvery == 0 {
-			ju.Look(now, wo.sums())
+		si.serve(&rs, now, si.rate, 0.04, initialServers, 0)
+		if now%tallyInterval == 0 {
+			ju.Look(now, si.sums())
 		}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		ju.against()
+		ju.strongestEvidence()
 	}
 }
--- a/internal/roll/judge/windows.go
+++ b/internal/roll/judge/windows.go
@@ -19,67 +19,67 @@
 }
 
 const (
-	// maxServers is how many servers of either cohort are compared, and maxRoutes how many
+	// maxComparedServers is how many servers of either cohort are compared, and maxComparedRoutes how many
 	// routes, those with the most requests.
-	maxServers = 16
-	maxRoutes  = 8
-	// leastWindow is the shortest time over which versions are compared.
-	leastWindow = 500 * time.Millisecond
-	// leastBaseline is how many requests of the others a comparison needs.
-	leastBaseline = 20
+	maxComparedServers = 16
+	maxComparedRoutes  = 8
+	// minWindow is the shortest time over which versions are compared.
+	minWindow = 500 * time.Millisecond
+	// minBaselineRequests is how many requests of the others a comparison needs.
+	minBaselineRequests = 20
 )
 
-// against returns the strongest evidence against the target, by route and measure, over the
+// evidence returns the strongest evidence against the target, by route and measure, over the
 // time since the first look and over shorter ones, in which the version may have turned bad.
 // It reports whether there was anything to compare.
-func (ju *Judge) against() (worst float64, cause Cause, compared bool) {
-	if !ju.sawOthers() {
-		return nothing, cause, ju.answersAlone()
+func (ju *Judge) strongestEvidence() (strongest float64, cause Cause, compared bool) {
+	if !ju.sawBaseline() {
+		return noEvidence, cause, ju.healthyAlone()
 	}
-	routes := ju.routes()
-	means := ju.means()
-	names := []string{""}
+	routes := ju.busiestRoutes()
+	means := ju.routeMeans()
+	candidates := []string{""}
 	if len(routes) > 1 {
-		names = append(names, routes...)
+		candidates = append(candidates, routes...)
 	}
-	for start := -1; start < len(ju.times); start++ {
-		window := ju.looked
+	for start := -1; start < len(ju.checkpointTimes); start++ {
+		window := ju.lastObserved
 		if start >= 0 {
-			window -= ju.times[start]
+			window -= ju.checkpointTimes[start]
 		}
-		if window < leastWindow {
+		if window < minWindow {
 			break
 		}
 		// A version turns bad at any time as likely as at another.
-		rare := math.Log(float64(ju.looked) / float64(window))
-		if start == 0 && ju.first >= lateLook {
+		windowPenalty := math.Log(float64(ju.lastObserved) / float64(window))
+		if start == 0 && ju.firstObserved >= takeoverAfter {
 			// All that a judge which took over has seen of others at the same moment.
-			rare = 0
+			windowPenalty = 0
 		}
-		for _, route := range names {
-			others, targets := ju.observe(start, route, means)
-			if len(targets) == 0 || len(others) == 0 {
+		for _, route := range candidates {
+			baseline, targets := ju.observations(start, route, means)
+			if len(targets) == 0 || len(baseline) == 0 {
 				continue
 			}
 			if !compared {
-				worst, compared = nothing, true
+				strongest, compared = noEvidence, true
 			}
-			unlikely := rare
+			penalty := windowPenalty
 			if route != "" {
-				unlikely += math.Log(float64(len(routes)))
+				penalty += math.Log(float64(len(routes)))
 			}
-			for _, me := range suspected(others, targets) {
-				if ev := me.evidence(others, targets) - unlikely; ev > worst {
-					worst, cause = ev, Cause{me.name, route, window}
+			for _, me := range suspectMeasures(baseline, targets) {
+				if ev := me.evidence(baseline, targets) - penalty; ev > strongest {
+					strongest, cause = ev, Cause{me.name, route, window}
 				}
 			}
 		}
 	}
-	return worst, cause, compared
+	return strongest, cause, compared
 }
 
-// sawOthers reports whether any server of another version was ever heard.
-func (ju *Judge) sawOthers() bool {
+// sawBaseline reports whether any server of another version was ever heard.
+func (ju *Judge) sawBaseline() bool {
 	for _, sr := range ju.servers {
 		if !sr.target {
 			return true
@@ -88,86 +88,86 @@
 	return false
 }
 
-// answersAlone reports whether the target, with no other version to compare it with or to go
+// healthyAlone reports whether the target, with no other version to compare it with or to go
 // back to, answers nearly all requests. Others may serve behind a cut, so it has to.
-func (ju *Judge) answersAlone() bool {
-	var all tally.Row
+func (ju *Judge) healthyAlone() bool {
+	var total tally.Row
 	for _, sr := range ju.servers {
 		for _, se := range sr.routes {
-			all.Add(&se.total)
+			total.Add(&se.total)
 		}
 	}
-	return all.Requests > 0 && float64(all.Failures) < failingAlone*float64(all.Requests)
+	return total.Requests > 0 && float64(total.Failures) < maxFailureRateAlone*float64(total.Requests)
 }
 
 const (
-	// failingAlone is the share of requests that a version without any other may fail.
-	failingAlone = 0.05
-	// nothing is the evidence where the target looks no worse than the others.
-	nothing = -10.0
-	// leastFailures is how many failures are compared, and leastFailing the share of them
+	// maxFailureRateAlone is the share of requests that a version without any other may fail.
+	maxFailureRateAlone = 0.05
+	// noEvidence is the evidence where the target looks no worse than the others.
+	noEvidence = -10.0
+	// minFailures is how many failures are compared, and minExcessFailureRate the share of them
 	// above that of healthy servers.
-	leastFailures = 2
-	leastFailing  = 0.02
-	// leastSlower is by how many doublings the target has to be slower than fast servers.
-	leastSlower = 0.75
+	minFailures          = 2
+	minExcessFailureRate = 0.02
+	// minSlowdown is by how many doublings the target has to be slower than fast servers.
+	minSlowdown = 0.75
 )
 
-// suspected returns the measures by which the target looks worse than the better ones of the
+// suspectMeasures returns the measures by which the target looks worse than the better ones of the
 // others. By the rest it would be taken for good.
-func suspected(others, targets []observation) (list []*measure) {
+func suspectMeasures(baseline, targets []observation) (list []*measure) {
 	var target tally.Row
 	for i := range targets {
-		target.Add(&targets[i].within)
+		target.Add(&targets[i].window)
 	}
-	var failing, times []float64
-	for i := range others {
-		ro := &others[i].within
-		failing = append(failing, float64(ro.Failures)/float64(ro.Requests))
-		if ro.Timed > 0 {
-			times = append(times, meanLog(ro))
+	var failureRates, meanLogs []float64
+	for i := range baseline {
+		counts := &baseline[i].window
+		failureRates = append(failureRates, float64(counts.Failures)/float64(counts.Requests))
+		if counts.Timed > 0 {
+			meanLogs = append(meanLogs, meanLog(counts))
 		}
 	}
-	if target.Failures >= leastFailures && float64(target.Failures)/float64(target.Requests) > better(failing)+leastFailing {
+	if target.Failures >= minFailures && float64(target.Failures)/float64(target.Requests) > lowerQuartile(failureRates)+minExcessFailureRate {
 		list = append(list, failures)
 	}
-	if len(times) > 0 && target.Timed > 0 && meanLog(&target) > better(times)+leastSlower {
-		list = append(list, slownessOf(others))
+	if len(meanLogs) > 0 && target.Timed > 0 && meanLog(&target) > lowerQuartile(meanLogs)+minSlowdown {
+		list = append(list, slownessAround(baseline))
 	}
 	return list
 }
 
-// better returns the lower quartile of a list.
-func better(list []float64) float64 {
+// lowerQuartile returns the lower quartile of a list.
+func lowerQuartile(list []float64) float64 {
 	slices.Sort(list)
 	return list[len(list)/4]
 }
 
-// slownessOf returns the measure of service times beside those of some servers.
-func slownessOf(others []observation) *measure {
-	means, spread, n := 0.0, 0.0, 0.0
-	for i := range others {
-		ro := &others[i].within
-		if ro.Timed == 0 {
+// slownessAround returns the measure of service times beside those of some servers.
+func slownessAround(baseline []observation) *measure {
+	meanSum, squaredDeviations, n := 0.0, 0.0, 0.0
+	for i := range baseline {
+		counts := &baseline[i].window
+		if counts.Timed == 0 {
 			continue
 		}
-		mean := float64(ro.Logs) / float64(ro.Timed)
-		means += mean
-		spread += float64(ro.Squares) - mean*float64(ro.Logs)
+		mean := float64(counts.Logs) / float64(counts.Timed)
+		meanSum += mean
+		squaredDeviations += float64(counts.Squares) - mean*float64(counts.Logs)
 		n++
 	}
 	if n == 0 {
-		return slowness.around(0, 1)
+		return slowness.centeredOn(0, 1)
 	}
 	timed := 0.0
-	for i := range others {
-		timed += float64(others[i].within.Timed)
+	for i := range baseline {
+		timed += float64(baseline[i].window.Timed)
 	}
-	return slowness.around(means/n/tally.PerDoubling, spread/timed/(tally.PerDoubling*tally.PerDoubling))
+	return slowness.centeredOn(meanSum/n/tally.UnitsPerDoubling, squaredDeviations/timed/(tally.UnitsPerDoubling*tally.UnitsPerDoubling))
 }
 
-// routes returns the routes that the target has run most requests of.
-func (ju *Judge) routes() []string {
+// busiestRoutes returns the routes that the target has run most requests of.
+func (ju *Judge) busiestRoutes() []string {
 	requests := map[string]uint64{}
 	for _, sr := range ju.servers {
 		for name, se := range sr.routes {
@@ -179,85 +179,85 @@
 	names := slices.SortedFunc(maps.Keys(requests), func(a, b string) int {
 		return cmp.Or(cmp.Compare(requests[b], requests[a]), cmp.Compare(a, b))
 	})
-	return names[:min(len(names), maxRoutes)]
+	return names[:min(len(names), maxComparedRoutes)]
 }
 
-// means returns the mean logarithm of the service times of the others by route, in units of
+// routeMeans returns the mean logarithm of the service times of the others by route, in units of
 // the counts, so that the routes of a server can be added up.
-func (ju *Judge) means() map[string]uint64 {
-	sums := map[string]tally.Row{}
+func (ju *Judge) routeMeans() map[string]uint64 {
+	totals := map[string]tally.Row{}
 	for _, sr := range ju.servers {
 		for name, se := range sr.routes {
 			if !sr.target {
-				all := sums[name]
-				all.Add(&se.total)
-				sums[name] = all
+				total := totals[name]
+				total.Add(&se.total)
+				totals[name] = total
 			}
 		}
 	}
 	means := map[string]uint64{}
-	for name, all := range sums {
-		if all.Timed > 0 {
-			means[name] = all.Logs / all.Timed
+	for name, total := range totals {
+		if total.Timed > 0 {
+			means[name] = total.Logs / total.Timed
 		}
 	}
 	return means
 }
 
-// observe returns what the servers of both cohorts did on a route, or on all together, since
+// observations returns what the servers of both cohorts did on a route, or on all together, since
 // one of the judge's times and before it. A start of -1 is that of the rollout. What a server
 // did on other routes counts as before: a server that is bad by itself is so on all routes.
-func (ju *Judge) observe(start int, route string, means map[string]uint64) (others, targets []observation) {
+func (ju *Judge) observations(start int, route string, means map[string]uint64) (baseline, targets []observation) {
 	requests := uint64(0)
 	for _, sr := range ju.servers {
 		var ob observation
 		for name, se := range sr.routes {
-			within, before := se.total, tally.Row{}
+			window, history := se.total, tally.Row{}
 			if start >= 0 {
-				before = se.marks[start]
-				within, _ = se.total.Since(&before)
+				history = se.checkpoints[start]
+				window, _ = se.total.Since(&history)
 			}
 			mean, known := means[name]
-			within, before = shift(within, mean, known), shift(before, mean, known)
-			ob.before.Add(&before)
+			window, history = recenter(window, mean, known), recenter(history, mean, known)
+			ob.history.Add(&history)
 			if route == "" || name == route {
-				ob.within.Add(&within)
+				ob.window.Add(&window)
 			} else {
-				ob.before.Add(&within)
+				ob.history.Add(&window)
 			}
 		}
 		switch {
-		case ob.within.Requests == 0:
+		case ob.window.Requests == 0:
 		case sr.target:
 			targets = append(targets, ob)
 		default:
-			others = append(others, ob)
-			requests += ob.within.Requests
+			baseline = append(baseline, ob)
+			requests += ob.window.Requests
 		}
 	}
-	if requests < leastBaseline {
+	if requests < minBaselineRequests {
 		return nil, nil
 	}
-	return busiest(others), busiest(targets)
+	return busiestServers(baseline), busiestServers(targets)
 }
 
-// origin is where shifted logarithms are centered, so that none is negative.
-const origin = 64 * tally.PerDoubling
+// logOrigin is where shifted logarithms are centered, so that none is negative.
+const logOrigin = 64 * tally.UnitsPerDoubling
 
-// shift returns a row with its logarithms moved so that a mean lies at the origin. Without a
+// recenter returns a row with its logarithms moved so that a mean lies at the origin. Without a
 // mean that is known the times cannot be compared, and are left out.
-func shift(ro tally.Row, mean uint64, known bool) tally.Row {
+func recenter(counts tally.Row, mean uint64, known bool) tally.Row {
 	if !known {
-		return tally.Row{Requests: ro.Requests, Failures: ro.Failures}
+		return tally.Row{Requests: counts.Requests, Failures: counts.Failures}
 	}
-	by := origin - mean
-	ro.Squares += 2*by*ro.Logs + by*by*ro.Timed
-	ro.Logs += by * ro.Timed
-	return ro
+	offset := logOrigin - mean
+	counts.Squares += 2*offset*counts.Logs + offset*offset*counts.Timed
+	counts.Logs += offset * counts.Timed
+	return counts
 }
 
-// busiest returns the observations with the most requests in the window.
-func busiest(list []observation) []observation {
-	slices.SortFunc(list, func(a, b observation) int { return cmp.Compare(b.within.Requests, a.within.Requests) })
-	return list[:min(len(list), maxServers)]
+// busiestServers returns the observations with the most requests in the window.
+func busiestServers(list []observation) []observation {
+	slices.SortFunc(list, func(a, b observation) int { return cmp.Compare(b.window.Requests, a.window.Requests) })
+	return list[:min(len(list), maxComparedServers)]
 }
--- a/internal/roll/order/order_test.go
+++ b/internal/roll/order/order_test.go
@@ -7,8 +7,8 @@
 	"github.com/flamingomast/flamingomast/internal/roll/canary"
 )
 
-// TestRead guards against orders of other writers that would be taken in part.
-func TestRead(t *testing.T) {
+// TestDecode guards against orders of other writers that would be taken in part.
+func TestDecode(t *testing.T) {
 	const good = `{"service":"booking","target":"v2","duration-ms":12000}`
 	for _, tc := range []struct {
 		name, key, value string
--- a/internal/roll/tally/tally.go
+++ b/internal/roll/tally/tally.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// PerDoubling is how many units of logarithm a doubling of a service time is.
-const PerDoubling = 16
+// UnitsPerDoubling is how many units of logarithm a doubling of a service time is.
+const UnitsPerDoubling = 16
 
 // Row counts the requests of one route. Only its methods and those of Counter change it.
 type Row struct {
@@ -20,46 +20,46 @@
 }
 
 // Add adds the counts of other.
-func (ro *Row) Add(other *Row) {
-	ro.Requests += other.Requests
-	ro.Failures += other.Failures
-	ro.Timed += other.Timed
-	ro.Logs += other.Logs
-	ro.Squares += other.Squares
+func (ct *Row) Add(other *Row) {
+	ct.Requests += other.Requests
+	ct.Failures += other.Failures
+	ct.Timed += other.Timed
+	ct.Logs += other.Logs
+	ct.Squares += other.Squares
 }
 
 // Since returns what was counted after an earlier state of the row. It reports whether that
 // was an earlier state: the counts of a process that was replaced begin anew.
-func (ro *Row) Since(before *Row) (Row, bool) {
-	next := Row{
-		Requests: ro.Requests - before.Requests, Failures: ro.Failures - before.Failures,
-		Timed: ro.Timed - before.Timed, Logs: ro.Logs - before.Logs, Squares: ro.Squares - before.Squares,
+func (ct *Row) Since(before *Row) (Row, bool) {
+	delta := Row{
+		Requests: ct.Requests - before.Requests, Failures: ct.Failures - before.Failures,
+		Timed: ct.Timed - before.Timed, Logs: ct.Logs - before.Logs, Squares: ct.Squares - before.Squares,
 	}
-	ok := ro.Requests >= before.Requests && ro.Failures >= before.Failures &&
-		ro.Timed >= before.Timed && ro.Logs >= before.Logs && ro.Squares >= before.Squares
-	return next, ok
+	ok := ct.Requests >= before.Requests && ct.Failures >= before.Failures &&
+		ct.Timed >= before.Timed && ct.Logs >= before.Logs && ct.Squares >= before.Squares
+	return delta, ok
 }
 
-// Scaled returns the row as if it had so many requests, if it has more.
-func (ro *Row) Scaled(requests uint64) Row {
-	if ro.Requests <= requests {
-		return *ro
+// ScaledTo returns the row as if it had so many requests, if it has more.
+func (ct *Row) ScaledTo(requests uint64) Row {
+	if ct.Requests <= requests {
+		return *ct
 	}
-	part := float64(requests) / float64(ro.Requests)
-	scale := func(n uint64) uint64 { return uint64(math.Round(part * float64(n))) }
-	next := Row{Requests: requests, Failures: scale(ro.Failures), Timed: scale(ro.Timed)}
-	if ro.Timed > 0 {
+	factor := float64(requests) / float64(ct.Requests)
+	scale := func(n uint64) uint64 { return uint64(math.Round(factor * float64(n))) }
+	scaled := Row{Requests: requests, Failures: scale(ct.Failures), Timed: scale(ct.Timed)}
+	if ct.Timed > 0 {
 		// By the rounded number, so that the mean stays.
-		part = float64(next.Timed) / float64(ro.Timed)
-		next.Logs, next.Squares = scale(ro.Logs), scale(ro.Squares)
+		factor = float64(scaled.Timed) / float64(ct.Timed)
+		scaled.Logs, scaled.Squares = scale(ct.Logs), scale(ct.Squares)
 	}
-	return next
+	return scaled
 }
 
-// Log returns the logarithm of a service time in units of Row.Logs.
-func Log(held time.Duration) uint64 {
-	us := max(1, held.Microseconds())
-	return uint64(math.Round(PerDoubling * math.Log2(float64(us))))
+// LogUnits returns the logarithm of a service time in units of Row.Logs.
+func LogUnits(serviceTime time.Duration) uint64 {
+	us := max(1, serviceTime.Microseconds())
+	return uint64(math.Round(UnitsPerDoubling * math.Log2(float64(us))))
 }
 
 // Counter counts the requests of one start of a backend server. The zero value is ready
@@ -68,26 +68,26 @@
 	routes sync.Map // of *cells by the name of the route
 }
 
-type cells struct {
+type atomicCounts struct {
 	requests, failures, timed, logs, squares atomic.Uint64
 }
 
 // Add counts a request that ended. A held time of 0 is not counted.
-func (co *Counter) Add(route string, failed bool, held time.Duration) {
+func (co *Counter) Add(route string, failed bool, serviceTime time.Duration) {
 	v, ok := co.routes.Load(route)
 	if !ok {
-		v, _ = co.routes.LoadOrStore(route, &cells{})
+		v, _ = co.routes.LoadOrStore(route, &atomicCounts{})
 	}
-	ce := v.(*cells)
-	ce.requests.Add(1)
+	ac := v.(*atomicCounts)
+	ac.requests.Add(1)
 	if failed {
-		ce.failures.Add(1)
+		ac.failures.Add(1)
 	}
-	if held > 0 {
-		lg := Log(held)
-		ce.timed.Add(1)
-		ce.logs.Add(lg)
-		ce.squares.Add(lg * lg)
+	if serviceTime > 0 {
+		lg := LogUnits(serviceTime)
+		ac.timed.Add(1)
+		ac.logs.Add(lg)
+		ac.squares.Add(lg * lg)
 	}
 }
 
@@ -95,10 +95,10 @@
 func (co *Counter) Rows() map[string]*Row {
 	rows := map[string]*Row{}
 	co.routes.Range(func(key, value any) bool {
-		ce := value.(*cells)
+		ac := value.(*atomicCounts)
 		rows[key.(string)] = &Row{
-			Requests: ce.requests.Load(), Failures: ce.failures.Load(),
-			Timed: ce.timed.Load(), Logs: ce.logs.Load(), Squares: ce.squares.Load(),
+			Requests: ac.requests.Load(), Failures: ac.failures.Load(),
+			Timed: ac.timed.Load(), Logs: ac.logs.Load(), Squares: ac.squares.Load(),
 		}
 		return true
 	})
@@ -118,4 +118,4 @@
 type Sum map[string][]*Cohort
 
 // Add adds a cohort of a version.
-func (su Sum) Add(software string, ch *Cohort) { su[software] = append(su[software], ch) }
+func (cs Sum) Add(software string, ch *Cohort) { cs[software] = append(cs[software], ch) }
--- a/internal/roll/tally/tally_test.go
+++ b/internal/roll/tally/tally_test.go
@@ -8,21 +8,21 @@
 	"pgregory.net/rapid"
 )
 
-func TestLog(t *testing.T) {
+func TestLogUnits(t *testing.T) {
 	for _, tc := range []struct {
-		held time.Duration
-		want uint64
+		serviceTime time.Duration
+		want        uint64
 	}{
 		{-time.Second, 0}, {0, 0}, {500, 0}, {time.Microsecond, 0}, {2 * time.Microsecond, 16}, {3 * time.Microsecond, 25},
 		{1024 * time.Microsecond, 160}, {1448 * time.Microsecond, 168}, {2048 * time.Microsecond, 176}, {time.Second, 319}, {time.Hour, 508},
 	} {
-		if got := Log(tc.held); got != tc.want {
-			t.Errorf("Log(%v) = %d, want %d", tc.held, got, tc.want)
+		if got := LogUnits(tc.serviceTime); got != tc.want {
+			t.Errorf("Log(%v) = %d, want %d", tc.serviceTime, got, tc.want)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		a := time.Duration(rapid.Int64Range(int64(time.Millisecond), int64(20*time.Second)).Draw(t, "a"))
-		if x, y := Log(a), Log(2*a); y != x+PerDoubling && y != x+PerDoubling+1 {
+		if x, y := LogUnits(a), LogUnits(2*a); y != x+UnitsPerDoubling && y != x+UnitsPerDoubling+1 {
 			t.Fatalf("twice %v is %d units later", a, y-x)
 		}
 	})
@@ -41,7 +41,7 @@
 	}
 	wg.Wait()
 	rows := co.Rows()
-	lg := Log(3 * time.Millisecond)
+	lg := LogUnits(3 * time.Millisecond)
 	if a, want := *rows["a"], (Row{400, 40, 400, 400 * lg, 400 * lg * lg}); a != want {
 		t.Errorf("a: %+v, want %+v", a, want)
 	}
@@ -78,7 +78,7 @@
 		{Row{2000, 100, 1000, 300_000, 90_000_000}, Row{20, 1, 10, 3000, 900_000}},
 		{Row{2000, 1, 3, 900, 270_000}, Row{20, 0, 0, 0, 0}},
 	} {
-		if got := tc.row.Scaled(20); got != tc.want {
+		if got := tc.row.ScaledTo(20); got != tc.want {
 			t.Errorf("%+v scaled is %+v, want %+v", tc.row, got, tc.want)
 		}
 	}
