--- a/internal/roll/canary/admit.go
+++ b/internal/roll/canary/admit.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// unorderedHoldDown is how long servers of a version that nobody ordered are kept from requests:
-// the order may be on its way. Later they are taken for a release without a rollout.
+// unorderedHoldDown is how long the servers of a version without a rollout order get no requests,
+// since the order may be on its way. After that they count as a release without a rollout.
 const unorderedHoldDown = 5 * time.Second
 
-// Admission decides which versions of a service's software may take requests, by the
-// rollouts known and by when a version was first seen. The zero value is ready for use; it
-// is not safe for concurrent use.
+// Admission decides which versions of a service's software take requests, by the known rollouts and
+// by when each version was first seen. The zero value is ready for use; it is not safe for
+// concurrent use.
 type Admission struct {
 	services map[string]*versions
 }
@@ -20,12 +20,12 @@
 // versions has when each version of one service was first seen.
 type versions struct {
 	firstSeen map[string]time.Time
-	// admitted are those that take requests without an order.
+	// admitted are the versions that take requests without a rollout order.
 	admitted map[string]bool
 }
 
-// Look takes how many servers of each version a service has. It returns the cohort of each,
-// and when that changes if nothing else does, the zero time for never.
+// Assign returns the cohort of each version of a service, given the number of its servers. next is
+// when a cohort changes if nothing else does, the zero time for never.
 func (ad *Admission) Look(service string, ro *Rollout, servers map[string]int, now time.Time) (cohorts map[string]Cohort, next time.Time) {
 	if ad.services == nil {
 		ad.services = map[string]*versions{}
@@ -49,7 +49,7 @@
 	for software := range servers {
 		cohort := ro.CohortOf(software)
 		if ro.State.Final() && !ro.includes(software) && software != "" {
-			// A release without a rollout, after one.
+			// A release without a rollout, after a rollout has ended.
 			until := vs.firstSeen[software].Add(unorderedHoldDown)
 			cohort = Baseline
 			if now.Before(until) && !vs.admitted[software] {
@@ -65,7 +65,7 @@
 	return cohorts, next
 }
 
-// earlier returns the sooner one of two times, of which the zero time is never.
+// earlier returns the earlier of two times, of which the zero time is never.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
@@ -73,7 +73,8 @@
 	return a
 }
 
-// cohortsWithoutRollout returns the cohorts of a service without a rollout.
+// cohortsWithoutRollout returns the cohorts of a service without a rollout. Versions that are left
+// out are Baseline.
 func (vs *versions) cohortsWithoutRollout(servers map[string]int, now time.Time) (cohorts map[string]Cohort, next time.Time) {
 	cohorts = map[string]Cohort{}
 	if len(vs.admitted) == 0 && len(servers) > 0 {
@@ -93,8 +94,7 @@
 	return cohorts, next
 }
 
-// mostDeployed returns the version with the most servers, the first by name of those with as
-// many.
+// mostDeployed returns the version with the most servers, the first by name of several.
 func mostDeployed(servers map[string]int) (best string) {
 	for i, software := range slices.Sorted(maps.Keys(servers)) {
 		if i == 0 || servers[software] > servers[best] {
--- a/internal/roll/canary/canary.go
+++ b/internal/roll/canary/canary.go
@@ -8,18 +8,18 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// Order is an operator's order to move a service to another version of its software.
+// Order is an operator's order to roll out another version of a service's software.
 type Order struct {
 	Service, Target string
 	// Duration is the time within which the rollout has to end.
 	Duration time.Duration
-	// Abort orders that it ends at once, with the servers of before.
+	// Abort ends the rollout at once; the baseline serves again.
 	Abort bool
-	// Revision is that of the order in the store.
+	// Revision is the revision of the order in the store.
 	Revision store.Revision
 }
 
-// State is how far a rollout is.
+// State is the state of a rollout.
 type State int
 
 // The states.
@@ -29,7 +29,7 @@
 	RolledBack
 )
 
-// String returns the state in words.
+// String returns the name of the state.
 func (st State) String() string {
 	switch st {
 	case InProgress:
@@ -45,19 +45,18 @@
 // Final reports whether the rollout has ended.
 func (st State) Final() bool { return st == Complete || st == RolledBack }
 
-// Rollout is what is known of the newest rollout of a service. It is not changed once it
-// is in a view.
+// Rollout is the newest known rollout of a service. It is immutable once it is in a view.
 type Rollout struct {
 	Order Order
 	State State
-	// Baseline lists the versions that served before.
+	// Baseline lists the versions that served before the rollout.
 	Baseline []string
-	// Began is when the order was first seen.
+	// StartedAt is when the order was first seen.
 	Began time.Time
-	// Stored says that the state is what the store has.
+	// Stored is set if State is the state in the store.
 	Stored bool
-	// Share is the part of the requests, 0 to 1, that go to servers of the target until
-	// Until, and Servers how many of them take requests.
+	// Share is the share of the requests, 0 to 1, that goes to servers of the target until
+	// ValidUntil, and Servers how many of these take requests.
 	Share   float64
 	Servers int
 	Until   time.Time
@@ -65,11 +64,11 @@
 	Seq uint64
 }
 
-// TTL is how long a decision to send requests to the target holds. A daemon that hears of
-// no newer one sends all to the servers of before.
+// TTL is how long a decision to send requests to the target is valid. A daemon that receives no
+// newer one sends all requests to the baseline.
 const TTL = 1500 * time.Millisecond
 
-// ShareAt returns the part of the requests that go to servers of the target at a moment.
+// ShareAt returns the share of the requests that goes to servers of the target at a time.
 func (ro *Rollout) ShareAt(now time.Time) float64 {
 	if ro.State != InProgress || !now.Before(ro.Until) {
 		return 0
@@ -77,7 +76,7 @@
 	return ro.Share
 }
 
-// compare orders two statements of one service's rollout by how new they are.
+// compare orders two states of one service's rollout by how new they are.
 func compare(a, b *Rollout) int {
 	ra, rb := a.Order.Revision, b.Order.Revision
 	return cmp.Or(
@@ -99,13 +98,13 @@
 	return -1
 }
 
-// View holds the newest rollout of each service. It is never changed: Merge returns another
-// one. The nil view has none.
+// View holds the newest rollout of each service. It is immutable: Merge returns a new one. The nil
+// view is empty.
 type View struct {
 	rollouts map[string]*Rollout
 }
 
-// Of returns the newest rollout of a service, nil for none.
+// Get returns the newest rollout of a service, nil for none.
 func (vw *View) Of(service string) *Rollout {
 	if vw == nil {
 		return nil
@@ -134,7 +133,7 @@
 // maxServices bounds the services whose rollouts are kept.
 const maxServices = 1024
 
-// Merge returns the view with a statement in it, and whether that was news.
+// Merge returns the view with a rollout merged in, and whether that changed the view.
 func (vw *View) Merge(ro *Rollout) (next *View, changed bool) {
 	cur := vw.Of(ro.Order.Service)
 	if cur != nil && compare(ro, cur) <= 0 || vw != nil && cur == nil && len(vw.rollouts) >= maxServices {
@@ -148,31 +147,32 @@
 	return next, true
 }
 
-// Cohort is the part that a backend server has in its service's rollout.
+// Cohort is the role of a backend server in its service's rollout.
 type Cohort int
 
 // The cohorts.
 const (
-	// Baseline servers take requests as if there were no rollout.
+	// Baseline servers take requests as they would without a rollout.
 	Baseline Cohort = iota
 	// Target servers take the share of the requests that the rollout gives them.
 	Target
-	// Idle servers take none: nobody ordered their version, or it was given up.
+	// Idle servers take no requests: their version has no rollout order, was rolled back or was
+	// replaced.
 	Idle
 )
 
-// includes reports whether a version has a part in the rollout.
+// includes reports whether a version is the target or in the baseline of the rollout.
 func (ro *Rollout) includes(software string) bool {
 	return software == ro.Order.Target || slices.Contains(ro.Baseline, software)
 }
 
-// CohortOf returns the cohort of servers of a version in a rollout; nil stands for none.
+// CohortOf returns the cohort of servers of a version in a rollout; nil stands for no rollout.
 func (ro *Rollout) CohortOf(software string) Cohort {
 	if ro == nil || software == "" {
 		return Baseline
 	}
 	if software == ro.Order.Target && len(ro.Baseline) == 0 {
-		// All servers had the version when it was ordered.
+		// All servers already had the version when the rollout was ordered.
 		return Baseline
 	}
 	switch {
--- a/internal/roll/canary/canary_test.go
+++ b/internal/roll/canary/canary_test.go
@@ -15,8 +15,8 @@
 	return store.Revision{Epoch: epoch, Number: number}
 }
 
-// TestMerge guards against a decision that is undone by an older one that comes late, from
-// another daemon that decides, or from before the store lost its order.
+// TestMerge guards against a decision that is undone by an older one that arrives later: a delayed
+// one, one of another deciding daemon, or one from an earlier epoch of the store.
 func TestMerge(t *testing.T) {
 	base := func(fn func(*Rollout)) *Rollout {
 		ro := &Rollout{Order: Order{Service: "s", Target: "v2", Revision: revision(1, 7)}, State: InProgress, Seq: 100}
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestMergeOrder: whatever the order in which statements come, all end with the same.
+// TestMergeOrder checks that the merged view does not depend on the order in which updates arrive.
 func TestMergeOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) *Rollout {
@@ -65,7 +65,7 @@
 			return vw.Of("s")
 		}
 		if a, b := merge(list), merge(rapid.Permutation(list).Draw(t, "permutation")); compare(a, b) != 0 {
-			t.Fatalf("%+v and %+v", a, b)
+			t.Fatalf("merged to %+v in one order and to %+v in another", a, b)
 		}
 	})
 }
@@ -74,14 +74,14 @@
 	now := time.Now()
 	ro := Rollout{State: InProgress, Share: 0.2, Until: now.Add(TTL)}
 	if got := ro.ShareAt(now); got != 0.2 {
-		t.Errorf("share %v", got)
+		t.Errorf("share %v, want 0.2", got)
 	}
 	if got := ro.ShareAt(now.Add(TTL)); got != 0 {
-		t.Errorf("share %v once the decision no longer holds", got)
+		t.Errorf("share %v after ValidUntil, want 0", got)
 	}
 	ro.State = RolledBack
 	if got := ro.ShareAt(now); got != 0 {
-		t.Errorf("share %v after the end", got)
+		t.Errorf("share %v after the rollback, want 0", got)
 	}
 }
 
@@ -97,7 +97,8 @@
 		{rollout(InProgress), "v1 0, v2 1, v3 2,  0"},
 		{rollout(Complete), "v1 2, v2 0, v3 2,  0"},
 		{rollout(RolledBack), "v1 0, v2 2, v3 2,  0"},
-		// All servers had the version already: were they idle or got a share, none would serve.
+		// All servers had the version already: if they were idle or got a share, nothing would
+		// serve.
 		{&Rollout{Order: Order{Target: "v2"}, State: InProgress}, "v1 0, v2 0, v3 0,  0"},
 		{&Rollout{Order: Order{Target: "v2"}, State: RolledBack}, "v1 0, v2 0, v3 0,  0"},
 	} {
@@ -109,16 +110,16 @@
 			got += fmt.Sprint(software, " ", int(tc.ro.CohortOf(software)))
 		}
 		if got != tc.want {
-			t.Errorf("%+v: %s, want %s", tc.ro, got, tc.want)
+			t.Errorf("%+v: cohorts %s, want %s", tc.ro, got, tc.want)
 		}
 	}
 }
 
-// TestAdmission guards against requests to servers of a version that nobody ordered yet, and
-// against a release without a rollout that never gets any.
+// TestAdmission guards against requests to servers of a version without a rollout order, and
+// against a release without a rollout that never gets requests.
 func TestAdmission(t *testing.T) {
 	start := time.Now()
-	type look struct {
+	type step struct {
 		after   time.Duration
 		servers map[string]int
 		ro      *Rollout
@@ -130,54 +131,54 @@
 	}
 	for _, tc := range []struct {
 		name  string
-		looks []look
+		steps []step
 	}{
-		{"one version", []look{{0, map[string]int{"v1": 3}, nil, nil, 0}}},
-		{"a newer one without an order", []look{
+		{"one version", []step{{0, map[string]int{"v1": 3}, nil, nil, 0}}},
+		{"a newer one without an order", []step{
 			{0, map[string]int{"v1": 3}, nil, nil, 0},
 			{time.Second, map[string]int{"v1": 3, "v2": 1}, nil, map[string]Cohort{"v2": Idle}, 6 * time.Second},
 			{6 * time.Second, map[string]int{"v1": 3, "v2": 2}, nil, nil, 0},
 		}},
-		{"the older one goes meanwhile", []look{
+		{"the older one leaves meanwhile", []step{
 			{0, map[string]int{"v1": 1}, nil, nil, 0},
 			{time.Second, map[string]int{"v1": 1, "v2": 1}, nil, map[string]Cohort{"v2": Idle}, 6 * time.Second},
 			{2 * time.Second, map[string]int{"v2": 1}, nil, nil, 0},
 		}},
-		{"the order follows", []look{
+		{"the order follows", []step{
 			{0, map[string]int{"v1": 3}, nil, nil, 0},
 			{time.Second, map[string]int{"v1": 3, "v2": 3}, nil, map[string]Cohort{"v2": Idle}, 6 * time.Second},
 			{2 * time.Second, map[string]int{"v1": 3, "v2": 3}, ordered(InProgress), map[string]Cohort{"v1": Baseline, "v2": Target}, 0},
 			{9 * time.Second, map[string]int{"v1": 3, "v2": 3}, ordered(RolledBack), map[string]Cohort{"v1": Baseline, "v2": Idle}, 0},
 		}},
-		{"a release without a rollout, after one", []look{
+		{"a release without a rollout, after one", []step{
 			{0, map[string]int{"v2": 3}, ordered(Complete), map[string]Cohort{"v2": Baseline}, 0},
 			{time.Second, map[string]int{"v2": 3, "v3": 1}, ordered(Complete), map[string]Cohort{"v2": Baseline, "v3": Idle}, 6 * time.Second},
 			{6 * time.Second, map[string]int{"v2": 2, "v3": 2}, ordered(Complete), map[string]Cohort{"v2": Baseline, "v3": Baseline}, 0},
 			{7 * time.Second, map[string]int{"v3": 3}, ordered(Complete), map[string]Cohort{"v3": Baseline}, 0},
 		}},
-		{"the version that was rolled back comes again", []look{
+		{"the version that was rolled back is deployed again", []step{
 			{0, map[string]int{"v1": 3}, ordered(RolledBack), map[string]Cohort{"v1": Baseline}, 0},
 			{time.Second, map[string]int{"v1": 3, "v2": 1}, ordered(RolledBack), map[string]Cohort{"v1": Baseline, "v2": Idle}, 0},
 			{time.Minute, map[string]int{"v1": 3, "v2": 1}, ordered(RolledBack), map[string]Cohort{"v1": Baseline, "v2": Idle}, 0},
 		}},
-		{"a process that starts while both serve", []look{
+		{"a process that starts while both serve", []step{
 			{0, map[string]int{"v1": 3, "v2": 3}, nil, map[string]Cohort{"v2": Idle}, 5 * time.Second},
 		}},
-		{"servers that do not tell", []look{
+		{"servers that announce no version", []step{
 			{0, map[string]int{"v1": 3}, nil, nil, 0},
 			{time.Second, map[string]int{"v1": 3, "": 1}, nil, nil, 0},
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var ad Admission
-			for i, lk := range tc.looks {
-				got, next := ad.Look("s", lk.ro, lk.servers, start.Add(lk.after))
+			for i, st := range tc.steps {
+				got, next := ad.Look("s", st.ro, st.servers, start.Add(st.after))
 				wantNext := time.Time{}
-				if lk.next > 0 {
-					wantNext = start.Add(lk.next)
+				if st.next > 0 {
+					wantNext = start.Add(st.next)
 				}
-				if !maps.Equal(got, lk.want) || !next.Equal(wantNext) {
-					t.Errorf("look %d: %v until %v, want %v until %v", i, got, next.Sub(start), lk.want, lk.next)
+				if !maps.Equal(got, st.want) || !next.Equal(wantNext) {
+					t.Errorf("step %d: cohorts %v until %v, want %v until %v", i, got, next.Sub(start), st.want, st.next)
 				}
 			}
 		})
--- a/internal/roll/judge/doc.go
+++ b/internal/roll/judge/doc.go
@@ -1,4 +1,5 @@
-// Package judge decides how far a rollout goes: which part of the requests the new version
-// of a service gets, and whether it is good. It compares the servers of both versions at the
-// same moment, one by one, by route and over several windows. It does no I/O.
+// Package judge analyzes a rollout: it decides which share of the requests the target, the new
+// version of a service, gets, and whether the target is good. It compares the servers of the target
+// with those of all other versions, the baseline, over the same time, server by server, by route
+// and over several windows. It does no I/O.
 package judge
--- a/internal/roll/judge/judge.go
+++ b/internal/roll/judge/judge.go
@@ -8,49 +8,51 @@
 	"github.com/flamingomast/flamingomast/internal/roll/tally"
 )
 
-// Judge follows one rollout. It is made by New and is not safe for concurrent use.
+// Judge collects the counts of one rollout and weighs the evidence against its target. It is made
+// by New and is not safe for concurrent use.
 type Judge struct {
 	target   string
 	duration time.Duration
 	servers  map[serverKey]*server
-	// latest are the counts of the last look.
+	// latest are the counts of the last observation.
 	latest map[string]tally.Sum
-	// withServiceTimes are the looks whose counts are kept, the starts of the windows.
+	// checkpointTimes are the observations whose counts are kept; windows start at them.
 	checkpointTimes []time.Duration
-	// targetRequests is how many the target has run, all how many the service has since the
-	// first look.
+	// targetRequests is how many requests the target has served, totalRequests how many all servers
+	// of the service have served since the first observation.
 	targetRequests, totalRequests uint64
-	// firstObserved and looked are when the first and the last look were.
+	// firstObserved and lastObserved are the times of the first and the last observation.
 	firstObserved, lastObserved time.Duration
 	started                     bool
 }
 
-// serverKey identifies a backend server. Servers without a VM go by their place in the sum.
+// serverKey identifies a backend server. Servers without a VM are identified by their index in the
+// list of their version.
 type serverKey struct {
 	domain, software, vm string
 }
 
-// server is what is known of a backend server.
+// server has the counts of one backend server.
 type server struct {
 	target     bool
 	lastCounts map[string]tally.Row
 	routes     map[string]*series
 }
 
-// series has the counts of a server on one route: all of them, and those that it had at each
-// of the judge's times.
+// series has the counts of a server on one route: the total, and the total at each of the judge's
+// checkpoints.
 type series struct {
 	total       tally.Row
 	checkpoints []tally.Row
 }
 
-// New returns a judge of a rollout.
+// New returns a Judge of a rollout to the target version, which has to end within duration.
 func New(target string, duration time.Duration) *Judge {
 	return &Judge{target: target, duration: duration, servers: map[serverKey]*server{}}
 }
 
-// Look takes what the servers of the service did by failure domain, some time after the
-// order. Failure domains that are not heard are left out.
+// Observe takes the counts of the service's servers by failure domain, at a time after the rollout
+// order. Failure domains from which no counts arrive are left out.
 func (ju *Judge) Look(elapsed time.Duration, byDomain map[string]tally.Sum) {
 	for domain, cohorts := range byDomain {
 		for software, versionCohorts := range cohorts {
@@ -71,15 +73,18 @@
 }
 
 const (
-	// takeoverAfter is from when on a first look is that of a judge that takes over.
+	// takeoverAfter is the time of a first observation from which on the judge is taken to have
+	// replaced another one in the middle of the rollout.
 	takeoverAfter = 2 * time.Second
-	// maxHistoryRequests is how many requests of a server's history count to such a judge.
+	// maxHistoryRequests is how many requests from before the first observation count, for each
+	// baseline server and route, after such a takeover.
 	maxHistoryRequests = 20
 )
 
-// update adds what a server counted since it was seen last. What servers of other versions did
-// before that was at another load; a judge that takes over needs some of it, as there may be
-// no time left for enough requests.
+// update adds what a server has counted since the previous observation. Requests that the baseline
+// served before the first observation were served under a different load and do not count. A judge
+// that takes over counts a few of them, as there may not be enough time left to observe enough
+// requests.
 func (ju *Judge) update(key serverKey, routes map[string]*tally.Row, elapsed time.Duration) {
 	sr := ju.servers[key]
 	if sr == nil {
@@ -100,7 +105,7 @@
 		sr.lastCounts[name] = *counts
 		delta, ok := counts.Since(&previous)
 		if !ok {
-			// A process was replaced, and its counts begin anew.
+			// The process was replaced and its counts start again at zero.
 			continue
 		}
 		if sr.routes[name] == nil {
@@ -114,11 +119,12 @@
 	}
 }
 
-// checkpointSpacing is the least ratio of the ages of two kept times that have one between them.
+// checkpointSpacing is how many times as old as the checkpoint after next a checkpoint may be for
+// the one between them to be dropped.
 const checkpointSpacing = 2.0
 
-// addCheckpoint keeps the counts of this look as the start of a window. Kept times get sparser with
-// their age, so that there are a few more each time the elapsed time doubles.
+// addCheckpoint keeps the counts of this observation as the start of a window. Checkpoints get
+// sparser with their age: each doubling of the elapsed time adds only a few.
 func (ju *Judge) addCheckpoint(elapsed time.Duration) {
 	ju.checkpointTimes = append(ju.checkpointTimes, elapsed)
 	for _, sr := range ju.servers {
@@ -139,22 +145,22 @@
 	}
 }
 
-// Decision is what is to be done now.
+// Decision is the outcome of one step of the ramp.
 type Decision struct {
 	State canary.State
-	// Share is the part of the requests for servers of the target, Servers how many of
-	// those take them.
+	// Share is the share of the requests that goes to the target, Servers the number of target
+	// servers that take them.
 	Share   float64
 	Servers int
-	// Against is the evidence against the target, and Cause what it comes from. Requests is
-	// how many the target has run.
+	// Evidence is the log Bayes factor of a bad against a good target, and Cause where it comes
+	// from. Requests is how many requests the target has served.
 	Against  float64
 	Cause    Cause
 	Requests uint64
 }
 
-// countServers returns how many servers of the target and of others there are, and how many
-// requests the others run.
+// countServers returns the number of servers of the target and of the baseline, and the number of
+// requests that the baseline is running.
 func (ju *Judge) countServers() (targets, baseline, running int) {
 	for _, cohorts := range ju.latest {
 		for software, versionCohorts := range cohorts {
--- a/internal/roll/judge/model.go
+++ b/internal/roll/judge/model.go
@@ -7,28 +7,31 @@
 	"github.com/flamingomast/flamingomast/internal/roll/tally"
 )
 
-// The model of a service. Each server is healthy or, for reasons of its own, bad; a version
-// is good or bad on all of its servers. Both add to a server's level, the hazard of a failure
-// or the logarithm of the service time. Healthy servers of the version before are at an
-// unknown level of the service. What is not known is summed over: that level, how likely a
-// server is bad by itself, and by how much servers and versions are bad.
+// The statistical model of a service. Each server is healthy or individually bad; a version is
+// good, or bad on all of its servers. Each kind of badness adds an offset to a server's level,
+// which is the hazard of a failure or the logarithm of the service time. Healthy baseline servers
+// are at a common, unknown level. The unknowns are summed over: that level, the fraction of
+// individually bad servers, and the offsets of bad servers and bad versions.
 
-// measure is a kind of badness.
+// measure is a metric by which versions are compared.
 type measure struct {
 	name string
-	// points are all levels at which a server may be, first those with a good version.
+	// points are the distinct levels at which a server may be. The first goodPoints of them are
+	// those with a good version.
 	points     []float64
 	goodPoints int
-	// healthy and bad are the points of healthy and of bad servers, by way and level of the
-	// service. In way 0 the version is good, in each of the others bad in that way.
+	// healthy and bad are the indices in points of healthy and of bad servers, by hypothesis and
+	// baseline level. Under hypothesis 0 the version is good; each of the others is one offset of a
+	// bad version.
 	healthy [][]int
 	bad     [][][]int
-	// logLikelihoods sets the log likelihood of counts at the first points, up to what all share.
-	logLikelihoods func(list []float64, ro *tally.Row)
+	// logLikelihoods sets the log likelihoods of counts at the first points, up to a common
+	// constant.
+	logLikelihoods func(list []float64, counts *tally.Row)
 }
 
-// newMeasure returns a measure without logLikelihoods. Levels are those of healthy servers; bad
-// servers and bad versions are above by one of ofServer and ofVersion.
+// newMeasure returns a measure without logLikelihoods. The levels are those of healthy servers; a
+// bad server is above them by one of serverOffsets, a bad version by one of versionOffsets.
 func newMeasure(name string, levels, serverOffsets, versionOffsets []float64) *measure {
 	me := &measure{name: name}
 	index := map[float64]int{}
@@ -61,26 +64,26 @@
 }
 
 const (
-	// maxEffectiveRequests is the most requests of a server that count, since no two healthy servers
-	// are quite alike.
+	// maxEffectiveRequests is the most requests of one server that count, since no two healthy
+	// servers perform exactly alike.
 	maxEffectiveRequests = 60.0
-	// minLikelihood is the least likelihood of what a server did, beside that of the point that
-	// fits best: any server may do what no model tells.
+	// minLikelihood is the lower bound of the likelihood of a server's counts relative to the best
+	// point: a server may behave in a way that the model does not cover.
 	minLikelihood = 1e-5
-	// turnBadProb and recovers are the parts of the servers that change their state within
+	// turnBadProb and recoverProb are the probabilities that a server turns bad or recovers within
 	// a window.
 	turnBadProb = 0.02
 	recoverProb = 0.05
 )
 
-// badServerFractions are the parts of the servers that may be bad by themselves, with how likely
-// each is.
+// badServerFractions are the possible fractions of individually bad servers, and
+// badServerFractionWeights their prior probabilities.
 var (
 	badServerFractions       = [...]float64{0.03, 0.12, 0.35}
 	badServerFractionWeights = [...]float64{0.4, 0.4, 0.2}
 )
 
-// failures measures the share of requests that fail, as hazards.
+// failures compares the share of requests that fail, as hazards.
 var failures = newFailures()
 
 func newFailures() *measure {
@@ -100,7 +103,7 @@
 	return me
 }
 
-// hazards returns the hazards of some probabilities. Those of independent causes add up.
+// hazards returns the hazards of probabilities. The hazards of independent causes add up.
 func hazards(probabilities ...float64) []float64 {
 	for i, p := range probabilities {
 		probabilities[i] = -math.Log1p(-p)
@@ -108,18 +111,18 @@
 	return probabilities
 }
 
-// The service times, in doublings.
+// The distribution of service times, in doublings.
 const (
 	// speedStdDev is the standard deviation of the speeds of healthy servers.
 	speedStdDev = 0.6
-	// The levels of healthy servers lie around the mean of the servers before, which is
-	// above them where many of these are slow.
+	// The levels of healthy servers are relative to the mean of the baseline, which is above them
+	// where many baseline servers are slow.
 	levelStep      = 0.25
 	firstLevelStep = -10
 	levelCount     = 14
 )
 
-// slowness measures service times, around the mean of the servers before.
+// slowness compares service times, relative to the mean of the baseline.
 var slowness = newSlowness()
 
 func newSlowness() *measure {
@@ -130,8 +133,8 @@
 	return newMeasure("slowness", levels, []float64{1.5, 2.25, 3, 4}, []float64{1.5, 2, 2.5, 3})
 }
 
-// centeredOn returns the measure of service times around a mean logarithm, with the variance of
-// those of a single server.
+// centeredOn returns the measure of service times relative to a mean logarithm. The variance is
+// that of the times of a single server.
 func (me measure) centeredOn(mean, variance float64) *measure {
 	me.logLikelihoods = func(list []float64, counts *tally.Row) {
 		if counts.Timed == 0 {
@@ -147,24 +150,25 @@
 	return &me
 }
 
-// meanLog returns the mean logarithm of the service times in doublings.
+// meanLog returns the mean logarithm of the service times, in doublings.
 func meanLog(counts *tally.Row) float64 {
 	return float64(counts.Logs) / float64(counts.Timed) / tally.UnitsPerDoubling
 }
 
-// observation is what a server did before a window and within it.
+// observation has the counts of a server before a window and within it.
 type observation struct {
 	history, window tally.Row
 }
 
-// fit are the likelihoods of one observation.
+// serverFit has the likelihoods of one observation.
 type serverFit struct {
 	window []float64
-	// badProb is how likely the server is bad by itself, by level and index of badServerFractions.
+	// badProb is the probability that the server is individually bad within the window, by level
+	// and index of badServerFractions.
 	badProb [][len(badServerFractions)]float64
 }
 
-// likelihoods sets the likelihoods of counts at the first points, beside that of the best one.
+// likelihoods sets the likelihoods of counts at the first points, relative to the best one.
 func (me *measure) likelihoods(list []float64, counts *tally.Row) {
 	clear(list)
 	me.logLikelihoods(list, counts)
@@ -174,7 +178,7 @@
 	}
 }
 
-// badLikelihood returns the likelihood of a bad server.
+// badLikelihood returns the mean likelihood of a bad server.
 func (me *measure) badLikelihood(likelihoods []float64, hypothesis, level int) float64 {
 	sum := 0.0
 	points := me.bad[hypothesis][level]
@@ -184,8 +188,8 @@
 	return sum / float64(len(points))
 }
 
-// fit returns the likelihoods of observations at the first points. What a server did before
-// the window, with the version good, says in which state it was.
+// fit returns the likelihoods of observations at the first points. The counts before the window,
+// when the version is taken to have been good, give the probability that a server was already bad.
 func (me *measure) fit(observations []observation, points int) []serverFit {
 	levels := len(me.healthy[0])
 	fits := make([]serverFit, len(observations))
@@ -215,8 +219,8 @@
 	return fits
 }
 
-// evidence returns the logarithm of how many times as likely the observations are if the
-// version of the targets is bad as if it is good.
+// evidence returns the log Bayes factor: the logarithm of how many times more likely the
+// observations are if the targets' version is bad than if it is good.
 func (me *measure) evidence(baseline, targets []observation) float64 {
 	hypotheses := len(me.healthy)
 	var good, bad float64
@@ -237,8 +241,8 @@
 	return math.Log(bad) - math.Log(good)
 }
 
-// jointLikelihoods returns the likelihood of several servers in a way and at a level, by index of
-// badServerFractions.
+// jointLikelihoods returns the likelihood of the observations of several servers under a hypothesis
+// and at a level, by index of badServerFractions.
 func (me *measure) jointLikelihoods(fits []serverFit, hypothesis, level int) (joint [len(badServerFractions)]float64) {
 	for j := range joint {
 		joint[j] = 1
--- a/internal/roll/judge/model_test.go
+++ b/internal/roll/judge/model_test.go
@@ -17,13 +17,13 @@
 	return observation{window: tally.Row{Requests: requests, Failures: failures}}
 }
 
-// withServiceTimes returns the counts of a server whose requests all took as long.
+// withServiceTimes returns the counts of a server whose requests all took the same time.
 func withServiceTimes(serviceTime time.Duration, requests uint64) observation {
 	lg := tally.LogUnits(serviceTime)
 	return observation{window: tally.Row{Requests: requests, Timed: requests, Logs: lg * requests, Squares: lg * lg * requests}}
 }
 
-// startsAt returns the counts with what the server did before.
+// withHistory returns the observation with counts from before the window.
 func (ob observation) withHistory(history observation) observation {
 	ob.history = history.window
 	return ob
@@ -36,8 +36,8 @@
 	return all
 }
 
-// TestFailureEvidence guards against a version that is taken for bad as some of its servers
-// are, and against a bad version that is taken for good as servers before it are bad as well.
+// TestFailureEvidence guards against rolling back a version because some of its servers are
+// individually bad, and against accepting a bad version because baseline servers are bad too.
 func TestFailureEvidence(t *testing.T) {
 	good, bad := withFailures(0, 30), withFailures(13, 30)
 	for _, tc := range []struct {
@@ -52,14 +52,14 @@
 		{"two bad servers of six", repeat(6, good), append(repeat(4, good), bad, bad), -100, -3},
 		{"all servers of the target bad", repeat(6, good), repeat(6, bad), 6, 100},
 		{"all three servers of the target bad", repeat(3, good), repeat(3, bad), 5, 100},
-		{"most servers before bad, all of the target", append(repeat(4, bad), good, good), repeat(6, bad), 3, 100},
-		{"most servers before bad, none of the target", append(repeat(4, bad), good, good), repeat(6, good), -100, -5},
+		{"most baseline servers bad, all of the target", append(repeat(4, bad), good, good), repeat(6, bad), 3, 100},
+		{"most baseline servers bad, none of the target", append(repeat(4, bad), good, good), repeat(6, good), -100, -5},
 		{"all servers bad", repeat(6, bad), repeat(6, bad), -100, 0},
 		{"some of both bad", append(repeat(56, good), repeat(9, bad)...), append(repeat(10, good), bad, bad), -100, -5},
 		{"a little worse on all servers", append(repeat(56, good), repeat(9, bad)...), repeat(12, withFailures(2, 12)), 6, 100},
 		{"healthy servers turn bad together", repeat(3, good.withHistory(good)), repeat(2, withFailures(4, 8).withHistory(good)), 4, 100},
 		{"a bad server stays bad", repeat(3, good.withHistory(good)), repeat(1, withFailures(4, 8).withHistory(bad)), -1, 1},
-		{"no other servers", nil, repeat(3, bad), -1, 1},
+		{"no baseline servers", nil, repeat(3, bad), -1, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if ev := failures.evidence(tc.baseline, tc.targets); !(ev >= tc.low && ev <= tc.high) {
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestSlownessEvidence guards against the same where servers are slow, and against a version
-// that is taken for slow as its machines are.
+// TestSlownessEvidence guards against the same with slow servers, and against rejecting a version
+// because its machines are slower.
 func TestSlownessEvidence(t *testing.T) {
 	const ms = time.Millisecond
 	normal, slow, half := withServiceTimes(200*ms, 30), withServiceTimes(1000*ms, 30), withServiceTimes(400*ms, 30)
@@ -85,9 +85,9 @@
 		{"one slow server", repeat(6, normal), append(repeat(5, normal), slow), -100, -4},
 		{"four times slower", repeat(6, normal), repeat(6, withServiceTimes(800*ms, 30)), 6, 100},
 		{"four times slower on three", repeat(3, normal), repeat(3, withServiceTimes(800*ms, 30)), 3, 100},
-		{"most servers before slow, all of the target", append(repeat(4, slow), normal, normal), repeat(6, slow), 1, 100},
-		{"most servers before slow, none of the target", append(repeat(4, slow), normal, normal), repeat(6, normal), -100, -3},
-		{"no times", repeat(6, withFailures(0, 30)), repeat(6, withFailures(0, 30)), -0.1, 0.1},
+		{"most baseline servers slow, all of the target", append(repeat(4, slow), normal, normal), repeat(6, slow), 1, 100},
+		{"most baseline servers slow, none of the target", append(repeat(4, slow), normal, normal), repeat(6, normal), -100, -3},
+		{"no service times", repeat(6, withFailures(0, 30)), repeat(6, withFailures(0, 30)), -0.1, 0.1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if ev := slownessAround(tc.baseline).evidence(tc.baseline, tc.targets); !(ev >= tc.low && ev <= tc.high) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// TestEvidenceIsFinite guards against counts that make the evidence overflow.
+// TestEvidenceIsFinite guards against counts for which the evidence overflows.
 func TestEvidenceIsFinite(t *testing.T) {
 	row := rapid.Custom(func(t *rapid.T) tally.Row {
 		n := rapid.Uint64Range(0, 1<<40).Draw(t, "requests")
@@ -120,21 +120,21 @@
 	})
 }
 
-// TestNoBaselineServers guards against a version that is rolled back when no server of the one
-// before is left, and against a bad one that is completed when those are only not heard.
+// TestNoBaselineServers guards against rolling back a good version when no baseline server is left,
+// and against completing a bad one when the counts of the baseline merely fail to arrive.
 func TestNoBaselineServers(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// failureRate is one in how many requests fails, 0 for none.
+		// failEvery makes one in that many requests fail; 0 means none.
 		failEvery int
-		// heardUntil is until when a server of the version before is heard.
+		// baselineUntil is when the counts of the baseline server stop arriving.
 		baselineUntil time.Duration
 		want          canary.State
 	}{
-		{"good, none before", 0, 0, canary.Complete},
-		{"bad, none before", 3, 0, canary.RolledBack},
-		{"good, the last one goes", 0, 5 * time.Second, canary.Complete},
-		{"bad, the last one goes", 3, 5 * time.Second, canary.RolledBack},
+		{"good, no baseline", 0, 0, canary.Complete},
+		{"bad, no baseline", 3, 0, canary.RolledBack},
+		{"good, the last baseline server leaves", 0, 5 * time.Second, canary.Complete},
+		{"bad, the last baseline server leaves", 3, 5 * time.Second, canary.RolledBack},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ju, ramp := New("v2", 10*time.Second), Ramp{}
@@ -165,7 +165,7 @@
 	}
 }
 
-// TestCheckpoints guards against a judge that grows without bound with the time of a rollout.
+// TestCheckpoints guards against a judge whose memory grows without bound during a long rollout.
 func TestCheckpoints(t *testing.T) {
 	ju := New("v2", time.Hour)
 	co := &tally.Counter{}
@@ -174,17 +174,18 @@
 		ju.Look(now, map[string]tally.Sum{"a": {"v1": {{Servers: 1, Routes: co.Rows()}}}})
 	}
 	if n := len(ju.checkpointTimes); n > 40 {
-		t.Errorf("%d times are kept", n)
+		t.Errorf("%d checkpoints are kept, want at most 40", n)
 	}
 	for _, sr := range ju.servers {
 		if se := sr.routes[""]; len(se.checkpoints) != len(ju.checkpointTimes) {
-			t.Errorf("%d marks at %d times", len(se.checkpoints), len(ju.checkpointTimes))
+			t.Errorf("a series has %d checkpoints, the judge %d", len(se.checkpoints), len(ju.checkpointTimes))
 		}
 	}
 }
 
-// TestHistory guards against a comparison with what the servers before did at another load, and
-// against a share that goes by it.
+// TestHistory guards against comparing the target with requests that the baseline served under a
+// different load before the first observation, and against counting these requests when the
+// target's share is computed.
 func TestHistory(t *testing.T) {
 	ju := New("v2", 10*time.Second)
 	var baseline, target tally.Counter
@@ -202,12 +203,12 @@
 		t.Errorf("evidence %.1f, %+v, compared %t", ev, cause, compared)
 	}
 	if ju.totalRequests != 2*230 {
-		t.Errorf("%d requests since the first look, want 460", ju.totalRequests)
+		t.Errorf("%d requests since the first observation, want 460", ju.totalRequests)
 	}
 }
 
-// TestRouteWithoutReference guards against service times of a route that no other server has run
-// since the first look: they count as slow beside those of other routes.
+// TestRouteWithoutReference guards against the service times of a route that no baseline server has
+// served since the first observation: beside those of other routes they would count as slow.
 func TestRouteWithoutReference(t *testing.T) {
 	ju := New("v2", 10*time.Second)
 	var baseline, target tally.Counter
--- a/internal/roll/judge/ramp.go
+++ b/internal/roll/judge/ramp.go
@@ -7,75 +7,80 @@
 	"github.com/flamingomast/flamingomast/internal/roll/canary"
 )
 
-// The ramp, in parts of the time that an order gives. Most of it is spent at small shares,
-// since a bad version may get a tenth of the requests at most.
+// The stages of a rollout. Times are fractions of the duration of the order. Most of it is spent at
+// small shares, since a bad version may get at most a tenth of the requests.
 const (
-	// initialShare goes to the target until canaryAt, and preRampShare until rampAt.
+	// The target gets initialShare until canaryAt, and canaryShare until rampAt.
 	initialShare = 0.03
 	canaryAt     = 0.40
 	canaryShare  = 0.04
 	rampAt       = 0.80
-	// At full, after a step of rampStepTime each, all requests go to the target, and the servers
-	// before run out of work.
+	// rampStepTime is the length of each step of the ramp. In the last one all requests go to the
+	// target, and the baseline servers finish theirs.
 	rampStepTime = 0.045
 	// rampDeadline is when the ramp has to have begun, decisionDeadline when the rollout ends.
 	rampDeadline     = 0.86
 	decisionDeadline = 0.95
-	// minRampRequests is how many requests the target has to have run before the ramp. A quiet
-	// service gets a larger share, up to maxLowTrafficShare, to come to lowTrafficRequests.
+	// minRampRequests is how many requests the target has to have served before the ramp. If the
+	// service has little traffic, the target gets a larger share, up to maxLowTrafficShare, so that
+	// it serves about lowTrafficRequests by then.
 	minRampRequests    = 25
 	lowTrafficRequests = 40
 	maxLowTrafficShare = 0.3
-	// resumeRequests is how many requests a judge that takes over sees before it goes on.
+	// resumeRequests is how many requests of the target a judge that takes over has to observe
+	// before the last step.
 	resumeRequests = 15
-	// minObserved is for how long the requests of a service are counted before that.
+	// minObserved is how long the traffic of a service is measured before the share is raised.
 	minObserved = 0.08
-	// initialServers is how many servers take the first requests, so that those that are bad by
-	// themselves are a few among them.
+	// initialServers is the least number of target servers that get the first requests, so that
+	// individually bad ones are a minority among them.
 	initialServers = 12
 )
 
-// The evidence against a version, as the logarithm of how many times as likely it is to be
-// bad as to be good.
+// Thresholds of the evidence against the target, a log Bayes factor.
 const (
 	// rejectAbove ends a rollout at once.
 	rejectAbove = 6.0
-	// suspectAbove ends a rollout after maxSuspectTime, once the target has run minSuspectRequests.
+	// suspectAbove ends a rollout once the evidence has stayed at or above it for maxSuspectTime
+	// and the target has served minSuspectRequests.
 	suspectAbove       = 0.0
 	minSuspectRequests = 50
 	maxSuspectTime     = 2500 * time.Millisecond
-	// acceptBelow is the evidence below which a rollout goes on, and acceptBelowFewServers that with
-	// fewer than fewServers servers of the target: the speeds of some machines may lie as far
-	// apart as those of versions.
+	// acceptBelow is the evidence below which the ramp advances. With fewer than fewServers target
+	// servers it is acceptBelowFewServers: the speeds of a few machines may differ as much as those
+	// of versions.
 	acceptBelow           = 0.0
 	acceptBelowFewServers = -1.0
 	fewServers            = 5
 )
 
-// rampShares are the shares of the steps of the ramp.
+// rampShares are the target's shares in the steps of the ramp.
 var rampShares = []float64{0.2, 0.4, 1}
 
-// Ramp walks a rollout through its stages. The zero value stands at the first.
+// Ramp takes a rollout through its stages. The zero value is at the first one.
 type Ramp struct {
-	// step is the one of the ramp, from 1 on, and since when it lasts.
+	// step is the number of the current step of the ramp, 0 before the ramp, and stepStart when
+	// that step began.
 	step      int
 	stepStart time.Duration
-	// resumed is set until the first decision of a ramp that goes on elsewhere. Its last step
-	// begins once the target has run resumeAfter requests in all.
+	// resumed is set from Resume until the next call of Step, which sets resumeAfter: the last step
+	// begins once the target has served that many requests in all.
 	resumed     bool
 	resumeAfter uint64
-	// suspectSince is since when the evidence has raised doubts, if doubts is set.
+	// suspectSince is since when the evidence has been at least suspectAbove, if suspected is
+	// set.
 	suspectSince time.Duration
 	suspected    bool
 }
 
-// Resume returns the ramp of a rollout in which the target gets a share already: another
-// daemon has decided on it until now. The step is taken to have lasted long enough. What spoke
-// against it is not known, so the last one waits until the target has run resumeRequests more.
+// Resume returns the ramp of a rollout that another daemon has decided on until now and in which
+// the target already gets a share. The current step counts as having lasted long enough. The
+// evidence that the other daemon had is not known, so the last step waits until the target has
+// served resumeRequests more.
 func Resume(share float64) Ramp {
 	ra := Ramp{}
 	for i, rampShare := range rampShares {
-		// Shares come in thousandths.
+		// Shares are sent in thousandths.
 		if share >= rampShare-0.001 {
 			ra = Ramp{step: i + 1, resumed: true}
 		}
@@ -83,7 +88,7 @@
 	return ra
 }
 
-// Step returns what is to be done some time after the order.
+// Step returns the decision at a time after the rollout order.
 func (ra *Ramp) Step(elapsed time.Duration, ju *Judge) Decision {
 	progress := float64(elapsed) / float64(ju.duration)
 	if ra.resumed {
@@ -104,7 +109,7 @@
 		de.State = canary.RolledBack
 		return de
 	case progress >= rampDeadline && ra.step == 0, progress >= decisionDeadline && ra.step < len(rampShares):
-		// It is not known to be good, and cannot be in time any more.
+		// The target is not known to be good, and there is not enough time left to find out.
 		de.State = canary.RolledBack
 		return de
 	case targets == 0:
@@ -119,7 +124,7 @@
 	}
 	de.Share = rampShares[ra.step-1]
 	if de.Share < 1 {
-		// As many servers as have the load of the others then.
+		// Enough servers for each to carry the load that a baseline server carries.
 		de.Servers = max(1, int(math.Ceil(de.Share*float64(max(targets, baseline)))))
 		return de
 	}
@@ -134,7 +139,7 @@
 	return de
 }
 
-// suspectTime returns for how long the evidence has raised doubts.
+// suspectTime returns for how long the evidence has been at least suspectAbove.
 func (ra *Ramp) suspectTime(elapsed time.Duration, suspected bool) time.Duration {
 	if !suspected {
 		ra.suspected = false
@@ -146,7 +151,7 @@
 	return elapsed - ra.suspectSince
 }
 
-// advance goes on to the next step of the ramp once it is time.
+// advance moves on to the next step of the ramp when it is due.
 func (ra *Ramp) advance(elapsed time.Duration, progress float64, ju *Judge) {
 	stepTime := time.Duration(rampStepTime * float64(ju.duration))
 	switch {
@@ -161,8 +166,8 @@
 	ra.stepStart = elapsed
 }
 
-// preRampShare returns the share before the ramp. A quiet service gets a larger one, so that
-// the target runs enough requests until then.
+// preRampShare returns the share before the ramp. With little traffic it is larger, so that the
+// target serves enough requests before the ramp.
 func (ju *Judge) preRampShare(progress float64) float64 {
 	share := initialShare
 	if progress >= canaryAt {
--- a/internal/roll/judge/sim_test.go
+++ b/internal/roll/judge/sim_test.go
@@ -13,7 +13,7 @@
 	"github.com/flamingomast/flamingomast/internal/roll/tally"
 )
 
-// The bounds of a rollout, as operators state them.
+// The limits that operators require of a rollout.
 const (
 	exposureShare  = 0.1
 	exposureSlack  = 50
@@ -21,13 +21,13 @@
 	badAnswerLimit = 50
 )
 
-// The times of a simulated rollout.
+// The timing of a simulated rollout.
 const (
 	simStep = 50 * time.Millisecond
 	// tallyInterval is how often the daemons' counts arrive, tallyDelay how old they are then.
 	tallyInterval = 300 * time.Millisecond
 	tallyDelay    = 300 * time.Millisecond
-	// decisionDelay is how long a decision takes to be in force at all outlets.
+	// decisionDelay is how long a decision takes to reach all outlets.
 	decisionDelay = 150 * time.Millisecond
 )
 
@@ -36,21 +36,22 @@
 	software, domain string
 	speed            float64
 	counter          tally.Counter
-	// slowdown and failing are what a fault does to it.
+	// slowdown and failureRate are the effects of a fault.
 	slowdown, failureRate float64
 	coldUntil             time.Duration
 }
 
-// defect is how a version of the software is bad.
+// defect describes how a version of the software is bad.
 type defect struct {
 	failureRate, slowdown float64
-	// startsAt is when it turns bad, and from which load on, route on which route only.
+	// startsAt is when the defect sets in, minLoad from which load on, and route on which route
+	// only; -1 stands for all routes.
 	startsAt time.Duration
 	minLoad  float64
 	route    int
 }
 
-// simulation is a service that is rolled out.
+// simulation is a service with a rollout in progress.
 type simulation struct {
 	rnd      *rand.Rand
 	duration time.Duration
@@ -65,13 +66,14 @@
 	// partitioned is a failure domain whose counts do not arrive from partitionAt for partitionFor.
 	partitioned               string
 	partitionAt, partitionFor time.Duration
-	// takeoverAt is when another daemon, that knows only the counts, goes on deciding.
+	// takeoverAt are the times at which another daemon takes over the decisions, knowing only the
+	// counts and the current share.
 	takeoverAt []time.Duration
-	// countsLostAt is when half of the daemons begin to count anew.
+	// countsLostAt is when half of the servers' counts start again at zero.
 	countsLostAt time.Duration
 }
 
-// simResult is how a simulated rollout ended.
+// simResult is the outcome of a simulated rollout.
 type simResult struct {
 	state                         canary.State
 	endedAt                       time.Duration
@@ -87,7 +89,7 @@
 		ramp          Ramp
 		share         float64
 		targetServers int
-		// inForce are decisions that take effect later.
+		// pending are decisions that have not taken effect yet.
 		pending    []pendingDecision
 		history    []snapshot
 		badAnswers int
@@ -154,7 +156,7 @@
 	sums map[string]tally.Sum
 }
 
-// serve plays the requests of one step and returns how many answers of the target were bad.
+// serve simulates the requests of one step and returns how many of the target's answers were bad.
 func (si *simulation) serve(rs *simResult, now time.Duration, rate, share float64, targetServers, badBefore int) (badAnswers int) {
 	var baseline, targets []*simServer
 	for _, sr := range si.servers {
@@ -220,7 +222,7 @@
 	return n
 }
 
-// latest returns what the servers have counted, by failure domain.
+// sums returns the servers' counts by failure domain.
 func (si *simulation) sums() map[string]tally.Sum {
 	sums := map[string]tally.Sum{}
 	for _, sr := range si.servers {
@@ -232,8 +234,8 @@
 	return sums
 }
 
-// newSimulation returns a service of n servers in three failure domains at a load of its
-// slots, and as many servers of another version.
+// newSimulation returns a service of n servers in three failure domains, with a random rate
+// of requests, and as many servers of the target.
 func newSimulation(seed uint64, n int) *simulation {
 	rnd := rand.New(rand.NewPCG(seed, 7))
 	si := &simulation{
@@ -253,10 +255,10 @@
 	return si
 }
 
-// simFaults are what happens beside a rollout.
+// simFaults are the faults and events during a rollout that are not the target's.
 var simFaults = []struct {
 	name  string
-	apply func(wo *simulation)
+	apply func(si *simulation)
 }{
 	{"nothing", func(*simulation) {}},
 	{"a burst", func(si *simulation) {
@@ -287,7 +289,7 @@
 	{"lost counts", func(si *simulation) { si.countsLostAt = time.Duration(2+si.rnd.IntN(8)) * time.Second }},
 }
 
-// badVersions are the ways in which a version is bad.
+// badVersions are the defects of the versions to be rolled back.
 var badVersions = []struct {
 	name string
 	defect
@@ -302,7 +304,7 @@
 	{"slower on one route", defect{slowdown: 5, route: 1}},
 }
 
-// seedCount returns how many seeds are played of each case: few unless SIM_SEEDS says more.
+// seedCount returns how many seeds each case runs with: SIM_SEEDS, or a few by default.
 func seedCount(t *testing.T) uint64 {
 	if text := os.Getenv("SIM_SEEDS"); text != "" {
 		n, err := strconv.ParseUint(text, 10, 32)
@@ -316,12 +318,11 @@
 
 var simSizes = []int{3, 6, 17, 65}
 
-// minCompleted is the part of the good versions that are complete in time, by the number of
-// servers.
+// minCompleted is the least share of good versions that complete in time, by number of servers.
 var minCompleted = map[int]float64{3: 0.7, 6: 0.8, 17: 0.9, 65: 0.95}
 
-// TestGoodVersions guards against good versions that are rolled back, also beside servers that
-// are bad by themselves.
+// TestGoodVersions guards against rolling back good versions, also when some servers are
+// individually bad.
 func TestGoodVersions(t *testing.T) {
 	for _, fa := range simFaults {
 		for _, n := range simSizes {
@@ -336,26 +337,26 @@
 						completed++
 						continue
 					}
-					t.Logf("seed %d: %s at %s of %s, evidence %.1f, %d requests", seed, rs.state, rs.endedAt, si.duration, rs.evidence, rs.targetRequests)
+					t.Logf("seed %d: %s at %s of %s, evidence %.1f, %d requests of the target", seed, rs.state, rs.endedAt, si.duration, rs.evidence, rs.targetRequests)
 				}
-				t.Logf("%d of %d complete", completed, runs)
+				t.Logf("%d of %d completed", completed, runs)
 				if required := uint64(minCompleted[n] * float64(runs)); completed < required {
-					t.Errorf("%d of %d complete, want %d", completed, runs, required)
+					t.Errorf("%d of %d completed, want at least %d", completed, runs, required)
 				}
 			})
 		}
 	}
 }
 
-// serverFaults are the faults that make part of the servers of both versions bad.
+// serverFaults are the faults that make some servers of both versions bad.
 var serverFaults = map[string]bool{"slow servers": true, "failing servers": true}
 
-// TestBadVersions guards against a bad version that is completed, gets more requests than it
-// may, or gets any later than it may.
+// TestBadVersions guards against a bad version that is completed, gets more requests than the
+// limit, or gets requests for longer than the limit.
 func TestBadVersions(t *testing.T) { runBadVersions(t, false) }
 
-// TestBadVersionsBesideBadServers guards against the same while servers of both versions are
-// bad for other reasons.
+// TestBadVersionsBesideBadServers guards against the same while some servers of both versions are
+// individually bad.
 func TestBadVersionsBesideBadServers(t *testing.T) { runBadVersions(t, true) }
 
 func runBadVersions(t *testing.T, withServerFaults bool) {
@@ -382,12 +383,12 @@
 func checkRolledBack(t *testing.T, seed uint64, rs simResult) {
 	t.Helper()
 	if rs.state != canary.RolledBack {
-		t.Errorf("seed %d: %s at %s, evidence %.1f, %d requests", seed, rs.state, rs.endedAt, rs.evidence, rs.targetRequests)
+		t.Errorf("seed %d: %s at %s, evidence %.1f, %d requests of the target; want a rollback", seed, rs.state, rs.endedAt, rs.evidence, rs.targetRequests)
 	}
 	if limit := int(exposureShare*float64(rs.totalRequests)) + exposureSlack; rs.targetRequests > limit {
-		t.Errorf("seed %d: %d requests of %d reached it, %d may (%s at %s)", seed, rs.targetRequests, rs.totalRequests, limit, rs.state, rs.endedAt)
+		t.Errorf("seed %d: %d of %d requests reached the bad version, limit %d (%s at %s)", seed, rs.targetRequests, rs.totalRequests, limit, rs.state, rs.endedAt)
 	}
 	if rs.badLimitAt > 0 && rs.lastTargetAt > rs.badLimitAt+rollbackLimit {
-		t.Errorf("seed %d: the last request at %s, the 50th bad answer at %s", seed, rs.lastTargetAt, rs.badLimitAt)
+		t.Errorf("seed %d: last request to the bad version at %s, 50th bad answer at %s", seed, rs.lastTargetAt, rs.badLimitAt)
 	}
 }
--- a/internal/roll/judge/windows.go
+++ b/internal/roll/judge/windows.go
@@ -10,28 +10,28 @@
 	"github.com/flamingomast/flamingomast/internal/roll/tally"
 )
 
-// Cause is where the evidence against a version comes from.
+// Cause tells where the evidence against a version comes from.
 type Cause struct {
-	// Measure is failures or slowness, Route the route, empty for all together.
+	// Measure is failures or slowness; Route is empty for all routes together.
 	Measure, Route string
-	// Window is the time over which the version was compared.
+	// Window is the length of time over which the versions were compared.
 	Window time.Duration
 }
 
 const (
-	// maxComparedServers is how many servers of either cohort are compared, and maxComparedRoutes how many
-	// routes, those with the most requests.
+	// maxComparedServers is how many servers of the target and of the baseline each are compared,
+	// and maxComparedRoutes how many routes: those with the most requests.
 	maxComparedServers = 16
 	maxComparedRoutes  = 8
 	// minWindow is the shortest time over which versions are compared.
 	minWindow = 500 * time.Millisecond
-	// minBaselineRequests is how many requests of the others a comparison needs.
+	// minBaselineRequests is how many requests of the baseline a comparison needs.
 	minBaselineRequests = 20
 )
 
-// evidence returns the strongest evidence against the target, by route and measure, over the
-// time since the first look and over shorter ones, in which the version may have turned bad.
-// It reports whether there was anything to compare.
+// strongestEvidence returns the strongest evidence against the target, by route and measure, over
+// the time since the rollout order and over shorter windows, as the version may turn bad later. It
+// reports whether there was anything to compare.
 func (ju *Judge) strongestEvidence() (strongest float64, cause Cause, compared bool) {
 	if !ju.sawBaseline() {
 		return noEvidence, cause, ju.healthyAlone()
@@ -50,10 +50,12 @@
 		if window < minWindow {
 			break
 		}
-		// A version turns bad at any time as likely as at another.
+		// The version is equally likely to turn bad at any time, so shorter windows are less likely
+		// a priori.
 		windowPenalty := math.Log(float64(ju.lastObserved) / float64(window))
 		if start == 0 && ju.firstObserved >= takeoverAfter {
-			// All that a judge which took over has seen of others at the same moment.
+			// This window holds everything that a judge which took over has observed of both
+			// versions at the same time.
 			windowPenalty = 0
 		}
 		for _, route := range candidates {
@@ -78,7 +80,7 @@
 	return strongest, cause, compared
 }
 
-// sawBaseline reports whether any server of another version was ever heard.
+// sawBaseline reports whether counts of any baseline server ever arrived.
 func (ju *Judge) sawBaseline() bool {
 	for _, sr := range ju.servers {
 		if !sr.target {
@@ -88,8 +90,9 @@
 	return false
 }
 
-// healthyAlone reports whether the target, with no other version to compare it with or to go
-// back to, answers nearly all requests. Others may serve behind a cut, so it has to.
+// healthyAlone reports whether the target, with no baseline to compare it with or to return to,
+// answers nearly all requests. It has to, as baseline servers may be serving behind a network
+// partition.
 func (ju *Judge) healthyAlone() bool {
 	var total tally.Row
 	for _, sr := range ju.servers {
@@ -101,20 +104,20 @@
 }
 
 const (
-	// maxFailureRateAlone is the share of requests that a version without any other may fail.
+	// maxFailureRateAlone is the share of requests that the target may fail without a baseline.
 	maxFailureRateAlone = 0.05
-	// noEvidence is the evidence where the target looks no worse than the others.
+	// noEvidence is the evidence where the target looks no worse than the baseline.
 	noEvidence = -10.0
-	// minFailures is how many failures are compared, and minExcessFailureRate the share of them
-	// above that of healthy servers.
+	// minFailures is the least number of failures that are compared, and minExcessFailureRate by
+	// how much the failure rate has to exceed that of healthy servers.
 	minFailures          = 2
 	minExcessFailureRate = 0.02
 	// minSlowdown is by how many doublings the target has to be slower than fast servers.
 	minSlowdown = 0.75
 )
 
-// suspectMeasures returns the measures by which the target looks worse than the better ones of the
-// others. By the rest it would be taken for good.
+// suspectMeasures returns the measures by which the target looks worse than the better servers of
+// the baseline. By the other measures the target would be found good.
 func suspectMeasures(baseline, targets []observation) (list []*measure) {
 	var target tally.Row
 	for i := range targets {
@@ -137,13 +140,13 @@
 	return list
 }
 
-// lowerQuartile returns the lower quartile of a list.
+// lowerQuartile returns the lower quartile of a list, which it sorts.
 func lowerQuartile(list []float64) float64 {
 	slices.Sort(list)
 	return list[len(list)/4]
 }
 
-// slownessAround returns the measure of service times beside those of some servers.
+// slownessAround returns the measure of service times relative to those of baseline servers.
 func slownessAround(baseline []observation) *measure {
 	meanSum, squaredDeviations, n := 0.0, 0.0, 0.0
 	for i := range baseline {
@@ -166,7 +169,7 @@
 	return slowness.centeredOn(meanSum/n/tally.UnitsPerDoubling, squaredDeviations/timed/(tally.UnitsPerDoubling*tally.UnitsPerDoubling))
 }
 
-// busiestRoutes returns the routes that the target has run most requests of.
+// busiestRoutes returns the routes on which the target has served the most requests.
 func (ju *Judge) busiestRoutes() []string {
 	requests := map[string]uint64{}
 	for _, sr := range ju.servers {
@@ -182,8 +185,8 @@
 	return names[:min(len(names), maxComparedRoutes)]
 }
 
-// routeMeans returns the mean logarithm of the service times of the others by route, in units of
-// the counts, so that the routes of a server can be added up.
+// routeMeans returns the mean logarithm of the baseline's service times by route, in units of
+// tally.LogUnits, so that the times of different routes can be added up.
 func (ju *Judge) routeMeans() map[string]uint64 {
 	totals := map[string]tally.Row{}
 	for _, sr := range ju.servers {
@@ -204,9 +207,9 @@
 	return means
 }
 
-// observations returns what the servers of both cohorts did on a route, or on all together, since
-// one of the judge's times and before it. A start of -1 is that of the rollout. What a server
-// did on other routes counts as before: a server that is bad by itself is so on all routes.
+// observations returns the counts of the servers of the baseline and the target, on a route or on
+// all together, since a checkpoint and before it. A start of -1 is the start of the rollout. Counts
+// on other routes are added to the history, since an individually bad server is bad on all routes.
 func (ju *Judge) observations(start int, route string, means map[string]uint64) (baseline, targets []observation) {
 	requests := uint64(0)
 	for _, sr := range ju.servers {
@@ -241,11 +244,12 @@
 	return busiestServers(baseline), busiestServers(targets)
 }
 
-// logOrigin is where shifted logarithms are centered, so that none is negative.
+// logOrigin is the value to which recenter moves a mean, large enough that no logarithm gets
+// negative.
 const logOrigin = 64 * tally.UnitsPerDoubling
 
-// recenter returns a row with its logarithms moved so that a mean lies at the origin. Without a
-// mean that is known the times cannot be compared, and are left out.
+// recenter returns counts with their logarithms shifted so that the given mean moves to logOrigin.
+// Without a known mean the service times cannot be compared and are left out.
 func recenter(counts tally.Row, mean uint64, known bool) tally.Row {
 	if !known {
 		return tally.Row{Requests: counts.Requests, Failures: counts.Failures}
--- a/internal/roll/order/doc.go
+++ b/internal/roll/order/doc.go
@@ -1,3 +1,2 @@
-// Package order has the project's own format of orders of rollouts in the store, and of their
-// state.
+// Package order has the store's JSON format of rollout orders and of the state of rollouts.
 package order
--- a/internal/roll/order/order_test.go
+++ b/internal/roll/order/order_test.go
@@ -7,7 +7,8 @@
 	"github.com/flamingomast/flamingomast/internal/roll/canary"
 )
 
-// TestDecode guards against orders of other writers that would be taken in part.
+// TestDecode guards against orders of other writers that would be accepted although they are
+// incomplete or invalid.
 func TestDecode(t *testing.T) {
 	const good = `{"service":"booking","target":"v2","duration-ms":12000}`
 	for _, tc := range []struct {
@@ -41,6 +42,6 @@
 		}
 	}
 	if _, _, err := DecodeStatus([]byte(`{"state":"lost"}`)); err == nil {
-		t.Error("an unknown state was read")
+		t.Error("an unknown state was decoded")
 	}
 }
--- a/internal/roll/tally/doc.go
+++ b/internal/roll/tally/doc.go
@@ -1,3 +1,3 @@
-// Package tally counts what a backend server does with its requests, by route, so that
-// versions of its software can be compared.
+// Package tally counts the requests of a backend server by route, with their failures and service
+// times, so that versions of its software can be compared.
 package tally
--- a/internal/roll/tally/tally.go
+++ b/internal/roll/tally/tally.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// UnitsPerDoubling is how many units of logarithm a doubling of a service time is.
+// UnitsPerDoubling is the number of logarithm units in a doubling of a service time.
 const UnitsPerDoubling = 16
 
-// Row counts the requests of one route. Only its methods and those of Counter change it.
+// Counts has the counts of one route. Only its methods and those of Counter change it.
 type Row struct {
 	Requests, Failures uint64
-	// Timed counts the requests whose service time is known, the time for which they held
-	// a slot. Logs adds up the logarithms of these times from a microsecond on, and
-	// Squares their squares, so that rows of several moments can be added and subtracted.
+	// Timed counts the requests whose service time is known: the time for which they held a slot.
+	// LogSum is the sum of the logarithms of these times (see LogUnits), and LogSquareSum that of
+	// their squares, so that counts of several moments can be added and subtracted.
 	Timed, Logs, Squares uint64
 }
 
@@ -28,8 +28,8 @@
 	ct.Squares += other.Squares
 }
 
-// Since returns what was counted after an earlier state of the row. It reports whether that
-// was an earlier state: the counts of a process that was replaced begin anew.
+// Since returns the difference to an earlier state of the counts. It reports false if before is not
+// an earlier state: the counts of a replaced process start again at zero.
 func (ct *Row) Since(before *Row) (Row, bool) {
 	delta := Row{
 		Requests: ct.Requests - before.Requests, Failures: ct.Failures - before.Failures,
@@ -40,7 +40,7 @@
 	return delta, ok
 }
 
-// ScaledTo returns the row as if it had so many requests, if it has more.
+// ScaledTo returns the counts scaled down to the given number of requests, if there are more.
 func (ct *Row) ScaledTo(requests uint64) Row {
 	if ct.Requests <= requests {
 		return *ct
@@ -49,30 +49,31 @@
 	scale := func(n uint64) uint64 { return uint64(math.Round(factor * float64(n))) }
 	scaled := Row{Requests: requests, Failures: scale(ct.Failures), Timed: scale(ct.Timed)}
 	if ct.Timed > 0 {
-		// By the rounded number, so that the mean stays.
+		// Scaled by the rounded number of times, so that their mean stays the same.
 		factor = float64(scaled.Timed) / float64(ct.Timed)
 		scaled.Logs, scaled.Squares = scale(ct.Logs), scale(ct.Squares)
 	}
 	return scaled
 }
 
-// LogUnits returns the logarithm of a service time in units of Row.Logs.
+// LogUnits returns the logarithm of a service time in microseconds, in units of 1/UnitsPerDoubling
+// of a doubling; 0 for times of up to a microsecond.
 func LogUnits(serviceTime time.Duration) uint64 {
 	us := max(1, serviceTime.Microseconds())
 	return uint64(math.Round(UnitsPerDoubling * math.Log2(float64(us))))
 }
 
-// Counter counts the requests of one start of a backend server. The zero value is ready
-// for use; its methods may be called from any goroutine.
+// Counter counts the requests of one process of a backend server. The zero value is ready for use;
+// its methods may be called from any goroutine.
 type Counter struct {
-	routes sync.Map // of *cells by the name of the route
+	routes sync.Map // of *atomicCounts by route
 }
 
 type atomicCounts struct {
 	requests, failures, timed, logs, squares atomic.Uint64
 }
 
-// Add counts a request that ended. A held time of 0 is not counted.
+// Add counts a request that ended. A service time of 0 is not counted.
 func (co *Counter) Add(route string, failed bool, serviceTime time.Duration) {
 	v, ok := co.routes.Load(route)
 	if !ok {
@@ -91,7 +92,7 @@
 	}
 }
 
-// Rows returns the counts by route.
+// Snapshot returns the current counts by route.
 func (co *Counter) Rows() map[string]*Row {
 	rows := map[string]*Row{}
 	co.routes.Range(func(key, value any) bool {
@@ -105,16 +106,16 @@
 	return rows
 }
 
-// Cohort is what one server of a software version did, or several as one.
+// Cohort has the counts of one server of a software version, or those of several together.
 type Cohort struct {
 	// VM is the server's VM.
 	VM string
-	// Servers is how many there are, Running how many requests they run at the moment.
+	// Servers is the number of servers, Running the number of requests that they are running.
 	Servers, Running int
 	Routes           map[string]*Row
 }
 
-// Sum is what the servers of a service in one failure domain did, by software version.
+// Cohorts has the counts of a service's servers in one failure domain, by software version.
 type Sum map[string][]*Cohort
 
 // Add adds a cohort of a version.
--- a/internal/roll/tally/tally_test.go
+++ b/internal/roll/tally/tally_test.go
@@ -17,13 +17,13 @@
 		{1024 * time.Microsecond, 160}, {1448 * time.Microsecond, 168}, {2048 * time.Microsecond, 176}, {time.Second, 319}, {time.Hour, 508},
 	} {
 		if got := LogUnits(tc.serviceTime); got != tc.want {
-			t.Errorf("Log(%v) = %d, want %d", tc.serviceTime, got, tc.want)
+			t.Errorf("LogUnits(%v) = %d, want %d", tc.serviceTime, got, tc.want)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		a := time.Duration(rapid.Int64Range(int64(time.Millisecond), int64(20*time.Second)).Draw(t, "a"))
 		if x, y := LogUnits(a), LogUnits(2*a); y != x+UnitsPerDoubling && y != x+UnitsPerDoubling+1 {
-			t.Fatalf("twice %v is %d units later", a, y-x)
+			t.Fatalf("twice %v is %d units more, want 16 or 17", a, y-x)
 		}
 	})
 }
@@ -50,7 +50,7 @@
 	}
 }
 
-// TestSince guards against counts that seem to go back as a process is replaced.
+// TestSince guards against counts that go back when a process is replaced.
 func TestSince(t *testing.T) {
 	one, two := Row{5, 1, 5, 20, 80}, Row{9, 1, 8, 32, 130}
 	if got, ok := two.Since(&one); !ok || got != (Row{4, 0, 3, 12, 50}) {
@@ -58,7 +58,7 @@
 	}
 	for _, before := range []Row{{10, 1, 8, 32, 130}, {9, 2, 8, 32, 130}, {9, 1, 9, 32, 130}, {9, 1, 8, 33, 130}, {9, 1, 8, 32, 131}} {
 		if _, ok := two.Since(&before); ok {
-			t.Errorf("%+v counts as earlier", before)
+			t.Errorf("Since takes %+v for an earlier state", before)
 		}
 	}
 }
