--- a/internal/roll/canary/canary_test.go
+++ b/internal/roll/canary/canary_test.go
@@ -171,14 +171,14 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var ad Admission
-			for i, st := range tc.steps {
-				got, next := ad.Look("s", st.ro, st.servers, start.Add(st.after))
+			for i, sp := range tc.steps {
+				got, next := ad.Look("s", sp.ro, sp.servers, start.Add(sp.after))
 				wantNext := time.Time{}
-				if st.next > 0 {
-					wantNext = start.Add(st.next)
+				if sp.next > 0 {
+					wantNext = start.Add(sp.next)
 				}
-				if !maps.Equal(got, st.want) || !next.Equal(wantNext) {
-					t.Errorf("step %d: cohorts %v until %v, want %v until %v", i, got, next.Sub(start), st.want, st.next)
+				if !maps.Equal(got, sp.want) || !next.Equal(wantNext) {
+					t.Errorf("step %d: cohorts %v until %v, want %v until %v", i, got, next.Sub(start), sp.want, sp.next)
 				}
 			}
 		})
--- a/internal/roll/judge/judge.go
+++ b/internal/roll/judge/judge.go
@@ -81,10 +81,9 @@
 	maxHistoryRequests = 20
 )
 
-// update adds what a server has counted since the previous observation. Requests that the baseline
-// served before the first observation were served under a different load and do not count. A judge
-// that takes over counts a few of them, as there may not be enough time left to observe enough
-// requests.
+// update adds what a server has counted since the previous observation. What a baseline server had
+// counted when it was first observed was served under a different load and is left out. A judge that
+// takes over counts some of it, as there may not be time left for enough requests.
 func (ju *Judge) update(key serverKey, routes map[string]*tally.Row, elapsed time.Duration) {
 	sr := ju.servers[key]
 	if sr == nil {
@@ -152,8 +151,9 @@
 	// servers that take them.
 	Share   float64
 	Servers int
-	// Evidence is the log Bayes factor of a bad against a good target, and Cause where it comes
-	// from. Requests is how many requests the target has served.
+	// Evidence is the strongest evidence against the target, a log Bayes factor less the penalties
+	// for its window and route, and Cause where it comes from. Requests is how many requests the
+	// target has served.
 	Against  float64
 	Cause    Cause
 	Requests uint64
