--- a/internal/roll/canary/admit.go
+++ b/internal/roll/canary/admit.go
@@ -6,55 +6,55 @@
 	"time"
 )
 
-// unorderedHold is how long servers of a version that nobody ordered are kept from requests:
-// the order may be on its way. Later they are taken for a release without a rollout.
-const unorderedHold = 5 * time.Second
+// unorderedHoldDown is how long the servers of a version without a rollout order get no requests,
+// since the order may be on its way. After that they count as a release without a rollout.
+const unorderedHoldDown = 5 * time.Second
 
-// Admission decides which versions of a service's software may take requests, by the
-// rollouts known and by when a version was first seen. The zero value is ready for use; it
-// is not safe for concurrent use.
+// Admission decides which versions of a service's software take requests, by the known rollouts and
+// by when each version was first seen. The zero value is ready for use; it is not safe for
+// concurrent use.
 type Admission struct {
 	services map[string]*versions
 }
 
 // versions has when each version of one service was first seen.
 type versions struct {
-	seen map[string]time.Time
-	// admitted are those that take requests without an order.
+	firstSeen map[string]time.Time
+	// admitted are the versions that take requests without a rollout order.
 	admitted map[string]bool
 }
 
-// Look takes how many servers of each version a service has. It returns the cohort of each,
-// and when that changes if nothing else does, the zero time for never.
+// Assign returns the cohort of each version of a service, given the number of its servers. next is
+// when a cohort changes if nothing else does, the zero time for never.
 func (ad *Admission) Look(service string, ro *Rollout, servers map[string]int, now time.Time) (cohorts map[string]Cohort, next time.Time) {
 	if ad.services == nil {
 		ad.services = map[string]*versions{}
 	}
 	vs := ad.services[service]
 	if vs == nil {
-		vs = &versions{seen: map[string]time.Time{}, admitted: map[string]bool{}}
+		vs = &versions{firstSeen: map[string]time.Time{}, admitted: map[string]bool{}}
 		ad.services[service] = vs
 	}
-	maps.DeleteFunc(vs.seen, func(software string, _ time.Time) bool { return servers[software] == 0 })
+	maps.DeleteFunc(vs.firstSeen, func(software string, _ time.Time) bool { return servers[software] == 0 })
 	maps.DeleteFunc(vs.admitted, func(software string, _ bool) bool { return servers[software] == 0 })
 	for software := range servers {
-		if vs.seen[software].IsZero() {
-			vs.seen[software] = now
+		if vs.firstSeen[software].IsZero() {
+			vs.firstSeen[software] = now
 		}
 	}
 	cohorts = map[string]Cohort{}
 	if ro == nil {
-		return vs.admit(servers, now)
+		return vs.cohortsWithoutRollout(servers, now)
 	}
 	for software := range servers {
 		cohort := ro.CohortOf(software)
-		if ro.State.Final() && !ro.names(software) && software != "" {
-			// A release without a rollout, after one.
-			until := vs.seen[software].Add(unorderedHold)
+		if ro.State.Final() && !ro.includes(software) && software != "" {
+			// A release without a rollout, after a rollout has ended.
+			until := vs.firstSeen[software].Add(unorderedHoldDown)
 			cohort = Baseline
 			if now.Before(until) && !vs.admitted[software] {
 				cohort = Idle
-				next = sooner(next, until)
+				next = earlier(next, until)
 			}
 		}
 		cohorts[software] = cohort
@@ -65,22 +65,23 @@
 	return cohorts, next
 }
 
-// sooner returns the sooner one of two times, of which the zero time is never.
-func sooner(a, b time.Time) time.Time {
+// earlier returns the earlier of two times, of which the zero time is never.
+func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
 	}
 	return a
 }
 
-// admit returns the cohorts of a service without a rollout.
-func (vs *versions) admit(servers map[string]int, now time.Time) (cohorts map[string]Cohort, next time.Time) {
+// cohortsWithoutRollout returns the cohorts of a service without a rollout. Versions that are left
+// out are Baseline.
+func (vs *versions) cohortsWithoutRollout(servers map[string]int, now time.Time) (cohorts map[string]Cohort, next time.Time) {
 	cohorts = map[string]Cohort{}
 	if len(vs.admitted) == 0 && len(servers) > 0 {
-		vs.admitted[mostUsed(servers)] = true
+		vs.admitted[mostDeployed(servers)] = true
 	}
 	for software := range servers {
-		until := vs.seen[software].Add(unorderedHold)
+		until := vs.firstSeen[software].Add(unorderedHoldDown)
 		if software == "" || !now.Before(until) {
 			vs.admitted[software] = true
 		}
@@ -88,14 +89,13 @@
 			continue
 		}
 		cohorts[software] = Idle
-		next = sooner(next, until)
+		next = earlier(next, until)
 	}
 	return cohorts, next
 }
 
-// mostUsed returns the version with the most servers, the first by name of those with as
-// many.
-func mostUsed(servers map[string]int) (best string) {
+// mostDeployed returns the version with the most servers, the first by name of several.
+func mostDeployed(servers map[string]int) (best string) {
 	for i, software := range slices.Sorted(maps.Keys(servers)) {
 		if i == 0 || servers[software] > servers[best] {
 			best = software
--- a/internal/roll/judge/ramp.go
+++ b/internal/roll/judge/ramp.go
@@ -7,171 +7,176 @@
 	"github.com/flamingomast/flamingomast/internal/roll/canary"
 )
 
-// The ramp, in parts of the time that an order gives. Most of it is spent at small shares,
-// since a bad version may get a tenth of the requests at most.
+// The stages of a rollout. Times are fractions of the duration of the order. Most of it is spent at
+// small shares, since a bad version may get at most a tenth of the requests.
 const (
-	// firstShare goes to the target until watchAt, and watchShare until rampAt.
-	firstShare = 0.03
-	watchAt    = 0.40
-	watchShare = 0.04
-	rampAt     = 0.80
-	// At full, after a step of rampTime each, all requests go to the target, and the servers
-	// before run out of work.
-	rampTime = 0.045
-	// lastRamp is when the ramp has to have begun, endAt when the rollout ends.
-	lastRamp = 0.86
-	endAt    = 0.95
-	// rampRequests is how many requests the target has to have run before the ramp. A quiet
-	// service gets a larger share, up to quietShare, to come to quietRequests.
-	rampRequests  = 25
-	quietRequests = 40
-	quietShare    = 0.3
-	// resumeRequests is how many requests a judge that takes over sees before it goes on.
+	// The target gets initialShare until canaryAt, and canaryShare until rampAt.
+	initialShare = 0.03
+	canaryAt     = 0.40
+	canaryShare  = 0.04
+	rampAt       = 0.80
+	// rampStepTime is the length of each step of the ramp. In the last one all requests go to the
+	// target, and the baseline servers finish theirs.
+	rampStepTime = 0.045
+	// rampDeadline is when the ramp has to have begun, decisionDeadline when the rollout ends.
+	rampDeadline     = 0.86
+	decisionDeadline = 0.95
+	// minRampRequests is how many requests the target has to have served before the ramp. If the
+	// service has little traffic, the target gets a larger share, up to maxLowTrafficShare, so that
+	// it serves about lowTrafficRequests by then.
+	minRampRequests    = 25
+	lowTrafficRequests = 40
+	maxLowTrafficShare = 0.3
+	// resumeRequests is how many requests of the target a judge that takes over has to observe
+	// before the last step.
 	resumeRequests = 15
-	// leastSeen is for how long the requests of a service are counted before that.
-	leastSeen = 0.08
-	// firstServers is how many servers take the first requests, so that those that are bad by
-	// themselves are a few among them.
-	firstServers = 12
+	// minObserved is how long the traffic of a service is measured before the share is raised.
+	minObserved = 0.08
+	// initialServers is the least number of target servers that get the first requests, so that
+	// individually bad ones are a minority among them.
+	initialServers = 12
 )
 
-// The evidence against a version, as the logarithm of how many times as likely it is to be
-// bad as to be good.
+// Thresholds of the evidence against the target, a log Bayes factor.
 const (
 	// rejectAbove ends a rollout at once.
 	rejectAbove = 6.0
-	// doubtAbove ends a rollout after doubtTime, once the target has run doubtRequests.
-	doubtAbove    = 0.0
-	doubtRequests = 50
-	doubtTime     = 2500 * time.Millisecond
-	// acceptBelow is the evidence below which a rollout goes on, and acceptBelowFew that with
-	// fewer than fewServers servers of the target: the speeds of some machines may lie as far
-	// apart as those of versions.
-	acceptBelow    = 0.0
-	acceptBelowFew = -1.0
-	fewServers     = 5
+	// suspectAbove ends a rollout once the evidence has stayed at or above it for maxSuspectTime
+	// and the target has served minSuspectRequests.
+	suspectAbove       = 0.0
+	minSuspectRequests = 50
+	maxSuspectTime     = 2500 * time.Millisecond
+	// acceptBelow is the evidence below which the ramp advances. With fewer than fewServers target
+	// servers it is acceptBelowFewServers: the speeds of a few machines may differ as much as those
+	// of versions.
+	acceptBelow           = 0.0
+	acceptBelowFewServers = -1.0
+	fewServers            = 5
 )
 
-// rampShares are the shares of the steps of the ramp.
+// rampShares are the target's shares in the steps of the ramp.
 var rampShares = []float64{0.2, 0.4, 1}
 
-// Ramp walks a rollout through its stages. The zero value stands at the first.
+// Ramp takes a rollout through its stages. The zero value is at the first one.
 type Ramp struct {
-	// step is the one of the ramp, from 1 on, and since when it lasts.
-	step  int
-	since time.Duration
-	// resumed is set until the first decision of a ramp that goes on elsewhere. Its last step
-	// begins once the target has run resumeFor requests in all.
-	resumed   bool
-	resumeFor uint64
-	// doubted is since when the evidence has raised doubts, if doubts is set.
-	doubted time.Duration
-	doubts  bool
+	// step is the number of the current step of the ramp, 0 before the ramp, and stepStart when
+	// that step began.
+	step      int
+	stepStart time.Duration
+	// resumed is set from Resume until the next call of Step, which sets resumeAfter: the last step
+	// begins once the target has served that many requests in all.
+	resumed     bool
+	resumeAfter uint64
+	// suspectSince is since when the evidence has been at least suspectAbove, if suspected is
+	// set.
+	suspectSince time.Duration
+	suspected    bool
 }
 
-// Resume returns the ramp of a rollout in which the target gets a share already: another
-// daemon has decided on it until now. The step is taken to have lasted long enough. What spoke
-// against it is not known, so the last one waits until the target has run resumeRequests more.
+// Resume returns the ramp of a rollout that another daemon has decided on until now and in which
+// the target already gets a share. The current step counts as having lasted long enough. The
+// evidence that the other daemon had is not known, so the last step waits until the target has
+// served resumeRequests more.
 func Resume(share float64) Ramp {
 	ra := Ramp{}
-	for i, one := range rampShares {
-		// Shares come in thousandths.
-		if share >= one-0.001 {
+	for i, rampShare := range rampShares {
+		// Shares are sent in thousandths.
+		if share >= rampShare-0.001 {
 			ra = Ramp{step: i + 1, resumed: true}
 		}
 	}
 	return ra
 }
 
-// Step returns what is to be done some time after the order.
+// Step returns the decision at a time after the rollout order.
 func (ra *Ramp) Step(elapsed time.Duration, ju *Judge) Decision {
-	part := float64(elapsed) / float64(ju.duration)
+	progress := float64(elapsed) / float64(ju.duration)
 	if ra.resumed {
-		ra.resumeFor, ra.resumed = ju.requests+resumeRequests, false
+		ra.resumeAfter, ra.resumed = ju.targetRequests+resumeRequests, false
 	}
-	targets, others, running := ju.count()
-	de := Decision{State: canary.InProgress, Requests: ju.requests}
+	targets, baseline, running := ju.countServers()
+	de := Decision{State: canary.InProgress, Requests: ju.targetRequests}
 	if ra.step > 0 {
 		de.Servers = targets
 	} else {
-		de.Servers = max(firstServers, int(math.Ceil(2*watchShare*float64(targets))))
+		de.Servers = max(initialServers, int(math.Ceil(2*canaryShare*float64(targets))))
 	}
 	var compared bool
-	de.Against, de.Cause, compared = ju.against()
-	accepted := compared && (de.Against < acceptBelowFew || de.Against < acceptBelow && targets >= fewServers)
+	de.Against, de.Cause, compared = ju.strongestEvidence()
+	accepted := compared && (de.Against < acceptBelowFewServers || de.Against < acceptBelow && targets >= fewServers)
 	switch {
-	case de.Against >= rejectAbove, ra.doubt(elapsed, compared && de.Against >= doubtAbove) >= doubtTime && ju.requests >= doubtRequests:
+	case de.Against >= rejectAbove, ra.suspectTime(elapsed, compared && de.Against >= suspectAbove) >= maxSuspectTime && ju.targetRequests >= minSuspectRequests:
 		de.State = canary.RolledBack
 		return de
-	case part >= lastRamp && ra.step == 0, part >= endAt && ra.step < len(rampShares):
-		// It is not known to be good, and cannot be in time any more.
+	case progress >= rampDeadline && ra.step == 0, progress >= decisionDeadline && ra.step < len(rampShares):
+		// The target is not known to be good, and there is not enough time left to find out.
 		de.State = canary.RolledBack
 		return de
 	case targets == 0:
 		return de
 	}
 	if accepted {
-		ra.climb(elapsed, part, ju)
+		ra.advance(elapsed, progress, ju)
 	}
 	if ra.step == 0 {
-		de.Share = ju.watchShare(part)
+		de.Share = ju.preRampShare(progress)
 		return de
 	}
 	de.Share = rampShares[ra.step-1]
 	if de.Share < 1 {
-		// As many servers as have the load of the others then.
-		de.Servers = max(1, int(math.Ceil(de.Share*float64(max(targets, others)))))
+		// Enough servers for each to carry the load that a baseline server carries.
+		de.Servers = max(1, int(math.Ceil(de.Share*float64(max(targets, baseline)))))
 		return de
 	}
-	accepted = accepted && ju.requests >= ra.resumeFor
-	idle := running == 0 && others > 0 && part >= rampAt+float64(len(rampShares))*rampTime
+	accepted = accepted && ju.targetRequests >= ra.resumeAfter
+	idle := running == 0 && baseline > 0 && progress >= rampAt+float64(len(rampShares))*rampStepTime
 	switch {
-	case part >= endAt && !accepted:
+	case progress >= decisionDeadline && !accepted:
 		de.State = canary.RolledBack
-	case part >= endAt, idle && accepted:
+	case progress >= decisionDeadline, idle && accepted:
 		de.State = canary.Complete
 	}
 	return de
 }
 
-// doubt returns for how long the evidence has raised doubts.
-func (ra *Ramp) doubt(elapsed time.Duration, doubted bool) time.Duration {
-	if !doubted {
-		ra.doubts = false
+// suspectTime returns for how long the evidence has been at least suspectAbove.
+func (ra *Ramp) suspectTime(elapsed time.Duration, suspected bool) time.Duration {
+	if !suspected {
+		ra.suspected = false
 		return 0
 	}
-	if !ra.doubts {
-		ra.doubts, ra.doubted = true, elapsed
+	if !ra.suspected {
+		ra.suspected, ra.suspectSince = true, elapsed
 	}
-	return elapsed - ra.doubted
+	return elapsed - ra.suspectSince
 }
 
-// climb goes on to the next step of the ramp once it is time.
-func (ra *Ramp) climb(elapsed time.Duration, part float64, ju *Judge) {
-	stepTime := time.Duration(rampTime * float64(ju.duration))
+// advance moves on to the next step of the ramp when it is due.
+func (ra *Ramp) advance(elapsed time.Duration, progress float64, ju *Judge) {
+	stepTime := time.Duration(rampStepTime * float64(ju.duration))
 	switch {
-	case ra.step == 0 && part >= rampAt && ju.requests >= rampRequests:
-	case ra.step == len(rampShares)-1 && ju.requests < ra.resumeFor:
+	case ra.step == 0 && progress >= rampAt && ju.targetRequests >= minRampRequests:
+	case ra.step == len(rampShares)-1 && ju.targetRequests < ra.resumeAfter:
 		return
-	case ra.step > 0 && ra.step < len(rampShares) && elapsed-ra.since >= stepTime:
+	case ra.step > 0 && ra.step < len(rampShares) && elapsed-ra.stepStart >= stepTime:
 	default:
 		return
 	}
 	ra.step++
-	ra.since = elapsed
+	ra.stepStart = elapsed
 }
 
-// watchShare returns the share before the ramp. A quiet service gets a larger one, so that
-// the target runs enough requests until then.
-func (ju *Judge) watchShare(part float64) float64 {
-	share := firstShare
-	if part >= watchAt {
-		share = watchShare
+// preRampShare returns the share before the ramp. With little traffic it is larger, so that the
+// target serves enough requests before the ramp.
+func (ju *Judge) preRampShare(progress float64) float64 {
+	share := initialShare
+	if progress >= canaryAt {
+		share = canaryShare
 	}
-	seen := part - float64(ju.first)/float64(ju.duration)
-	if seen < leastSeen || ju.all == 0 {
+	observed := progress - float64(ju.firstObserved)/float64(ju.duration)
+	if observed < minObserved || ju.totalRequests == 0 {
 		return share
 	}
-	all := float64(ju.all) / seen
-	return max(share, min(quietShare, quietRequests/(all*(rampAt-leastSeen))))
+	expectedRequests := float64(ju.totalRequests) / observed
+	return max(share, min(maxLowTrafficShare, lowTrafficRequests/(expectedRequests*(rampAt-minObserved))))
 }
