--- a/internal/path/inlet/tally.go
+++ b/internal/path/inlet/tally.go
@@ -31,5 +31,5 @@
 
 // Counts returns the request counts of the current instance of the backend server.
 func (in *Inlet) Counts() tally.Cohort {
-	return tally.Cohort{Servers: 1, Running: in.Gate.Load().Running, Routes: in.counts.Load().Rows()}
+	return tally.Cohort{Servers: 1, Running: in.Gate.Load().Running, Routes: in.counts.Load().Snapshot()}
 }
--- a/internal/path/pick/table.go
+++ b/internal/path/pick/table.go
@@ -95,7 +95,7 @@
 // group divides the servers of a service by the cohort of their software version, and returns when
 // the cohorts change next without any other event.
 func (fl *Fleet) group(sv *snap.Service, list []*Endpoint, meanUse *utilization) (*Group, time.Time) {
-	ro := fl.Rollouts.Of(sv.Name)
+	ro := fl.Rollouts.Get(sv.Name)
 	counts := map[string]int{}
 	for _, ep := range list {
 		counts[ep.Software]++
@@ -103,7 +103,7 @@
 	var cohorts map[string]canary.Cohort
 	var next time.Time
 	if fl.Admission != nil {
-		cohorts, next = fl.Admission.Look(sv.Name, ro, counts, fl.Now)
+		cohorts, next = fl.Admission.Assign(sv.Name, ro, counts, fl.Now)
 	}
 	var baseline, target, idle []*Endpoint
 	for _, ep := range list {
--- a/internal/roll/canary/admit.go
+++ b/internal/roll/canary/admit.go
@@ -26,7 +26,7 @@
 
 // Assign returns the cohort of each version of a service, given the number of its servers. next is
 // when a cohort changes if nothing else does, the zero time for never.
-func (ad *Admission) Look(service string, ro *Rollout, servers map[string]int, now time.Time) (cohorts map[string]Cohort, next time.Time) {
+func (ad *Admission) Assign(service string, ro *Rollout, servers map[string]int, now time.Time) (cohorts map[string]Cohort, next time.Time) {
 	if ad.services == nil {
 		ad.services = map[string]*versions{}
 	}
--- a/internal/roll/canary/canary.go
+++ b/internal/roll/canary/canary.go
@@ -52,14 +52,14 @@
 	// Baseline lists the versions that served before the rollout.
 	Baseline []string
 	// StartedAt is when the order was first seen.
-	Began time.Time
+	StartedAt time.Time
 	// Stored is set if State is the state in the store.
 	Stored bool
 	// Share is the share of the requests, 0 to 1, that goes to servers of the target until
 	// ValidUntil, and Servers how many of these take requests.
-	Share   float64
-	Servers int
-	Until   time.Time
+	Share      float64
+	Servers    int
+	ValidUntil time.Time
 	// Seq orders the decisions of one rollout.
 	Seq uint64
 }
@@ -70,7 +70,7 @@
 
 // ShareAt returns the share of the requests that goes to servers of the target at a time.
 func (ro *Rollout) ShareAt(now time.Time) float64 {
-	if ro.State != InProgress || !now.Before(ro.Until) {
+	if ro.State != InProgress || !now.Before(ro.ValidUntil) {
 		return 0
 	}
 	return ro.Share
@@ -105,7 +105,7 @@
 }
 
 // Get returns the newest rollout of a service, nil for none.
-func (vw *View) Of(service string) *Rollout {
+func (vw *View) Get(service string) *Rollout {
 	if vw == nil {
 		return nil
 	}
@@ -135,7 +135,7 @@
 
 // Merge returns the view with a rollout merged in, and whether that changed the view.
 func (vw *View) Merge(ro *Rollout) (next *View, changed bool) {
-	cur := vw.Of(ro.Order.Service)
+	cur := vw.Get(ro.Order.Service)
 	if cur != nil && compare(ro, cur) <= 0 || vw != nil && cur == nil && len(vw.rollouts) >= maxServices {
 		return vw, false
 	}
--- a/internal/roll/canary/canary_test.go
+++ b/internal/roll/canary/canary_test.go
@@ -40,8 +40,8 @@
 				for _, ro := range order {
 					vw, _ = vw.Merge(ro)
 				}
-				if vw.Of("s") != newer {
-					t.Errorf("kept %+v, want %+v", vw.Of("s"), newer)
+				if vw.Get("s") != newer {
+					t.Errorf("kept %+v, want %+v", vw.Get("s"), newer)
 				}
 			}
 		})
@@ -62,7 +62,7 @@
 			for _, ro := range list {
 				vw, _ = vw.Merge(ro)
 			}
-			return vw.Of("s")
+			return vw.Get("s")
 		}
 		if a, b := merge(list), merge(rapid.Permutation(list).Draw(t, "permutation")); compare(a, b) != 0 {
 			t.Fatalf("merged to %+v in one order and to %+v in another", a, b)
@@ -72,7 +72,7 @@
 
 func TestShareAt(t *testing.T) {
 	now := time.Now()
-	ro := Rollout{State: InProgress, Share: 0.2, Until: now.Add(TTL)}
+	ro := Rollout{State: InProgress, Share: 0.2, ValidUntil: now.Add(TTL)}
 	if got := ro.ShareAt(now); got != 0.2 {
 		t.Errorf("share %v, want 0.2", got)
 	}
@@ -172,7 +172,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			var ad Admission
 			for i, sp := range tc.steps {
-				got, next := ad.Look("s", sp.ro, sp.servers, start.Add(sp.after))
+				got, next := ad.Assign("s", sp.ro, sp.servers, start.Add(sp.after))
 				wantNext := time.Time{}
 				if sp.next > 0 {
 					wantNext = start.Add(sp.next)
--- a/internal/roll/judge/judge.go
+++ b/internal/roll/judge/judge.go
@@ -15,7 +15,7 @@
 	duration time.Duration
 	servers  map[serverKey]*server
 	// latest are the counts of the last observation.
-	latest map[string]tally.Sum
+	latest map[string]tally.Cohorts
 	// checkpointTimes are the observations whose counts are kept; windows start at them.
 	checkpointTimes []time.Duration
 	// targetRequests is how many requests the target has served, totalRequests how many all servers
@@ -35,15 +35,15 @@
 // server has the counts of one backend server.
 type server struct {
 	target     bool
-	lastCounts map[string]tally.Row
+	lastCounts map[string]tally.Counts
 	routes     map[string]*series
 }
 
 // series has the counts of a server on one route: the total, and the total at each of the judge's
 // checkpoints.
 type series struct {
-	total       tally.Row
-	checkpoints []tally.Row
+	total       tally.Counts
+	checkpoints []tally.Counts
 }
 
 // New returns a Judge of a rollout to the target version, which has to end within duration.
@@ -53,7 +53,7 @@
 
 // Observe takes the counts of the service's servers by failure domain, at a time after the rollout
 // order. Failure domains from which no counts arrive are left out.
-func (ju *Judge) Look(elapsed time.Duration, byDomain map[string]tally.Sum) {
+func (ju *Judge) Observe(elapsed time.Duration, byDomain map[string]tally.Cohorts) {
 	for domain, cohorts := range byDomain {
 		for software, versionCohorts := range cohorts {
 			for i, ch := range versionCohorts {
@@ -84,10 +84,10 @@
 // update adds what a server has counted since the previous observation. What a baseline server had
 // counted when it was first observed was served under a different load and is left out. A judge that
 // takes over counts some of it, as there may not be time left for enough requests.
-func (ju *Judge) update(key serverKey, routes map[string]*tally.Row, elapsed time.Duration) {
+func (ju *Judge) update(key serverKey, routes map[string]*tally.Counts, elapsed time.Duration) {
 	sr := ju.servers[key]
 	if sr == nil {
-		sr = &server{target: key.software == ju.target, lastCounts: map[string]tally.Row{}, routes: map[string]*series{}}
+		sr = &server{target: key.software == ju.target, lastCounts: map[string]tally.Counts{}, routes: map[string]*series{}}
 		ju.servers[key] = sr
 		for name, counts := range routes {
 			if sr.target {
@@ -108,7 +108,7 @@
 			continue
 		}
 		if sr.routes[name] == nil {
-			sr.routes[name] = &series{checkpoints: make([]tally.Row, len(ju.checkpointTimes))}
+			sr.routes[name] = &series{checkpoints: make([]tally.Counts, len(ju.checkpointTimes))}
 		}
 		sr.routes[name].total.Add(&delta)
 		ju.totalRequests += delta.Requests
@@ -154,7 +154,7 @@
 	// Evidence is the strongest evidence against the target, a log Bayes factor less the penalties
 	// for its window and route, and Cause where it comes from. Requests is how many requests the
 	// target has served.
-	Against  float64
+	Evidence float64
 	Cause    Cause
 	Requests uint64
 }
--- a/internal/roll/judge/model.go
+++ b/internal/roll/judge/model.go
@@ -27,7 +27,7 @@
 	bad     [][][]int
 	// logLikelihoods sets the log likelihoods of counts at the first points, up to a common
 	// constant.
-	logLikelihoods func(list []float64, counts *tally.Row)
+	logLikelihoods func(list []float64, counts *tally.Counts)
 }
 
 // newMeasure returns a measure without logLikelihoods. The levels are those of healthy servers; a
@@ -93,7 +93,7 @@
 	for i, hazard := range me.points {
 		logs[i] = math.Log(-math.Expm1(-hazard))
 	}
-	me.logLikelihoods = func(list []float64, counts *tally.Row) {
+	me.logLikelihoods = func(list []float64, counts *tally.Counts) {
 		weight := min(1, maxEffectiveRequests/float64(counts.Requests))
 		failed, succeeded := weight*float64(counts.Failures), weight*float64(counts.Requests-counts.Failures)
 		for i := range list {
@@ -136,7 +136,7 @@
 // centeredOn returns the measure of service times relative to a mean logarithm. The variance is
 // that of the times of a single server.
 func (me measure) centeredOn(mean, variance float64) *measure {
-	me.logLikelihoods = func(list []float64, counts *tally.Row) {
+	me.logLikelihoods = func(list []float64, counts *tally.Counts) {
 		if counts.Timed == 0 {
 			return
 		}
@@ -151,13 +151,13 @@
 }
 
 // meanLog returns the mean logarithm of the service times, in doublings.
-func meanLog(counts *tally.Row) float64 {
-	return float64(counts.Logs) / float64(counts.Timed) / tally.UnitsPerDoubling
+func meanLog(counts *tally.Counts) float64 {
+	return float64(counts.LogSum) / float64(counts.Timed) / tally.UnitsPerDoubling
 }
 
 // observation has the counts of a server before a window and within it.
 type observation struct {
-	history, window tally.Row
+	history, window tally.Counts
 }
 
 // serverFit has the likelihoods of one observation.
@@ -169,7 +169,7 @@
 }
 
 // likelihoods sets the likelihoods of counts at the first points, relative to the best one.
-func (me *measure) likelihoods(list []float64, counts *tally.Row) {
+func (me *measure) likelihoods(list []float64, counts *tally.Counts) {
 	clear(list)
 	me.logLikelihoods(list, counts)
 	maxLog := slices.Max(list)
--- a/internal/roll/judge/model_test.go
+++ b/internal/roll/judge/model_test.go
@@ -14,13 +14,13 @@
 
 // withFailures returns the counts of a server that failed some of its requests.
 func withFailures(failures, requests uint64) observation {
-	return observation{window: tally.Row{Requests: requests, Failures: failures}}
+	return observation{window: tally.Counts{Requests: requests, Failures: failures}}
 }
 
 // withServiceTimes returns the counts of a server whose requests all took the same time.
 func withServiceTimes(serviceTime time.Duration, requests uint64) observation {
 	lg := tally.LogUnits(serviceTime)
-	return observation{window: tally.Row{Requests: requests, Timed: requests, Logs: lg * requests, Squares: lg * lg * requests}}
+	return observation{window: tally.Counts{Requests: requests, Timed: requests, LogSum: lg * requests, LogSquareSum: lg * lg * requests}}
 }
 
 // withHistory returns the observation with counts from before the window.
@@ -99,11 +99,11 @@
 
 // TestEvidenceIsFinite guards against counts for which the evidence overflows.
 func TestEvidenceIsFinite(t *testing.T) {
-	row := rapid.Custom(func(t *rapid.T) tally.Row {
+	row := rapid.Custom(func(t *rapid.T) tally.Counts {
 		n := rapid.Uint64Range(0, 1<<40).Draw(t, "requests")
 		timed := rapid.Uint64Range(0, n).Draw(t, "timed")
 		lg := rapid.Uint64Range(0, 600).Draw(t, "log")
-		return tally.Row{Requests: n, Failures: rapid.Uint64Range(0, n).Draw(t, "failures"), Timed: timed, Logs: lg * timed, Squares: lg * lg * timed}
+		return tally.Counts{Requests: n, Failures: rapid.Uint64Range(0, n).Draw(t, "failures"), Timed: timed, LogSum: lg * timed, LogSquareSum: lg * lg * timed}
 	})
 	list := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) observation {
 		ob := observation{history: row.Draw(t, "before"), window: row.Draw(t, "within")}
@@ -143,23 +143,23 @@
 			var de Decision
 			requests := 0
 			for now := time.Duration(0); now < 10*time.Second && !de.State.Final(); now += 250 * time.Millisecond {
-				cohorts := tally.Sum{}
+				cohorts := tally.Cohorts{}
 				for i := range counters {
 					requests++
 					counters[i].Add("", tc.failEvery > 0 && (requests+requests/len(counters))%tc.failEvery == 0, 100*time.Millisecond)
-					cohorts.Add("v2", &tally.Cohort{VM: fmt.Sprint("a-", i), Servers: 1, Routes: counters[i].Rows()})
+					cohorts.Add("v2", &tally.Cohort{VM: fmt.Sprint("a-", i), Servers: 1, Routes: counters[i].Snapshot()})
 				}
 				if now < tc.baselineUntil {
 					for range 10 {
 						baselineCounter.Add("", false, 100*time.Millisecond)
 					}
-					cohorts.Add("v1", &tally.Cohort{VM: "b-1", Servers: 1, Running: 1, Routes: baselineCounter.Rows()})
+					cohorts.Add("v1", &tally.Cohort{VM: "b-1", Servers: 1, Running: 1, Routes: baselineCounter.Snapshot()})
 				}
-				ju.Look(now, map[string]tally.Sum{"a": cohorts})
+				ju.Observe(now, map[string]tally.Cohorts{"a": cohorts})
 				de = ramp.Step(now, ju)
 			}
 			if de.State != tc.want {
-				t.Errorf("the rollout ended as %s, evidence %.1f; want %s", de.State, de.Against, tc.want)
+				t.Errorf("the rollout ended as %s, evidence %.1f; want %s", de.State, de.Evidence, tc.want)
 			}
 		})
 	}
@@ -171,7 +171,7 @@
 	co := &tally.Counter{}
 	for now := time.Duration(0); now < time.Hour; now += 250 * time.Millisecond {
 		co.Add("", false, 100*time.Millisecond)
-		ju.Look(now, map[string]tally.Sum{"a": {"v1": {{Servers: 1, Routes: co.Rows()}}}})
+		ju.Observe(now, map[string]tally.Cohorts{"a": {"v1": {{Servers: 1, Routes: co.Snapshot()}}}})
 	}
 	if n := len(ju.checkpointTimes); n > 40 {
 		t.Errorf("%d checkpoints are kept, want at most 40", n)
@@ -193,7 +193,7 @@
 		baseline.Add("", false, 20*time.Millisecond)
 	}
 	for elapsed := time.Duration(0); elapsed < 6*time.Second; elapsed += 250 * time.Millisecond {
-		ju.Look(elapsed, map[string]tally.Sum{"a": {"v1": {{VM: "a-1", Servers: 1, Routes: baseline.Rows()}}, "v2": {{VM: "a-2", Servers: 1, Routes: target.Rows()}}}})
+		ju.Observe(elapsed, map[string]tally.Cohorts{"a": {"v1": {{VM: "a-1", Servers: 1, Routes: baseline.Snapshot()}}, "v2": {{VM: "a-2", Servers: 1, Routes: target.Snapshot()}}}})
 		for range 10 {
 			baseline.Add("", false, 200*time.Millisecond)
 			target.Add("", false, 200*time.Millisecond)
@@ -213,7 +213,7 @@
 	ju := New("v2", 10*time.Second)
 	var baseline, target tally.Counter
 	for elapsed := time.Duration(0); elapsed < 4*time.Second; elapsed += 250 * time.Millisecond {
-		ju.Look(elapsed, map[string]tally.Sum{"a": {"v1": {{VM: "a-1", Servers: 1, Routes: baseline.Rows()}}, "v2": {{VM: "a-2", Servers: 1, Routes: target.Rows()}}}})
+		ju.Observe(elapsed, map[string]tally.Cohorts{"a": {"v1": {{VM: "a-1", Servers: 1, Routes: baseline.Snapshot()}}, "v2": {{VM: "a-2", Servers: 1, Routes: target.Snapshot()}}}})
 		for range 5 {
 			baseline.Add("often", false, 200*time.Millisecond)
 			target.Add("often", false, 200*time.Millisecond)
@@ -233,7 +233,7 @@
 	for now := time.Duration(0); now < 8*time.Second; now += simStep {
 		si.serve(&rs, now, si.rate, 0.04, initialServers, 0)
 		if now%tallyInterval == 0 {
-			ju.Look(now, si.sums())
+			ju.Observe(now, si.sums())
 		}
 	}
 	b.ReportAllocs()
--- a/internal/roll/judge/ramp.go
+++ b/internal/roll/judge/ramp.go
@@ -102,10 +102,10 @@
 		de.Servers = max(initialServers, int(math.Ceil(2*canaryShare*float64(targets))))
 	}
 	var compared bool
-	de.Against, de.Cause, compared = ju.strongestEvidence()
-	accepted := compared && (de.Against < acceptBelowFewServers || de.Against < acceptBelow && targets >= fewServers)
+	de.Evidence, de.Cause, compared = ju.strongestEvidence()
+	accepted := compared && (de.Evidence < acceptBelowFewServers || de.Evidence < acceptBelow && targets >= fewServers)
 	switch {
-	case de.Against >= rejectAbove, ra.suspectTime(elapsed, compared && de.Against >= suspectAbove) >= maxSuspectTime && ju.targetRequests >= minSuspectRequests:
+	case de.Evidence >= rejectAbove, ra.suspectTime(elapsed, compared && de.Evidence >= suspectAbove) >= maxSuspectTime && ju.targetRequests >= minSuspectRequests:
 		de.State = canary.RolledBack
 		return de
 	case progress >= rampDeadline && ra.step == 0, progress >= decisionDeadline && ra.step < len(rampShares):
--- a/internal/roll/judge/sim_test.go
+++ b/internal/roll/judge/sim_test.go
@@ -123,16 +123,16 @@
 			si.takeoverAt = si.takeoverAt[1:]
 			ju, ramp = New("v2", si.duration), Resume(share)
 		}
-		var counts map[string]tally.Sum
+		var counts map[string]tally.Cohorts
 		for len(history) > 0 && history[0].at <= now-tallyDelay {
 			counts, history = history[0].sums, history[1:]
 		}
 		if now >= si.partitionAt && now < si.partitionAt+si.partitionFor {
 			delete(counts, si.partitioned)
 		}
-		ju.Look(now, counts)
+		ju.Observe(now, counts)
 		de := ramp.Step(now, ju)
-		rs.evidence = de.Against
+		rs.evidence = de.Evidence
 		if de.State.Final() {
 			rs.state, rs.endedAt = de.State, now
 			de.Share = 0
@@ -153,7 +153,7 @@
 
 type snapshot struct {
 	at   time.Duration
-	sums map[string]tally.Sum
+	sums map[string]tally.Cohorts
 }
 
 // serve simulates the requests of one step and returns how many of the target's answers were bad.
@@ -223,13 +223,13 @@
 }
 
 // sums returns the servers' counts by failure domain.
-func (si *simulation) sums() map[string]tally.Sum {
-	sums := map[string]tally.Sum{}
+func (si *simulation) sums() map[string]tally.Cohorts {
+	sums := map[string]tally.Cohorts{}
 	for _, sr := range si.servers {
 		if sums[sr.domain] == nil {
-			sums[sr.domain] = tally.Sum{}
+			sums[sr.domain] = tally.Cohorts{}
 		}
-		sums[sr.domain].Add(sr.software, &tally.Cohort{Servers: 1, Routes: sr.counter.Rows()})
+		sums[sr.domain].Add(sr.software, &tally.Cohort{Servers: 1, Routes: sr.counter.Snapshot()})
 	}
 	return sums
 }
--- a/internal/roll/judge/windows.go
+++ b/internal/roll/judge/windows.go
@@ -94,7 +94,7 @@
 // answers nearly all requests. It has to, as baseline servers may be serving behind a network
 // partition.
 func (ju *Judge) healthyAlone() bool {
-	var total tally.Row
+	var total tally.Counts
 	for _, sr := range ju.servers {
 		for _, se := range sr.routes {
 			total.Add(&se.total)
@@ -119,7 +119,7 @@
 // suspectMeasures returns the measures by which the target looks worse than the better servers of
 // the baseline. By the other measures the target would be found good.
 func suspectMeasures(baseline, targets []observation) (list []*measure) {
-	var target tally.Row
+	var target tally.Counts
 	for i := range targets {
 		target.Add(&targets[i].window)
 	}
@@ -154,9 +154,9 @@
 		if counts.Timed == 0 {
 			continue
 		}
-		mean := float64(counts.Logs) / float64(counts.Timed)
+		mean := float64(counts.LogSum) / float64(counts.Timed)
 		meanSum += mean
-		squaredDeviations += float64(counts.Squares) - mean*float64(counts.Logs)
+		squaredDeviations += float64(counts.LogSquareSum) - mean*float64(counts.LogSum)
 		n++
 	}
 	if n == 0 {
@@ -188,7 +188,7 @@
 // routeMeans returns the mean logarithm of the baseline's service times by route, in units of
 // tally.LogUnits, so that the times of different routes can be added up.
 func (ju *Judge) routeMeans() map[string]uint64 {
-	totals := map[string]tally.Row{}
+	totals := map[string]tally.Counts{}
 	for _, sr := range ju.servers {
 		for name, se := range sr.routes {
 			if !sr.target {
@@ -201,7 +201,7 @@
 	means := map[string]uint64{}
 	for name, total := range totals {
 		if total.Timed > 0 {
-			means[name] = total.Logs / total.Timed
+			means[name] = total.LogSum / total.Timed
 		}
 	}
 	return means
@@ -215,7 +215,7 @@
 	for _, sr := range ju.servers {
 		var ob observation
 		for name, se := range sr.routes {
-			window, history := se.total, tally.Row{}
+			window, history := se.total, tally.Counts{}
 			if start >= 0 {
 				history = se.checkpoints[start]
 				window, _ = se.total.Since(&history)
@@ -250,13 +250,13 @@
 
 // recenter returns counts with their logarithms shifted so that the given mean moves to logOrigin.
 // Without a known mean the service times cannot be compared and are left out.
-func recenter(counts tally.Row, mean uint64, known bool) tally.Row {
+func recenter(counts tally.Counts, mean uint64, known bool) tally.Counts {
 	if !known {
-		return tally.Row{Requests: counts.Requests, Failures: counts.Failures}
+		return tally.Counts{Requests: counts.Requests, Failures: counts.Failures}
 	}
 	offset := logOrigin - mean
-	counts.Squares += 2*offset*counts.Logs + offset*offset*counts.Timed
-	counts.Logs += offset * counts.Timed
+	counts.LogSquareSum += 2*offset*counts.LogSum + offset*offset*counts.Timed
+	counts.LogSum += offset * counts.Timed
 	return counts
 }
 
--- a/internal/roll/order/order.go
+++ b/internal/roll/order/order.go
@@ -50,7 +50,7 @@
 func (or *Order) Key() string { return Prefix + or.Service }
 
 // Decode decodes and checks the order stored under a key.
-func Read(key string, value []byte) (canary.Order, error) {
+func Decode(key string, value []byte) (canary.Order, error) {
 	var or Order
 	if err := json.Unmarshal(value, &or); err != nil {
 		return canary.Order{}, fmt.Errorf("%s: %w", key, err)
--- a/internal/roll/tally/tally.go
+++ b/internal/roll/tally/tally.go
@@ -11,47 +11,47 @@
 const UnitsPerDoubling = 16
 
 // Counts has the counts of one route. Only its methods and those of Counter change it.
-type Row struct {
+type Counts struct {
 	Requests, Failures uint64
 	// Timed counts the requests whose service time is known: the time for which they held a slot.
 	// LogSum is the sum of the logarithms of these times (see LogUnits), and LogSquareSum that of
 	// their squares, so that counts of several moments can be added and subtracted.
-	Timed, Logs, Squares uint64
+	Timed, LogSum, LogSquareSum uint64
 }
 
 // Add adds the counts of other.
-func (ct *Row) Add(other *Row) {
+func (ct *Counts) Add(other *Counts) {
 	ct.Requests += other.Requests
 	ct.Failures += other.Failures
 	ct.Timed += other.Timed
-	ct.Logs += other.Logs
-	ct.Squares += other.Squares
+	ct.LogSum += other.LogSum
+	ct.LogSquareSum += other.LogSquareSum
 }
 
 // Since returns the difference to an earlier state of the counts. It reports false if before is not
 // an earlier state: the counts of a replaced process start again at zero.
-func (ct *Row) Since(before *Row) (Row, bool) {
-	delta := Row{
+func (ct *Counts) Since(before *Counts) (Counts, bool) {
+	delta := Counts{
 		Requests: ct.Requests - before.Requests, Failures: ct.Failures - before.Failures,
-		Timed: ct.Timed - before.Timed, Logs: ct.Logs - before.Logs, Squares: ct.Squares - before.Squares,
+		Timed: ct.Timed - before.Timed, LogSum: ct.LogSum - before.LogSum, LogSquareSum: ct.LogSquareSum - before.LogSquareSum,
 	}
 	ok := ct.Requests >= before.Requests && ct.Failures >= before.Failures &&
-		ct.Timed >= before.Timed && ct.Logs >= before.Logs && ct.Squares >= before.Squares
+		ct.Timed >= before.Timed && ct.LogSum >= before.LogSum && ct.LogSquareSum >= before.LogSquareSum
 	return delta, ok
 }
 
 // ScaledTo returns the counts scaled down to the given number of requests, if there are more.
-func (ct *Row) ScaledTo(requests uint64) Row {
+func (ct *Counts) ScaledTo(requests uint64) Counts {
 	if ct.Requests <= requests {
 		return *ct
 	}
 	factor := float64(requests) / float64(ct.Requests)
 	scale := func(n uint64) uint64 { return uint64(math.Round(factor * float64(n))) }
-	scaled := Row{Requests: requests, Failures: scale(ct.Failures), Timed: scale(ct.Timed)}
+	scaled := Counts{Requests: requests, Failures: scale(ct.Failures), Timed: scale(ct.Timed)}
 	if ct.Timed > 0 {
 		// Scaled by the rounded number of times, so that their mean stays the same.
 		factor = float64(scaled.Timed) / float64(ct.Timed)
-		scaled.Logs, scaled.Squares = scale(ct.Logs), scale(ct.Squares)
+		scaled.LogSum, scaled.LogSquareSum = scale(ct.LogSum), scale(ct.LogSquareSum)
 	}
 	return scaled
 }
@@ -93,13 +93,13 @@
 }
 
 // Snapshot returns the current counts by route.
-func (co *Counter) Rows() map[string]*Row {
-	rows := map[string]*Row{}
+func (co *Counter) Snapshot() map[string]*Counts {
+	rows := map[string]*Counts{}
 	co.routes.Range(func(key, value any) bool {
 		ac := value.(*atomicCounts)
-		rows[key.(string)] = &Row{
+		rows[key.(string)] = &Counts{
 			Requests: ac.requests.Load(), Failures: ac.failures.Load(),
-			Timed: ac.timed.Load(), Logs: ac.logs.Load(), Squares: ac.squares.Load(),
+			Timed: ac.timed.Load(), LogSum: ac.logs.Load(), LogSquareSum: ac.squares.Load(),
 		}
 		return true
 	})
@@ -112,11 +112,11 @@
 	VM string
 	// Servers is the number of servers, Running the number of requests that they are running.
 	Servers, Running int
-	Routes           map[string]*Row
+	Routes           map[string]*Counts
 }
 
 // Cohorts has the counts of a service's servers in one failure domain, by software version.
-type Sum map[string][]*Cohort
+type Cohorts map[string][]*Cohort
 
 // Add adds a cohort of a version.
-func (cs Sum) Add(software string, ch *Cohort) { cs[software] = append(cs[software], ch) }
+func (cs Cohorts) Add(software string, ch *Cohort) { cs[software] = append(cs[software], ch) }
