--- a/internal/node/addrs/addrs.go
+++ b/internal/node/addrs/addrs.go
@@ -17,8 +17,8 @@
 )
 
 var (
-	mu    sync.Mutex
-	given = map[int]bool{}
+	mu       sync.Mutex
+	returned = map[int]bool{}
 )
 
 // Free returns a loopback address that nobody listens on at the moment and that
@@ -39,13 +39,13 @@
 	err := errors.New("addrs: no port is left")
 	for range 1000 {
 		port := firstPort + rand.IntN(lastPort-firstPort)
-		if given[port] {
+		if returned[port] {
 			continue
 		}
 		var ln net.Listener
 		addr := fmt.Sprintf("%s:%d", ip, port)
 		if ln, err = net.Listen("tcp", addr); err == nil {
-			given[port] = true
+			returned[port] = true
 			return addr, ln.Close()
 		}
 	}
--- a/internal/node/daemon/ending_test.go
+++ b/internal/node/daemon/crash_test.go
@@ -21,66 +21,66 @@
 
 // The bounds of a request that ends backend servers, as operators state them.
 const (
-	// endsBound is how many servers it may end before it counts.
-	endsBound = 3
-	// sendsBound is how often it may reach servers later than contact after that.
-	sendsBound = 3
-	contact    = 3 * time.Second
+	// crashLimit is how many servers it may end before it counts.
+	crashLimit = 3
+	// laterSendLimit is how often it may reach servers later than contact after that.
+	laterSendLimit = 3
+	settleTime     = 3 * time.Second
 )
 
-// deadlyPath begins the path of requests that end their servers, wellPath that of all
+// poisonPath begins the path of requests that end their servers, normalPath that of all
 // others.
 const (
-	deadlyPath = "/deadly"
-	wellPath   = "/well"
+	poisonPath = "/deadly"
+	normalPath = "/well"
 )
 
-// mortalFleet is some daemons with a backend server each that ends when it runs a request
-// below deadlyPath, and is back after a while.
-type mortalFleet struct {
+// crashFleet is some daemons with a backend server each that ends when it runs a request
+// below poisonPath, and is back after a while.
+type crashFleet struct {
 	t       *testing.T
-	servers []*mortal
+	servers []*crashServer
 	restart restart
 	// reached counts the deadly requests that servers began, ended the servers that did.
-	reached, ended atomic.Int64
+	reached, crashed atomic.Int64
 }
 
 // restart is how the servers of a fleet come back after they ended.
 type restart struct {
-	// after is how long a server is away.
-	after time.Duration
-	// socket says that its listening socket outlives it, as that of a prefork server does.
-	socket bool
+	// delay is how long a server is away.
+	delay time.Duration
+	// keepsSocket says that its listening socket outlives it, as that of a prefork server does.
+	keepsSocket bool
 }
 
-// lasting is a listening socket that outlives the server which accepts on it.
-type lasting struct {
+// persistentListener is a listening socket that outlives the server which accepts on it.
+type persistentListener struct {
 	*net.TCPListener
 }
 
 // Close ends the accepting alone.
-func (la lasting) Close() error { return la.SetDeadline(time.Unix(1, 0)) }
+func (pl persistentListener) Close() error { return pl.SetDeadline(time.Unix(1, 0)) }
 
-// mortal is a daemon's backend server.
-type mortal struct {
-	fl   *mortalFleet
+// crashServer is a daemon's backend server.
+type crashServer struct {
+	fl   *crashFleet
 	dm   *Daemon
 	addr string
 	// mu guards what is up, and how often it was started.
-	mu     sync.Mutex
-	up     *faulty.Server
-	starts int
-	socket *net.TCPListener
+	mu      sync.Mutex
+	running *faulty.Server
+	starts  int
+	socket  *net.TCPListener
 }
 
 // The times of a mortal server.
 const (
-	// deadlyTime is how long it runs a deadly request, wellTime any other one.
-	deadlyTime = 20 * time.Millisecond
-	wellTime   = 40 * time.Millisecond
+	// poisonServiceTime is how long it runs a deadly request, normalServiceTime any other one.
+	poisonServiceTime = 20 * time.Millisecond
+	normalServiceTime = 40 * time.Millisecond
 )
 
-func newMortalFleet(t *testing.T, n int, re restart) *mortalFleet {
+func newCrashFleet(t *testing.T, n int, re restart) *crashFleet {
 	t.Helper()
 	kv := stand.New().Store()
 	ms := &decl.Mesh{
@@ -98,27 +98,27 @@
 		ms.VMs = append(ms.VMs, decl.VM{Name: se.VM, Domain: se.Domain, Service: "booking"})
 	}
 	apply(t, kv, 0, ms)
-	fl := &mortalFleet{t: t, restart: re}
+	fl := &crashFleet{t: t, restart: re}
 	for _, se := range ses {
 		se.Seeds = controls
 		dm := New(se, Options{Store: &kv})
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
 		go func() { done <- dm.Run(ctx) }()
-		mo := &mortal{fl: fl, dm: dm, addr: freeAddr(t)}
-		fl.servers = append(fl.servers, mo)
+		cs := &crashServer{fl: fl, dm: dm, addr: freeAddr(t)}
+		fl.servers = append(fl.servers, cs)
 		t.Cleanup(func() {
-			mo.end()
+			cs.stop()
 			cancel()
 			if err := <-done; err != nil {
 				t.Error(err)
 			}
 		})
-		mo.start()
+		cs.start()
 	}
-	for _, mo := range fl.servers {
+	for _, cs := range fl.servers {
 		eventually(t, "all servers are known", func() bool {
-			tb := mo.dm.Outlet.Table()
+			tb := cs.dm.Outlet.Table()
 			return tb != nil && tb.Group(tb.Snap.Services["booking"]).Len() == n
 		})
 	}
@@ -126,73 +126,73 @@
 }
 
 // start lets the server serve at its address, as another lifetime than before.
-func (mo *mortal) start() {
-	mo.mu.Lock()
-	defer mo.mu.Unlock()
-	if mo.fl.t.Context().Err() != nil {
+func (cs *crashServer) start() {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	if cs.fl.t.Context().Err() != nil {
 		return
 	}
-	ln, err := mo.listen()
+	ln, err := cs.listen()
 	if err != nil {
-		mo.fl.t.Error(err)
+		cs.fl.t.Error(err)
 		return
 	}
-	mo.up = faulty.Serve(ln, mo.behave)
-	mo.starts++
-	err = mo.dm.announce(mo.fl.t.Context(), admin.Announcement{
-		Service: "booking", Address: mo.addr, TTLMs: 60_000, Lifetime: fmt.Sprintf("%s-%d", mo.addr, mo.starts), Number: 1,
+	cs.running = faulty.Serve(ln, cs.handle)
+	cs.starts++
+	err = cs.dm.announce(cs.fl.t.Context(), admin.Announcement{
+		Service: "booking", Address: cs.addr, TTLMs: 60_000, Lifetime: fmt.Sprintf("%s-%d", cs.addr, cs.starts), Number: 1,
 	})
 	if err != nil {
-		mo.fl.t.Error(err)
+		cs.fl.t.Error(err)
 	}
 }
 
 // listen returns the server's listening socket; mo.mu is held.
-func (mo *mortal) listen() (net.Listener, error) {
-	if !mo.fl.restart.socket {
-		return net.Listen("tcp", mo.addr)
+func (cs *crashServer) listen() (net.Listener, error) {
+	if !cs.fl.restart.keepsSocket {
+		return net.Listen("tcp", cs.addr)
 	}
-	if mo.socket == nil {
-		ln, err := net.Listen("tcp", mo.addr)
+	if cs.socket == nil {
+		ln, err := net.Listen("tcp", cs.addr)
 		if err != nil {
 			return nil, err
 		}
-		mo.socket = ln.(*net.TCPListener)
-		mo.fl.t.Cleanup(func() { mo.socket.Close() })
+		cs.socket = ln.(*net.TCPListener)
+		cs.fl.t.Cleanup(func() { cs.socket.Close() })
 	}
-	return lasting{mo.socket}, mo.socket.SetDeadline(time.Time{})
+	return persistentListener{cs.socket}, cs.socket.SetDeadline(time.Time{})
 }
 
-// end ends the server with all that it runs, and reports whether it was up.
-func (mo *mortal) end() bool {
-	mo.mu.Lock()
-	defer mo.mu.Unlock()
-	if mo.up == nil {
+// stop ends the server with all that it runs, and reports whether it was up.
+func (cs *crashServer) stop() bool {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	if cs.running == nil {
 		return false
 	}
-	mo.up.Close()
-	mo.up = nil
+	cs.running.Close()
+	cs.running = nil
 	return true
 }
 
-func (mo *mortal) behave(cn net.Conn, n int, req *http.Request) bool {
+func (cs *crashServer) handle(cn net.Conn, n int, req *http.Request) bool {
 	faulty.ReadBody(req)
-	if !strings.HasPrefix(req.URL.Path, deadlyPath) {
-		<-time.After(wellTime)
+	if !strings.HasPrefix(req.URL.Path, poisonPath) {
+		<-time.After(normalServiceTime)
 		return faulty.Well(cn, n, req)
 	}
-	mo.fl.reached.Add(1)
-	<-time.After(deadlyTime)
-	if mo.end() {
-		mo.fl.ended.Add(1)
-		time.AfterFunc(mo.fl.restart.after, mo.start)
+	cs.fl.reached.Add(1)
+	<-time.After(poisonServiceTime)
+	if cs.stop() {
+		cs.fl.crashed.Add(1)
+		time.AfterFunc(cs.fl.restart.delay, cs.start)
 	}
 	return false
 }
 
-// ask sends a request by the outlet of a VM, as a caller that has a connection of its
+// send sends a request by the outlet of a VM, as a caller that has a connection of its
 // own for it.
-func (fl *mortalFleet) ask(i int, method, path string, body io.Reader) (status int, retry string) {
+func (fl *crashFleet) send(i int, method, path string, body io.Reader) (status int, retry string) {
 	req, err := http.NewRequestWithContext(fl.t.Context(), method, "http://"+fl.servers[i].dm.se.Outlet+path, body)
 	if err != nil {
 		fl.t.Error(err)
@@ -210,15 +210,15 @@
 	return res.StatusCode, res.Header.Get("Retry-After")
 }
 
-// untilEnds lets a deadly request come at one VM after the other until it has ended as
+// sendUntilCrashes lets a deadly request come at one VM after the other until it has ended as
 // many servers as count.
-func (fl *mortalFleet) untilEnds(come func(i int)) {
+func (fl *crashFleet) sendUntilCrashes(send func(i int)) {
 	fl.t.Helper()
-	for i := 0; fl.ended.Load() < endsBound; i++ {
+	for i := 0; fl.crashed.Load() < crashLimit; i++ {
 		if i == 100 {
-			fl.t.Fatalf("%d servers ended under 100 requests", fl.ended.Load())
+			fl.t.Fatalf("%d servers ended under 100 requests", fl.crashed.Load())
 		}
-		come(i % len(fl.servers))
+		send(i % len(fl.servers))
 	}
 }
 
@@ -227,9 +227,9 @@
 	name string
 	restart
 }{
-	{"its address refuses connections", restart{after: 300 * time.Millisecond}},
-	{"its socket outlives it", restart{after: 2 * time.Second, socket: true}},
-	{"it is back at once", restart{after: time.Millisecond, socket: true}},
+	{"its address refuses connections", restart{delay: 300 * time.Millisecond}},
+	{"its socket outlives it", restart{delay: 2 * time.Second, keepsSocket: true}},
+	{"it is back at once", restart{delay: time.Millisecond, keepsSocket: true}},
 }
 
 // TestRequestEndsServers guards against a request that crashes each server that runs it
@@ -246,15 +246,15 @@
 		for _, re := range restarts {
 			t.Run(tc.name+"/"+re.name, func(t *testing.T) {
 				t.Parallel()
-				playEndings(t, newMortalFleet(t, 6, re.restart), tc.method, tc.body)
+				testPoisonRequest(t, newCrashFleet(t, 6, re.restart), tc.method, tc.body)
 			})
 		}
 	}
 }
 
-// playEndings lets a deadly request come until it has ended as many servers as count, and
+// testPoisonRequest lets a deadly request come until it has ended as many servers as count, and
 // checks that it reaches hardly any later on, while others are served.
-func playEndings(t *testing.T, fl *mortalFleet, method string, body func() io.Reader) {
+func testPoisonRequest(t *testing.T, fl *crashFleet, method string, body func() io.Reader) {
 	// Callers of other requests, one of them the same each time, go on all the while.
 	ctx, stop := context.WithCancel(t.Context())
 	var callers sync.WaitGroup
@@ -263,28 +263,28 @@
 	for i := range fl.servers {
 		callers.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				fl.ask(i, "GET", fmt.Sprintf("%s/%d/%d", wellPath, i, n), nil)
-				fl.ask(i, "GET", wellPath+"/same", nil)
+				fl.send(i, "GET", fmt.Sprintf("%s/%d/%d", normalPath, i, n), nil)
+				fl.send(i, "GET", normalPath+"/same", nil)
 			}
 		})
 	}
-	deadly := func(i int) (int, string) { return fl.ask(i, method, deadlyPath+"/7", body()) }
-	fl.untilEnds(func(i int) { deadly(i) })
-	<-time.After(contact)
+	sendPoison := func(i int) (int, string) { return fl.send(i, method, poisonPath+"/7", body()) }
+	fl.sendUntilCrashes(func(i int) { sendPoison(i) })
+	<-time.After(settleTime)
 	before := fl.reached.Load()
 	for i := range 5 * len(fl.servers) {
-		deadly(i % len(fl.servers))
+		sendPoison(i % len(fl.servers))
 	}
-	if got := fl.reached.Load() - before; got > sendsBound {
-		t.Errorf("reached servers %d times later than %v after it had ended %d; %d ended in all", got, contact, endsBound, fl.ended.Load())
+	if got := fl.reached.Load() - before; got > laterSendLimit {
+		t.Errorf("reached servers %d times later than %v after it had ended %d; %d ended in all", got, settleTime, crashLimit, fl.crashed.Load())
 	}
 	for i := range fl.servers {
-		status, retry := deadly(i)
+		status, retry := sendPoison(i)
 		if status != http.StatusServiceUnavailable || retry != "" {
 			t.Errorf("vm-%d answers %d, Retry-After %q; want 503 without one: it has not run, and to come back is of no use", i, status, retry)
 		}
-		for _, path := range []string{wellPath + "/same", wellPath + "/new"} {
-			if status, _ := fl.ask(i, "GET", path, nil); status != http.StatusOK {
+		for _, path := range []string{normalPath + "/same", normalPath + "/new"} {
+			if status, _ := fl.send(i, "GET", path, nil); status != http.StatusOK {
 				t.Errorf("vm-%d answers %s with %d", i, path, status)
 			}
 		}
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -38,26 +38,26 @@
 // The times of a shutdown, from its start; each is cut down to a part of the
 // drain timeout where that is short.
 const (
-	// noticed is when callers have left: they ask once a second whether the
+	// callerLeaveTime is when callers have left: they ask once a second whether the
 	// daemon is ready and leave after two misses. Until then the backend server,
 	// which may live on, serves as before; it is of no use to anyone while this
 	// daemon starts again, so that time is kept short.
-	noticed = 2 * time.Second
-	// handover is how long the inlet then still takes requests. The news that
+	callerLeaveTime = 2 * time.Second
+	// inletGrace is how long the inlet then still takes requests. The news that
 	// this daemon leaves reaches the outlets in some tens of milliseconds; until
 	// then a refusal would only cost them a second send.
-	handover = 300 * time.Millisecond
-	// endEvery is how often connections that have become idle are ended.
-	endEvery = 20 * time.Millisecond
-	// reserve is what is kept of the drain timeout for the end itself.
-	reserve = 400 * time.Millisecond
+	inletGrace = 300 * time.Millisecond
+	// idleCloseInterval is how often connections that have become idle are ended.
+	idleCloseInterval = 20 * time.Millisecond
+	// shutdownReserve is what is kept of the drain timeout for the end itself.
+	shutdownReserve = 400 * time.Millisecond
 )
 
 // The idle connections that an outlet keeps to each inlet. A connection costs memory at both
 // ends, and another one is made at no cost to the backend server.
 const (
-	idleToInlet    = 12
-	idleToInletFor = 3 * time.Second
+	maxIdlePerInlet  = 12
+	inletIdleTimeout = 3 * time.Second
 )
 
 // Daemon is one daemon.
@@ -69,23 +69,23 @@
 	se    setup.Settings
 	log   *slog.Logger
 	guard *guard.Guard
-	// bytes counts what the control part sends and receives, pathBytes what
+	// controlBytes counts what the control part sends and receives, pathBytes what
 	// outlet and inlet do between VMs.
-	bytes, pathBytes meter.Meter
-	drain            sync.Once
-	// drained is closed when an order to drain has come.
-	drained chan struct{}
+	controlBytes, pathBytes meter.Meter
+	drainOnce               sync.Once
+	// draining is closed when an order to drain has come.
+	draining chan struct{}
 	// stopping is set once the process is to end, closing once the inlet takes
 	// no more requests for good.
-	stopping, closing atomic.Bool
+	stopping, inletClosed atomic.Bool
 	// drainTimeout is the one in force, in nanoseconds.
 	drainTimeout atomic.Int64
 	// store is the platform's, behind the guard.
 	store store.Store
-	local local
-	// leaver is the newest lifetime that said it leaves.
-	leaver board.Cell[leaving]
-	ad     Adapter
+	local localServer
+	// departure is the newest lifetime that said it leaves.
+	departure board.Cell[storedDeparture]
+	adapter   Adapter
 }
 
 // Adapter joins a daemon to a platform that has names, formats and calls of its
@@ -111,9 +111,9 @@
 
 // New returns a daemon for checked settings.
 func New(se setup.Settings, op Options) *Daemon {
-	dm := &Daemon{se: se, log: op.Log, drained: make(chan struct{}), ad: op.Adapter}
+	dm := &Daemon{se: se, log: op.Log, draining: make(chan struct{}), adapter: op.Adapter}
 	dm.drainTimeout.Store(int64(se.DrainTimeout))
-	dm.local.known = make(chan struct{})
+	dm.local.recoveryDone = make(chan struct{})
 	if dm.log == nil {
 		dm.log = slog.New(slog.DiscardHandler)
 	}
@@ -125,33 +125,33 @@
 	}
 	dm.guard = guard.New(*kv)
 	link := pacer.New(se.Link)
-	dm.bytes.Sent, dm.pathBytes.Sent = link.Sent, link.Sent
+	dm.controlBytes.Sent, dm.pathBytes.Sent = link.Sent, link.Sent
 	var src ctrl.Source
-	if dm.ad.Source != nil {
-		src = dm.ad.Source(se.Domains)
+	if dm.adapter.Source != nil {
+		src = dm.adapter.Source(se.Domains)
 	}
 	dm.Node = ctrl.New(ctrl.Config{
 		Source: src,
 		VM:     se.VM, Domain: se.Domain, Control: se.Control, Inlet: se.Inlet, Seeds: se.Seeds, Token: se.Token, Capacity: uint32(se.Link / 1e6),
-		Store: dm.guard.Store(), StoreAnswers: dm.guard.Close, Counts: dm.counts, FirstStart: se.FirstStart, Log: dm.log, Dial: dm.bytes.Dialer(dialer.Dial), Drain: dm.Drain,
+		Store: dm.guard.Store(), StoreAnswers: dm.guard.Close, Counts: dm.counts, FirstStart: se.FirstStart, Log: dm.log, Dial: dm.controlBytes.Dialer(dialer.Dial), Drain: dm.Drain,
 	})
 	dm.store = dm.Node.Store()
 	dm.Outlet = outlet.New(outlet.Options{
-		Log: dm.log, Sample: se.AccessSample, Token: se.Token, Names: dm.ad.Names, Service: se.Service, Link: se.Link,
+		Log: dm.log, Sample: se.AccessSample, Token: se.Token, Names: dm.adapter.Names, Service: se.Service, Link: se.Link,
 		Work: func() limit.Work { return dm.Inlet.Gate.Work() }, Repeats: &se.Repeats, Poison: dm.Node.Board.Poison.Get,
-		Forwarder: proxy.New(proxy.Options{Dial: dm.pathBytes.Dialer(dialer.Dial), MaxIdle: idleToInlet, IdleTimeout: idleToInletFor}),
+		Forwarder: proxy.New(proxy.Options{Dial: dm.pathBytes.Dialer(dialer.Dial), MaxIdle: maxIdlePerInlet, IdleTimeout: inletIdleTimeout}),
 	})
 	dm.Inlet = inlet.New(proxy.Options{}, link)
-	dm.Inlet.Names, dm.Inlet.Log = dm.ad.Names, dm.log
+	dm.Inlet.Names, dm.Inlet.Log = dm.adapter.Names, dm.log
 	dm.Inlet.Token = se.Token
 	dm.Inlet.Poison, dm.Inlet.Report = dm.Node.Board.Poison.Get, dm.Node.ReportEnds
-	dm.Inlet.Unreachable = func(inlet.Target) { dm.lost() }
+	dm.Inlet.Unreachable = func(inlet.Target) { dm.serverUnreachable() }
 	return dm
 }
 
 func (dm *Daemon) openStore() store.Store {
-	if dm.ad.Store != nil {
-		return dm.ad.Store(dm.se.Platform)
+	if dm.adapter.Store != nil {
+		return dm.adapter.Store(dm.se.Platform)
 	}
 	return remote.New(dm.se.Platform).Store()
 }
@@ -200,11 +200,11 @@
 	}
 	dm.log.Info("daemon-start", slog.Any("settings", dm.se))
 	// Its parts outlive ctx by the time that the drain takes.
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
 	var wg conc.WaitGroup
-	for _, fn := range []func(context.Context){dm.Node.Run, dm.runRouting, dm.runLocal, dm.runLeaving, dm.runRecall, dm.runProbe, dm.runUsage} {
-		wg.Go(func() { fn(life) })
+	for _, fn := range []func(context.Context){dm.Node.Run, dm.runRouting, dm.runLocalServer, dm.runStoreDeparture, dm.runRecovery, dm.runProbe, dm.runUsage} {
+		wg.Go(func() { fn(runCtx) })
 	}
 	servers := dm.servers()
 	for _, sv := range []struct {
@@ -212,22 +212,22 @@
 		ln net.Listener
 	}{
 		{servers.outlet, servers.front.Listener(servers.callers.Listener(ls.outlet))}, {servers.inlet, servers.peers.Listener(dm.pathBytes.Listener(ls.inlet))},
-		{servers.control, dm.bytes.Listener(ls.control)}, {servers.admin, ls.admin},
+		{servers.control, dm.controlBytes.Listener(ls.control)}, {servers.admin, ls.admin},
 		{servers.pages, ls.ready}, {servers.pages, ls.announce},
 	} {
 		if sv.ln == nil {
 			continue
 		}
 		wg.Go(func() {
-			if err := sv.hs.Serve(sv.ln); !errors.Is(err, http.ErrServerClosed) && !dm.closing.Load() {
+			if err := sv.hs.Serve(sv.ln); !errors.Is(err, http.ErrServerClosed) && !dm.inletClosed.Load() {
 				dm.log.Error("listener-failed", slog.Any("error", err))
 			}
 		})
 	}
-	wg.Go(func() { dm.endIdle(life, &servers.callers) })
-	err = dm.waitForEnd(ctx)
+	wg.Go(func() { dm.closeIdleCallers(runCtx, &servers.callers) })
+	err = dm.waitForStop(ctx)
 	dm.shutDown(servers, ls, err != nil)
-	end()
+	cancel()
 	wg.Wait()
 	dm.log.Info("daemon-end")
 	return err
@@ -243,7 +243,7 @@
 	return fmt.Sprintf("another daemon has taken over the VM name %q; this one ends", er.VM)
 }
 
-func (dm *Daemon) waitForEnd(ctx context.Context) error {
+func (dm *Daemon) waitForStop(ctx context.Context) error {
 	_, replaced := dm.Node.Board.Replaced.Watch()
 	select {
 	case <-ctx.Done():
@@ -271,7 +271,7 @@
 
 func (dm *Daemon) ready() error {
 	select {
-	case <-dm.drained:
+	case <-dm.draining:
 		return errors.New("draining")
 	default:
 	}
@@ -319,8 +319,8 @@
 	num("members", func() int64 { return int64(bd.Members.Get().Len()) })
 	num("links", func() int64 { return int64(len(bd.Links.Get().Peers)) })
 	m.Set("relay", expvar.Func(func() any { return bd.Links.Get().Relay }))
-	num("control-bytes-in", dm.bytes.In.Load)
-	num("control-bytes-out", dm.bytes.Out.Load)
+	num("control-bytes-in", dm.controlBytes.In.Load)
+	num("control-bytes-out", dm.controlBytes.Out.Load)
 	num("platform-calls", dm.guard.Calls.Load)
 	num("platform-epoch", func() int64 { return int64(bd.KnownEpoch()) })
 	num("platform-calls-held", dm.guard.Held.Load)
--- a/internal/node/daemon/daemon_test.go
+++ b/internal/node/daemon/daemon_test.go
@@ -117,7 +117,7 @@
 		t.Fatal(err)
 	}
 	eventually(t, "serving again", func() bool { return dm.State() == member.StateServing })
-	dm.lost()
+	dm.serverUnreachable()
 	eventually(t, "absent after no connection could be made", func() bool { return dm.State() == member.StateAbsent })
 }
 
--- a/internal/node/daemon/kept_test.go
+++ b/internal/node/daemon/keepalive_test.go
@@ -20,29 +20,29 @@
 
 // The times of a caller that keeps its connection.
 const (
-	keptDeadline = 600 * time.Millisecond
-	keptWork     = 350 * time.Millisecond
-	// keptPause is longer than the deadline.
-	keptPause = 700 * time.Millisecond
+	routeDeadline = 600 * time.Millisecond
+	serviceTime   = 350 * time.Millisecond
+	// idlePause is longer than the deadline.
+	idlePause = 700 * time.Millisecond
 )
 
-// keptFleet is a daemon with a backend server.
-type keptFleet struct {
+// singleServer is a daemon with a backend server.
+type singleServer struct {
 	outlet string
 	dm     *Daemon
 	stop   context.CancelFunc
 }
 
-// work is a backend server that takes keptWork.
-func work(_ http.ResponseWriter, r *http.Request) {
+// slowHandler is a backend server that takes serviceTime.
+func slowHandler(_ http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err == nil {
-		<-time.After(keptWork)
+		<-time.After(serviceTime)
 	}
 }
 
-func newKeptFleet(t *testing.T, deadline time.Duration, server http.HandlerFunc) *keptFleet {
+func newSingleServer(t *testing.T, deadline time.Duration, handler http.HandlerFunc) *singleServer {
 	t.Helper()
-	hs := httptest.NewServer(server)
+	hs := httptest.NewServer(handler)
 	t.Cleanup(hs.Close)
 	kv := stand.New().Store()
 	ms := mesh(8)
@@ -67,7 +67,7 @@
 		tb := dm.Outlet.Table()
 		return tb != nil && tb.Group(tb.Snap.Services["booking"]).Len() == 1
 	})
-	return &keptFleet{outlet: se.Outlet, dm: dm, stop: cancel}
+	return &singleServer{outlet: se.Outlet, dm: dm, stop: cancel}
 }
 
 // TestKeptConnectionAfterChunks guards against a request being given up on while its server
@@ -87,12 +87,12 @@
 			}
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				fl := newKeptFleet(t, keptDeadline, work)
+				ss := newSingleServer(t, routeDeadline, slowHandler)
 				tr := &http.Transport{MaxConnsPerHost: 1, Protocols: tc.ps}
 				defer tr.CloseIdleConnections()
-				ask := func(when string) {
+				send := func(when string) {
 					t.Helper()
-					req, err := http.NewRequestWithContext(t.Context(), "POST", "http://"+fl.outlet+"/", io.NopCloser(strings.NewReader("body")))
+					req, err := http.NewRequestWithContext(t.Context(), "POST", "http://"+ss.outlet+"/", io.NopCloser(strings.NewReader("body")))
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -107,13 +107,13 @@
 						t.Errorf("%s: %s, want the server's answer", when, res.Status)
 					}
 				}
-				ask("the first")
+				send("the first")
 				if stopped {
-					fl.stop()
+					ss.stop()
 				}
-				ask("right behind it")
-				<-time.After(keptPause)
-				ask("after a pause")
+				send("right behind it")
+				<-time.After(idlePause)
+				send("after a pause")
 			})
 		}
 	}
@@ -123,10 +123,10 @@
 // its server, which is stopping, takes no calls of that server any more.
 func TestServerCallsWhileStopping(t *testing.T) {
 	t.Parallel()
-	var fl *keptFleet
+	var ss *singleServer
 	began := make(chan struct{})
 	get := func(path string) (int, error) {
-		req, err := http.NewRequest(http.MethodGet, "http://"+fl.outlet+path, nil)
+		req, err := http.NewRequest(http.MethodGet, "http://"+ss.outlet+path, nil)
 		if err != nil {
 			return 0, err
 		}
@@ -137,14 +137,14 @@
 		}
 		return res.StatusCode, res.Body.Close()
 	}
-	fl = newKeptFleet(t, 5*time.Second, func(w http.ResponseWriter, r *http.Request) {
+	ss = newSingleServer(t, 5*time.Second, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/calls" {
 			return
 		}
 		close(began)
-		<-fl.dm.drained
+		<-ss.dm.draining
 		// Until here callers have left, and the inlet takes nothing any more.
-		<-time.After(handover + 100*time.Millisecond)
+		<-time.After(inletGrace + 100*time.Millisecond)
 		// No server of the service is left, so the call is refused, not cut off.
 		if status, err := get("/called"); err != nil || status != http.StatusServiceUnavailable {
 			w.WriteHeader(http.StatusInternalServerError)
@@ -159,7 +159,7 @@
 		done <- status
 	}()
 	<-began
-	fl.stop()
+	ss.stop()
 	if got := <-done; got != http.StatusOK {
 		t.Errorf("the request got %d, since its server could not call", got)
 	}
@@ -169,12 +169,12 @@
 // its connection, which began earlier, closes the connection.
 func TestDrainAsNextBegins(t *testing.T) {
 	t.Parallel()
-	fl := newKeptFleet(t, 5*time.Second, work)
-	sv := fl.dm.servers()
+	ss := newSingleServer(t, 5*time.Second, slowHandler)
+	sv := ss.dm.servers()
 	sv.front.Ahead = func(r *http.Request) bool {
 		if r.URL.Path == "/last" {
 			// The daemon drains in the moment in which this one begins.
-			defer fl.dm.leave()
+			defer ss.dm.beginDrain()
 		}
 		return true
 	}
--- a/internal/node/daemon/local.go
+++ b/internal/node/daemon/local.go
@@ -17,48 +17,48 @@
 	"github.com/flamingomast/flamingomast/internal/path/pick"
 )
 
-// local is what is known of the VM's own backend server.
-type local struct {
-	mu sync.Mutex
-	tr server.Tracker
-	// recalled is set once it is known what a former process acknowledged;
+// localServer is what is known of the VM's own backend server.
+type localServer struct {
+	mu      sync.Mutex
+	tracker server.Tracker
+	// recovered is set once it is known what a former process acknowledged;
 	// until then requests are refused.
-	recalled bool
-	// known is closed once recalled is set.
-	known chan struct{}
-	kick  chan struct{}
+	recovered bool
+	// recoveryDone is closed once recalled is set.
+	recoveryDone chan struct{}
+	changed      chan struct{}
 }
 
-// poke lets runLocal look again.
-func (lo *local) poke() {
-	lo.mu.Lock()
-	defer lo.mu.Unlock()
-	if lo.kick != nil {
-		close(lo.kick)
-		lo.kick = nil
+// notify lets runLocalServer look again.
+func (ls *localServer) notify() {
+	ls.mu.Lock()
+	defer ls.mu.Unlock()
+	if ls.changed != nil {
+		close(ls.changed)
+		ls.changed = nil
 	}
 }
 
 // watch returns the state of the server and a channel that is closed at the
 // next change.
-func (lo *local) watch(now time.Time) (server.Status, <-chan struct{}) {
-	lo.mu.Lock()
-	defer lo.mu.Unlock()
-	if lo.kick == nil {
-		lo.kick = make(chan struct{})
+func (ls *localServer) watch(now time.Time) (server.Status, <-chan struct{}) {
+	ls.mu.Lock()
+	defer ls.mu.Unlock()
+	if ls.changed == nil {
+		ls.changed = make(chan struct{})
 	}
-	if !lo.recalled {
-		return server.Status{}, lo.kick
+	if !ls.recovered {
+		return server.Status{}, ls.changed
 	}
-	return lo.tr.Status(now), lo.kick
+	return ls.tracker.Status(now), ls.changed
 }
 
-// update changes the tracker and lets runLocal look again.
-func (lo *local) update(fn func(*server.Tracker)) {
-	lo.mu.Lock()
-	fn(&lo.tr)
-	lo.mu.Unlock()
-	lo.poke()
+// update changes the tracker and lets runLocalServer look again.
+func (ls *localServer) update(fn func(*server.Tracker)) {
+	ls.mu.Lock()
+	fn(&ls.tracker)
+	ls.mu.Unlock()
+	ls.notify()
 }
 
 // announce takes an announcement of the backend server. A server of another
@@ -71,22 +71,22 @@
 	}
 	var was, is server.Status
 	now := time.Now()
-	taken := false
+	accepted := false
 	dm.local.update(func(tr *server.Tracker) {
 		was = tr.Status(now)
-		taken = tr.Announce(an, now)
+		accepted = tr.Announce(an, now)
 		is = tr.Status(now)
 	})
-	if !taken {
+	if !accepted {
 		dm.log.Info("announcement-late", slog.String("lifetime", an.Lifetime), slog.Uint64("number", an.Number),
 			slog.String("state", an.State), slog.Int64("started", an.StartedMs), slog.String("present", is.Lifetime()),
 			slog.Int64("present-started", is.StartedMs()))
 	}
-	if taken && is.Lifetime() != "" && was.SameStart(is) {
+	if accepted && is.Lifetime() != "" && was.SameInstance(is) {
 		dm.Inlet.ServerHeard()
 	}
-	if is.Leaving && !(was.Leaving && was.SameStart(is)) {
-		dm.recordLeaving(ctx, member.Leaver{Lifetime: is.Lifetime(), StartedMs: is.StartedMs(), At: an.Number})
+	if is.Leaving && !(was.Leaving && was.SameInstance(is)) {
+		dm.recordDeparture(ctx, member.Leaver{Lifetime: is.Lifetime(), StartedMs: is.StartedMs(), At: an.Number})
 	}
 	return nil
 }
@@ -125,54 +125,54 @@
 // withdraw takes the backend server out.
 func (dm *Daemon) withdraw(ctx context.Context, wd admin.Withdrawal) {
 	now := time.Now()
-	var left member.Leaver
+	var de member.Leaver
 	dm.local.update(func(tr *server.Tracker) {
 		tr.Withdraw(wd, now)
-		left = tr.Left()
+		de = tr.LastDeparture()
 	})
 	dm.log.Info("server-withdrawn", slog.String("lifetime", wd.Lifetime), slog.Int64("started", wd.StartedMs))
-	if wd.Lifetime != "" && left.Lifetime == wd.Lifetime && (wd.StartedMs == 0 || wd.StartedMs == left.StartedMs) {
-		dm.recordLeaving(ctx, left)
+	if wd.Lifetime != "" && de.Lifetime == wd.Lifetime && (wd.StartedMs == 0 || wd.StartedMs == de.StartedMs) {
+		dm.recordDeparture(ctx, de)
 	}
 }
 
-// lost takes the backend server out when it accepts no connection, until it
+// serverUnreachable takes the backend server out when it accepts no connection, until it
 // announces itself again.
-func (dm *Daemon) lost() {
+func (dm *Daemon) serverUnreachable() {
 	dm.log.Warn("backend-server-unreachable")
 	now := time.Now()
-	dm.local.update(func(tr *server.Tracker) { tr.Lost(now) })
+	dm.local.update(func(tr *server.Tracker) { tr.MarkUnreachable(now) })
 }
 
-// runLocal keeps the inlet and the daemon's record as the backend server, the
+// runLocalServer keeps the inlet and the daemon's record as the backend server, the
 // configuration and the drain say.
-func (dm *Daemon) runLocal(ctx context.Context) {
+func (dm *Daemon) runLocalServer(ctx context.Context) {
 	for {
 		now := time.Now()
 		st, changed := dm.local.watch(now)
-		_, self := dm.Node.Board.Self.Watch()
-		sn, held := dm.Node.Board.Held.Watch()
-		dm.setGate(sn, st)
+		_, selfChanged := dm.Node.Board.Self.Watch()
+		sn, heldChanged := dm.Node.Board.Held.Watch()
+		dm.configureLimiter(sn, st)
 		dm.setRecord(st)
 		dm.setTarget(sn, st.Announcement)
 		left := time.Hour
 		if st.Announcement != nil {
-			left = st.Until.Sub(now)
+			left = st.ExpiresAt.Sub(now)
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-self:
-		case <-held:
+		case <-selfChanged:
+		case <-heldChanged:
 		case <-time.After(left):
 		}
 	}
 }
 
-// setGate gives the inlet its slots, classes and connections, and closes it for
+// configureLimiter gives the inlet its slots, classes and connections, and closes it for
 // a server that leaves.
-func (dm *Daemon) setGate(sn *snap.Snapshot, st server.Status) {
+func (dm *Daemon) configureLimiter(sn *snap.Snapshot, st server.Status) {
 	if st.Leaving {
 		dm.Inlet.Gate.Drain()
 		return
@@ -195,7 +195,7 @@
 	}
 	dm.Inlet.Gate.Configure(slots, classes)
 	dm.Inlet.SetMaxConns(sv.Connections)
-	if !dm.closing.Load() {
+	if !dm.inletClosed.Load() {
 		dm.Inlet.Gate.Open()
 	}
 }
@@ -232,10 +232,10 @@
 		next.State = member.StateDraining
 	}
 	dm.local.mu.Lock()
-	next.Leaving = dm.local.tr.Left()
+	next.Leaving = dm.local.tracker.LastDeparture()
 	dm.local.mu.Unlock()
 	select {
-	case <-dm.drained:
+	case <-dm.draining:
 		next.State = member.StateDraining
 	default:
 	}
--- a/internal/node/daemon/probe.go
+++ b/internal/node/daemon/probe.go
@@ -12,11 +12,11 @@
 
 // The asking of the backend server at a start.
 const (
-	// probeAgain is the pause between two questions.
-	probeAgain = 150 * time.Millisecond
-	// probeFor is how long it is asked: by then it has announced itself, which it
+	// probeInterval is the pause between two questions.
+	probeInterval = 150 * time.Millisecond
+	// probeTimeout is how long it is asked: by then it has announced itself, which it
 	// does every 1.5 s.
-	probeFor = 1500 * time.Millisecond
+	probeTimeout = 1500 * time.Millisecond
 	// probeTTL is for how long an answer holds: three intervals of announcements.
 	probeTTL = 4500 * time.Millisecond
 )
@@ -30,17 +30,17 @@
 	if path == "" {
 		return
 	}
-	ask := probe.Asker{Lifetime: dm.ad.Names.Lifetime, Load: dm.ad.Names.Load}
-	for end := time.Now().Add(probeFor); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, probeAgain) {
-		if !dm.awaitsServer() {
+	pr := probe.Prober{Lifetime: dm.adapter.Names.Lifetime, Load: dm.adapter.Names.Load}
+	for end := time.Now().Add(probeTimeout); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, probeInterval) {
+		if !dm.awaitsAnnouncement() {
 			return
 		}
-		an, err := ask.Ask(ctx, dm.se.Server, path)
+		re, err := pr.Probe(ctx, dm.se.Server, path)
 		if err != nil {
 			dm.log.Info("probe-failed", slog.Any("error", err))
 			continue
 		}
-		dm.assume(an)
+		dm.assumeServing(re)
 		return
 	}
 }
@@ -48,11 +48,11 @@
 // healthPath waits for a configuration and for what a former process acknowledged, and
 // returns the path at which the VM's own backend server is asked, empty for none.
 func (dm *Daemon) healthPath(ctx context.Context) string {
-	if dm.se.Server == "" || dm.se.Service == "" || dm.ad.Names.Lifetime == "" {
+	if dm.se.Server == "" || dm.se.Service == "" || dm.adapter.Names.Lifetime == "" {
 		return ""
 	}
 	select {
-	case <-dm.local.known:
+	case <-dm.local.recoveryDone:
 	case <-ctx.Done():
 		return ""
 	}
@@ -72,18 +72,18 @@
 	return ""
 }
 
-// awaitsServer reports whether no backend server has announced itself yet.
-func (dm *Daemon) awaitsServer() bool {
+// awaitsAnnouncement reports whether no backend server has announced itself yet.
+func (dm *Daemon) awaitsAnnouncement() bool {
 	st, _ := dm.local.watch(time.Now())
 	return st.Announcement == nil
 }
 
-func (dm *Daemon) assume(an probe.Answer) {
-	taken := false
+func (dm *Daemon) assumeServing(re probe.Result) {
+	accepted := false
 	dm.local.update(func(tr *server.Tracker) {
-		taken = tr.Assume(admin.Announcement{
-			Service: dm.se.Service, Address: dm.se.Server, Slots: an.Slots, Lifetime: an.Lifetime, TTLMs: int(probeTTL.Milliseconds()),
+		accepted = tr.Assume(admin.Announcement{
+			Service: dm.se.Service, Address: dm.se.Server, Slots: re.Slots, Lifetime: re.Lifetime, TTLMs: int(probeTTL.Milliseconds()),
 		}, time.Now())
 	})
-	dm.log.Info("server-found", slog.String("lifetime", an.Lifetime), slog.Int("slots", an.Slots), slog.Bool("taken", taken))
+	dm.log.Info("server-found", slog.String("lifetime", re.Lifetime), slog.Int("slots", re.Slots), slog.Bool("taken", accepted))
 }
--- a/internal/node/daemon/recall_test.go
+++ b/internal/node/daemon/recovery_test.go
@@ -18,45 +18,45 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// heard is what a peer says of the former process, and when.
-type heard struct {
+// peerAnswer is what a peer says of the former process, and when.
+type peerAnswer struct {
 	at   time.Duration
 	peer string
-	lv   member.Leaver
+	de   member.Leaver
 }
 
-func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// tell puts on the board what the peer says; peers are those that have answered.
-func (he heard) tell(bd *board.Board, peers map[string]bool) {
-	peers[he.peer] = true
+// post puts on the board what the peer says; peers are those that have answered.
+func (pa peerAnswer) post(bd *board.Board, peers map[string]bool) {
+	peers[pa.peer] = true
 	bd.Forerunner.Update(func(cur *board.Forerunner) *board.Forerunner {
-		next := &board.Forerunner{Leaver: he.lv, Peers: slices.Collect(maps.Keys(peers))}
-		if cur != nil && he.lv.Lifetime == "" {
+		next := &board.Forerunner{Leaver: pa.de, Peers: slices.Collect(maps.Keys(peers))}
+		if cur != nil && pa.de.Lifetime == "" {
 			next.Leaver = cur.Leaver
 		}
 		return next
 	})
 }
 
-// TestForerunnerLearned: a backend server's drain was acknowledged and its daemon
+// TestPredecessorRecovery: a backend server's drain was acknowledged and its daemon
 // replaced before the store had taken it down. Of two peers the first to answer
 // has not heard of the drain. An announcement from before the drain comes late:
 // the server must get no request, and callers saw one at a server that had left.
 // A process of which nobody knows anything must not keep its server waiting.
-func TestForerunnerLearned(t *testing.T) {
+func TestPredecessorRecovery(t *testing.T) {
 	left := member.Leaver{Lifetime: "i-1", At: 5}
 	for name, tc := range map[string]struct {
-		heard []heard
-		// after is when the server serves, 0 for never.
-		after time.Duration
+		answers []peerAnswer
+		// delay is when the server serves, 0 for never.
+		servesAfter time.Duration
 	}{
-		"the first peer knows":           {[]heard{{ms(50), "p", left}}, 0},
-		"the second peer knows":          {[]heard{{ms(50), "p", member.Leaver{}}, {ms(300), "q", left}}, 0},
-		"two peers know of nothing":      {[]heard{{ms(50), "p", member.Leaver{}}, {ms(300), "q", member.Leaver{}}}, ms(300)},
-		"the only peer answers twice":    {[]heard{{ms(50), "p", member.Leaver{}}, {ms(300), "p", member.Leaver{}}}, ms(450)},
-		"nobody answers":                 {nil, recallPeers},
-		"the only peer knows of nothing": {[]heard{{ms(50), "p", member.Leaver{}}}, ms(450)},
+		"the first peer knows":           {[]peerAnswer{{millis(50), "p", left}}, 0},
+		"the second peer knows":          {[]peerAnswer{{millis(50), "p", member.Leaver{}}, {millis(300), "q", left}}, 0},
+		"two peers know of nothing":      {[]peerAnswer{{millis(50), "p", member.Leaver{}}, {millis(300), "q", member.Leaver{}}}, millis(300)},
+		"the only peer answers twice":    {[]peerAnswer{{millis(50), "p", member.Leaver{}}, {millis(300), "p", member.Leaver{}}}, millis(450)},
+		"nobody answers":                 {nil, firstPeerTimeout},
+		"the only peer knows of nothing": {[]peerAnswer{{millis(50), "p", member.Leaver{}}}, millis(450)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -65,21 +65,21 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				began := time.Now()
-				go dm.runRecall(ctx)
+				go dm.runRecovery(ctx)
 				if err := dm.announce(ctx, admin.Announcement{Service: "booking", Lifetime: "i-1", Number: 4, TTLMs: 60_000}); err != nil {
 					t.Fatal(err)
 				}
 				peers := map[string]bool{}
-				for _, he := range tc.heard {
-					time.Sleep(he.at - time.Since(began))
-					he.tell(dm.Node.Board, peers)
+				for _, pa := range tc.answers {
+					time.Sleep(pa.at - time.Since(began))
+					pa.post(dm.Node.Board, peers)
 				}
 				// Off the round times, at which the daemon itself acts.
 				time.Sleep(5 * time.Millisecond)
 				for time.Since(began) < 6*time.Second {
 					st, _ := dm.local.watch(time.Now())
 					serves := st.Announcement != nil && !st.Leaving
-					if want := tc.after != 0 && time.Since(began) > tc.after; serves != want {
+					if want := tc.servesAfter != 0 && time.Since(began) > tc.servesAfter; serves != want {
 						t.Fatalf("after %v the server serves: %v, want %v", time.Since(began), serves, want)
 					}
 					time.Sleep(10 * time.Millisecond)
@@ -100,7 +100,7 @@
 		dm := New(setup.Settings{VM: "vm-0", Domain: "d", FirstStart: true}, Options{Store: &kv})
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go dm.runRecall(ctx)
+		go dm.runRecovery(ctx)
 		if err := dm.announce(ctx, admin.Announcement{Service: "booking", Lifetime: "i-1", Number: 1, TTLMs: 60_000}); err != nil {
 			t.Fatal(err)
 		}
@@ -143,16 +143,16 @@
 				dm := New(setup.Settings{VM: "vm-0", Domain: "d"}, Options{Store: &kv})
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				go dm.runLeaving(ctx)
+				go dm.runStoreDeparture(ctx)
 				began := time.Now()
 				if err := dm.announce(ctx, admin.Announcement{Service: "booking", Lifetime: "i-1", Number: 4, State: "draining", TTLMs: 60_000}); err != nil {
 					t.Fatal(err)
 				}
-				if took := time.Since(began); took > recordTime {
+				if took := time.Since(began); took > storeTimeout {
 					t.Errorf("the acknowledgement took %v", took)
 				}
 				time.Sleep(5 * time.Second)
-				ent, err := kv.Get(ctx, dm.leavingKey())
+				ent, err := kv.Get(ctx, dm.departureKey())
 				if err != nil || !ent.Revision.Exists() {
 					t.Errorf("the store holds %+v, %v", ent, err)
 				}
@@ -168,9 +168,9 @@
 func TestLeavingOverwritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := stand.New().Store()
-		swap, late := kv.Swap, 2
+		swap, lateWrites := kv.Swap, 2
 		kv.Swap = func(ctx context.Context, ch store.Change) (bool, store.Entry, error) {
-			if late--; late >= 0 {
+			if lateWrites--; lateWrites >= 0 {
 				if _, _, err := swap(ctx, store.Change{Key: "leaving/vm-0", Value: []byte(`{"lifetime":"i-0"}`), Revision: ch.Revision}); err != nil {
 					t.Error(err)
 				}
@@ -180,17 +180,17 @@
 		dm := New(setup.Settings{VM: "vm-0", Domain: "d"}, Options{Store: &kv})
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go dm.runLeaving(ctx)
+		go dm.runStoreDeparture(ctx)
 		if err := dm.announce(ctx, admin.Announcement{Service: "booking", Lifetime: "i-1", Number: 4, State: "draining", TTLMs: 60_000}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Second)
-		ent, err := kv.Get(ctx, dm.leavingKey())
-		var lv leaving
+		ent, err := kv.Get(ctx, dm.departureKey())
+		var sd storedDeparture
 		if err == nil {
-			err = json.Unmarshal(ent.Value, &lv)
+			err = json.Unmarshal(ent.Value, &sd)
 		}
-		if err != nil || lv.Lifetime != "i-1" {
+		if err != nil || sd.Lifetime != "i-1" {
 			t.Errorf("the store holds %s, %v", ent.Value, err)
 		}
 	})
@@ -205,7 +205,7 @@
 		dm := New(setup.Settings{VM: "vm-0", Domain: "d"}, Options{Store: &kv})
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go dm.runLeaving(ctx)
+		go dm.runStoreDeparture(ctx)
 		bk := st.Backup()
 		if err := dm.announce(ctx, admin.Announcement{Service: "booking", Lifetime: "i-1", Number: 4, State: "draining", TTLMs: 60_000}); err != nil {
 			t.Fatal(err)
@@ -218,29 +218,29 @@
 				t.Fatal(err)
 			}
 			time.Sleep(time.Second)
-			if ent, err := kv.Get(ctx, dm.leavingKey()); err != nil || !strings.Contains(string(ent.Value), "i-1") {
+			if ent, err := kv.Get(ctx, dm.departureKey()); err != nil || !strings.Contains(string(ent.Value), "i-1") {
 				t.Errorf("the store holds %q, %v", ent.Value, err)
 			}
 			if n := st.Calls.Total() - calls; n > 4 {
 				t.Errorf("%d calls to the store", n)
 			}
 		}
-		time.Sleep(leavingTTL)
+		time.Sleep(departureTTL)
 		st.ComeBack(bk)
 		if _, err := dm.Node.Store().Get(ctx, "any"); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		if ent, err := kv.Get(ctx, dm.leavingKey()); err != nil || ent.Revision.Exists() {
+		if ent, err := kv.Get(ctx, dm.departureKey()); err != nil || ent.Revision.Exists() {
 			t.Errorf("the store holds %q of a server that ended long ago, %v", ent.Value, err)
 		}
 	})
 }
 
-// TestForeignLeaving: something else has written under the key where a daemon notes that
+// TestInvalidStoredDeparture: something else has written under the key where a daemon notes that
 // its backend server leaves. A daemon that starts must neither end over it nor take the
 // server that announces itself for one that left.
-func TestForeignLeaving(t *testing.T) {
+func TestInvalidStoredDeparture(t *testing.T) {
 	for name, value := range map[string]string{
 		"empty": ``, "null": `null`, "another type": `[]`, "a number": `5`, "not JSON": "\xff\x00", "cut short": `{"lifetime":"i-1`,
 		"a lifetime of another type": `{"lifetime":5,"number":9}`, "a number that overflows": `{"lifetime":"i-1","number":1e99}`,
@@ -255,11 +255,11 @@
 				dm := New(setup.Settings{VM: "vm-0", Domain: "d"}, Options{Store: &kv})
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				go dm.runRecall(ctx)
+				go dm.runRecovery(ctx)
 				if err := dm.announce(ctx, admin.Announcement{Service: "booking", Lifetime: "i-1", Number: 1, TTLMs: 60_000}); err != nil {
 					t.Fatal(err)
 				}
-				time.Sleep(recallTime)
+				time.Sleep(recoveryTimeout)
 				if st, _ := dm.local.watch(time.Now()); st.Announcement == nil || st.Leaving {
 					t.Errorf("the server does not serve: %+v", st)
 				}
@@ -273,8 +273,8 @@
 	f.Add([]byte(`{"lifetime":"i-1","started-ms":5,"number":7}`))
 	f.Add([]byte(`{"lifetime":"i-1","number":1e99}`))
 	f.Fuzz(func(t *testing.T, value []byte) {
-		if left, err := readLeaving(value); err != nil && left.Lifetime != "" {
-			t.Errorf("%q was taken as %+v", value, left)
+		if de, err := parseDeparture(value); err != nil && de.Lifetime != "" {
+			t.Errorf("%q was taken as %+v", value, de)
 		}
 	})
 }
--- a/internal/node/daemon/serve.go
+++ b/internal/node/daemon/serve.go
@@ -24,58 +24,58 @@
 
 // The limits of what callers may send.
 const (
-	headTimeout = 10 * time.Second
-	idleTimeout = 2 * time.Minute
-	maxHead     = 64 << 10
+	headerTimeout  = 10 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 64 << 10
 )
 
 func (dm *Daemon) servers() *servers {
-	var both http.Protocols
-	both.SetHTTP1(true)
-	both.SetUnencryptedHTTP2(true)
-	plain := func(h http.Handler) *http.Server {
+	var protocols http.Protocols
+	protocols.SetHTTP1(true)
+	protocols.SetUnencryptedHTTP2(true)
+	newServer := func(h http.Handler) *http.Server {
 		return &http.Server{
-			Handler: h, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHead,
+			Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 			ErrorLog: slog.NewLogLogger(dm.log.Handler(), slog.LevelWarn),
 		}
 	}
 	hs := dm.handlers()
 	sv := &servers{
-		inlet:   plain(dm.leaving(dm.Inlet)),
-		control: dm.Node.NewServer(), admin: plain(admin.New(hs)),
+		inlet:   newServer(dm.closeWhenDraining(dm.Inlet)),
+		control: dm.Node.NewServer(), admin: newServer(admin.New(hs)),
 	}
 	sv.pages = sv.admin
-	if dm.ad.Pages != nil {
-		sv.pages = plain(dm.ad.Pages(hs))
+	if dm.adapter.Pages != nil {
+		sv.pages = newServer(dm.adapter.Pages(hs))
 	}
-	sv.front = piping.New(dm.mayRunAhead, sv.callers.State)
+	sv.front = piping.New(dm.mayPipeline, sv.callers.State)
 	// Whether an answer closes its connection is settled before what stands behind it begins.
-	sv.outlet = plain(dm.leaving(sv.front.Handler(dm.Outlet)))
-	sv.outlet.Protocols = &both
+	sv.outlet = newServer(dm.closeWhenDraining(sv.front.Handler(dm.Outlet)))
+	sv.outlet.Protocols = &protocols
 	sv.outlet.ConnState, sv.outlet.ConnContext = sv.front.ConnState, sv.front.ConnContext
 	sv.inlet.ConnState = sv.peers.State
 	sv.control.ErrorLog = sv.outlet.ErrorLog
 	return sv
 }
 
-// mayRunAhead reports whether a request may be begun before those that its caller sent
+// mayPipeline reports whether a request may be begun before those that its caller sent
 // before it are answered. Once the daemon drains, the next answer closes the
 // connection, and what stands behind it counts as not read.
-func (dm *Daemon) mayRunAhead(r *http.Request) bool {
+func (dm *Daemon) mayPipeline(r *http.Request) bool {
 	select {
-	case <-dm.drained:
+	case <-dm.draining:
 		return false
 	default:
 	}
 	return dm.Outlet.Repeatable(r)
 }
 
-// leaving tells callers and outlets to drop their connections once the daemon
+// closeWhenDraining tells callers and outlets to drop their connections once the daemon
 // drains, so that none of them is in use when the listener goes.
-func (dm *Daemon) leaving(next http.Handler) http.Handler {
+func (dm *Daemon) closeWhenDraining(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case <-dm.drained:
+		case <-dm.draining:
 			w.Header().Set("Connection", "close")
 		default:
 		}
@@ -83,20 +83,20 @@
 	})
 }
 
-// leave says everywhere that this daemon ends, and that it is not ready.
-func (dm *Daemon) leave() {
-	dm.drain.Do(func() {
+// beginDrain says everywhere that this daemon ends, and that it is not ready.
+func (dm *Daemon) beginDrain() {
+	dm.drainOnce.Do(func() {
 		dm.log.Info("drain")
-		close(dm.drained)
+		close(dm.draining)
 	})
-	dm.local.poke()
+	dm.local.notify()
 }
 
 // Drain refuses new requests for the backend server, here at once and, by the
 // news, everywhere soon. It returns how many requests are running.
 func (dm *Daemon) Drain() int {
-	dm.leave()
-	dm.closing.Store(true)
+	dm.beginDrain()
+	dm.inletClosed.Store(true)
 	running, _ := dm.Inlet.Gate.Drain()
 	return running
 }
@@ -107,26 +107,26 @@
 func (dm *Daemon) shutDown(sv *servers, ls *listeners, replaced bool) {
 	began := time.Now()
 	timeout := time.Duration(dm.drainTimeout.Load())
-	total := max(timeout-reserve, timeout/2)
+	total := max(timeout-shutdownReserve, timeout/2)
 	ctx, cancel := context.WithTimeout(context.Background(), total)
 	defer cancel()
 	dm.stopping.Store(true)
 	dm.log.Info("stopping", slog.Int("connections", sv.callers.Len()))
 	if !replaced {
-		sleep(ctx, min(noticed, total/2))
+		sleep(ctx, min(callerLeaveTime, total/2))
 	}
-	dm.leave()
+	dm.beginDrain()
 	if !replaced {
-		sleep(ctx, min(handover, total/8))
+		sleep(ctx, min(inletGrace, total/8))
 	}
 	dm.Drain()
 	var wg conc.WaitGroup
 	wg.Go(func() {
 		// What the backend server still runs makes its calls by the outlet.
-		dm.awaitServer(ctx, began.Add(total/2))
-		dm.endServer(ctx, sv.outlet, ls.outlet, &sv.callers)
+		dm.waitForBackend(ctx, began.Add(total/2))
+		dm.closeServer(ctx, sv.outlet, ls.outlet, &sv.callers)
 	})
-	wg.Go(func() { dm.endServer(ctx, sv.inlet, ls.inlet, &sv.peers) })
+	wg.Go(func() { dm.closeServer(ctx, sv.inlet, ls.inlet, &sv.peers) })
 	wg.Wait()
 	if !replaced {
 		dm.Node.Leave(context.Background())
@@ -141,27 +141,27 @@
 	dm.log.Info("drained", slog.Duration("took", time.Since(began)))
 }
 
-// awaitServer waits until the backend server has answered what it runs, or until a moment.
-func (dm *Daemon) awaitServer(ctx context.Context, until time.Time) {
+// waitForBackend waits until the backend server has answered what it runs, or until a moment.
+func (dm *Daemon) waitForBackend(ctx context.Context, until time.Time) {
 	_, idle := dm.Inlet.Gate.Drain()
-	late := time.NewTimer(time.Until(until))
-	defer late.Stop()
+	timeout := time.NewTimer(time.Until(until))
+	defer timeout.Stop()
 	select {
 	case <-idle:
-	case <-late.C:
+	case <-timeout.C:
 	case <-ctx.Done():
 	}
 }
 
-// endServer ends a server once its requests have ended, or with ctx. It takes no
+// closeServer ends a server once its requests have ended, or with ctx. It takes no
 // new connections, so that those callers who have not left go elsewhere at once,
 // and each answer from now on ends its connection.
-func (dm *Daemon) endServer(ctx context.Context, hs *http.Server, ln net.Listener, conns *idle.Set) {
+func (dm *Daemon) closeServer(ctx context.Context, hs *http.Server, ln net.Listener, conns *idle.Set) {
 	if err := ln.Close(); err != nil {
 		dm.log.Info("listener-close", slog.Any("error", err))
 	}
 	for conns.End(0) > 0 && ctx.Err() == nil {
-		sleep(ctx, endEvery)
+		sleep(ctx, idleCloseInterval)
 	}
 	err := hs.Shutdown(ctx)
 	if err == nil {
@@ -175,20 +175,20 @@
 
 // The ending of callers' idle connections.
 const (
-	// idleEvery is how often they are looked at, and also how much longer than
+	// idleCheckInterval is how often they are looked at, and also how much longer than
 	// the operators say they are kept, so that no caller who keeps to the limit
 	// meets the end.
-	idleEvery = 2 * time.Second
-	// maxCallers is how many connections are kept at most; beyond it the idle
+	idleCheckInterval = 2 * time.Second
+	// maxCallerConns is how many connections are kept at most; beyond it the idle
 	// ones go earlier. A descriptor more than the process may have stops it from
 	// accepting any.
-	maxCallers = 1500
+	maxCallerConns = 1500
 )
 
-// endIdle ends the connections that callers have left idle for longer than the
+// closeIdleCallers ends the connections that callers have left idle for longer than the
 // configuration in force allows.
-func (dm *Daemon) endIdle(ctx context.Context, callers *idle.Set) {
-	tick := time.NewTicker(idleEvery)
+func (dm *Daemon) closeIdleCallers(ctx context.Context, callers *idle.Set) {
+	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -200,9 +200,9 @@
 		if sn := dm.Node.Board.Held.Get(); sn != nil && sn.Limits.Idle > 0 {
 			limit = time.Duration(sn.Limits.Idle)
 		}
-		if left := callers.End(limit + idleEvery); left > maxCallers {
-			dm.log.Warn("many-connections", slog.Int("connections", left))
-			callers.End(idleEvery)
+		if open := callers.End(limit + idleCheckInterval); open > maxCallerConns {
+			dm.log.Warn("many-connections", slog.Int("connections", open))
+			callers.End(idleCheckInterval)
 		}
 	}
 }
--- a/internal/node/daemon/usage.go
+++ b/internal/node/daemon/usage.go
@@ -10,12 +10,12 @@
 	"github.com/flamingomast/flamingomast/internal/stat/logs"
 )
 
-// usageEvery is how often a daemon writes what it takes and sends: often enough to see a
+// usageInterval is how often a daemon writes what it takes and sends: often enough to see a
 // burst of some seconds, seldom enough that the lines of hundreds of daemons are few.
-const usageEvery = 10 * time.Second
+const usageInterval = 10 * time.Second
 
-// memory are the parts of the runtime's memory that the usage line tells.
-var memory = []struct{ field, metric string }{
+// memoryMetrics are the parts of the runtime's memory that the usage line tells.
+var memoryMetrics = []struct{ field, metric string }{
 	{"heap-objects", "/memory/classes/heap/objects:bytes"},
 	{"heap-unused", "/memory/classes/heap/unused:bytes"},
 	{"heap-free", "/memory/classes/heap/free:bytes"},
@@ -29,7 +29,7 @@
 // runUsage writes a line of what the daemon takes and sends now and then, and at its end.
 // All counts are from the start of the process.
 func (dm *Daemon) runUsage(ctx context.Context) {
-	tick := time.NewTicker(usageEvery)
+	tick := time.NewTicker(usageInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		select {
@@ -44,15 +44,15 @@
 	us := ownUsage()
 	attrs := []slog.Attr{
 		slog.Bool("relay", dm.Node.Board.Links.Get().Relay), slog.Int64("resident", us.Resident), slog.Int64("processor-ms", us.Processor.Milliseconds()),
-		slog.Int64("control-in", dm.bytes.In.Load()), slog.Int64("control-out", dm.bytes.Out.Load()),
+		slog.Int64("control-in", dm.controlBytes.In.Load()), slog.Int64("control-out", dm.controlBytes.Out.Load()),
 		slog.Int64("path-in", dm.pathBytes.In.Load()), slog.Int64("path-out", dm.pathBytes.Out.Load()),
 	}
-	samples := make([]metrics.Sample, len(memory))
-	for i, me := range memory {
+	samples := make([]metrics.Sample, len(memoryMetrics))
+	for i, me := range memoryMetrics {
 		samples[i].Name = me.metric
 	}
 	metrics.Read(samples)
-	for i, me := range memory {
+	for i, me := range memoryMetrics {
 		if samples[i].Value.Kind() == metrics.KindUint64 {
 			attrs = append(attrs, slog.Uint64(me.field, samples[i].Value.Uint64()))
 		}
--- a/internal/node/heap/heap_test.go
+++ b/internal/node/heap/heap_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// TestBusy: callers of a busy VM with a sixth of a core waited a tenth of a second more
+// TestPercentFollowsLoad: callers of a busy VM with a sixth of a core waited a tenth of a second more
 // every four seconds, since the heap was collected as often. A daemon that is
 // pressed collects seldom, one that is not keeps its heap small, and one whose load has
 // passed goes back to that.
-func TestBusy(t *testing.T) {
+func TestPercentFollowsLoad(t *testing.T) {
 	const live = 10.0 // MB
 	for _, tc := range []struct {
 		name string
@@ -20,38 +20,38 @@
 		loads []load
 		want  int
 	}{
-		{"idle", []load{{0.02, 0.01}}, Least},
-		{"much garbage, little to do", []load{{2.4, 0.1}}, Least},
-		{"much garbage, something to do", []load{{2.4, 0.2}}, Least},
-		{"pressed", []load{{1.2, 0.4}}, most},
-		{"pressed by little garbage", []load{{0.3, 0.4}}, 2 * Least},
-		{"more than can be helped", []load{{30, 0.9}}, most},
-		{"pressed, then idle", []load{{2.4, 0.4}, {0.02, 0.01}, {0.02, 0.01}, {0.02, 0.01}}, Least},
-		{"pressed, then less so", []load{{2.4, 0.4}, {1.2, 0.2}}, most},
-		{"pressed, then little to do", []load{{2.4, 0.4}, {1.2, 0.05}}, Least},
-		{"idle, then pressed", []load{{0.02, 0.01}, {2.4, 0.4}}, most},
+		{"idle", []load{{0.02, 0.01}}, MinPercent},
+		{"much garbage, little to do", []load{{2.4, 0.1}}, MinPercent},
+		{"much garbage, something to do", []load{{2.4, 0.2}}, MinPercent},
+		{"pressed", []load{{1.2, 0.4}}, maxPercent},
+		{"pressed by little garbage", []load{{0.3, 0.4}}, 2 * MinPercent},
+		{"more than can be helped", []load{{30, 0.9}}, maxPercent},
+		{"pressed, then idle", []load{{2.4, 0.4}, {0.02, 0.01}, {0.02, 0.01}, {0.02, 0.01}}, MinPercent},
+		{"pressed, then less so", []load{{2.4, 0.4}, {1.2, 0.2}}, maxPercent},
+		{"pressed, then little to do", []load{{2.4, 0.4}, {1.2, 0.05}}, MinPercent},
+		{"idle, then pressed", []load{{0.02, 0.01}, {2.4, 0.4}}, maxPercent},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var tu Tuner
-			var se Seen
+			var se Stats
 			now, garbage := time.Unix(1000, 0), 0.0
-			percent, _ := tu.Look(se, now)
+			percent, _ := tu.Observe(se, now)
 			changes := 0
 			for _, ld := range tc.loads {
 				changes = 0
 				for range 120 {
-					now = now.Add(lookEvery)
+					now = now.Add(pollInterval)
 					for range 100 {
-						garbage += ld.rate * lookEvery.Seconds() / 100
+						garbage += ld.rate * pollInterval.Seconds() / 100
 						if garbage >= live*float64(percent)/100 {
 							garbage = 0
 							se.Collections++
 						}
 					}
-					se.Total += lookEvery.Seconds()
-					se.Idle += (1 - ld.busy) * lookEvery.Seconds()
+					se.Total += pollInterval.Seconds()
+					se.Idle += (1 - ld.utilization) * pollInterval.Seconds()
 					var changed bool
-					if percent, changed = tu.Look(se, now); changed {
+					if percent, changed = tu.Observe(se, now); changed {
 						changes++
 					}
 				}
@@ -67,7 +67,7 @@
 }
 
 // load is MB of garbage a second and the part of the processor time that is used.
-type load struct{ rate, busy float64 }
+type load struct{ rate, utilization float64 }
 
 // TestRun sets the growth of the process at its start and ends with its context.
 func TestRun(t *testing.T) {
@@ -81,7 +81,7 @@
 			Run(ctx)
 		}()
 		synctest.Wait()
-		if got := debug.SetGCPercent(100); got != Least {
+		if got := debug.SetGCPercent(100); got != MinPercent {
 			t.Errorf("the growth is %d", got)
 		}
 		cancel()
--- a/internal/node/server/server.go
+++ b/internal/node/server/server.go
@@ -9,44 +9,44 @@
 
 // The limits of a tracker.
 const (
-	// keepLives is how many former lifetimes are remembered. An announcement
+	// maxInstances is how many former lifetimes are remembered. An announcement
 	// that is later than so many replacements of the server is not expected.
-	keepLives = 16
-	// freshFor is how long after its last announcement a server is taken to be
+	maxInstances = 16
+	// freshTime is how long after its last announcement a server is taken to be
 	// there for certain: two of its intervals and a little.
-	freshFor = 3500 * time.Millisecond
-	// firstNumbers are the numbers by which a lifetime that is not known yet is
+	freshTime = 3500 * time.Millisecond
+	// maxFirstNumber are the numbers by which a lifetime that is not known yet is
 	// taken for a new one, and not for a forerunner whose announcement is late.
-	firstNumbers = 2
-	// lateFor is how long after the last word of a start an announcement of an
+	maxFirstNumber = 2
+	// maxDelay is how long after the last word of a start an announcement of an
 	// earlier one may still be on its way. One that comes later is of a server that
 	// runs: its clock was set back before it started again.
-	lateFor = 10 * time.Second
+	maxDelay = 10 * time.Second
 )
 
 // Tracker follows the lifetimes of one backend server. The zero value knows
 // none. It is not safe for concurrent use.
 type Tracker struct {
-	cur   *life
-	lives map[string]*life
-	// left is the last lifetime that said it leaves.
-	left string
+	cur       *instance
+	instances map[string]*instance
+	// lastLeft is the last lifetime that said it leaves.
+	lastLeft string
 }
 
-// life is what is known of one start of the server.
-type life struct {
+// instance is what is known of one start of the server.
+type instance struct {
 	an admin.Announcement
 	// startedMs is the Unix time in milliseconds at which it started, 0 where it is
 	// not known.
 	startedMs int64
-	// number is the highest one of its announcements that was taken.
-	number uint64
+	// lastNumber is the highest one of its announcements that was taken.
+	lastNumber uint64
 	// since is when it was first heard, heard when it was last, until how long
 	// its last announcement holds.
-	since, heard, until time.Time
+	since, lastHeard, expiresAt time.Time
 	// leaving is set for good once it said that it drains or leaves. gone is
 	// set when it was taken out.
-	leaving, gone bool
+	leaving, removed bool
 	// assumed is set while it was only found to serve and has not announced itself.
 	assumed bool
 }
@@ -57,7 +57,7 @@
 	Announcement *admin.Announcement
 	// Since is when the server was first heard, Until how long the announcement
 	// holds.
-	Since, Until time.Time
+	Since, ExpiresAt time.Time
 	// Leaving says that it takes no new requests.
 	Leaving bool
 }
@@ -78,8 +78,8 @@
 	return st.Announcement.StartedMs
 }
 
-// SameStart reports whether both are of one start of the server.
-func (st Status) SameStart(other Status) bool {
+// SameInstance reports whether both are of one start of the server.
+func (st Status) SameInstance(other Status) bool {
 	return st.Lifetime() == other.Lifetime() && st.StartedMs() == other.StartedMs()
 }
 
@@ -93,33 +93,33 @@
 // it would send requests to a server that is not there until the present one speaks
 // again. It is taken once the present one has been silent.
 func (tr *Tracker) Announce(an admin.Announcement, now time.Time) bool {
-	lf := tr.lives[an.Lifetime]
-	if lf != nil && lf.precedes(&an, now) {
+	ins := tr.instances[an.Lifetime]
+	if ins != nil && ins.precedes(&an, now) {
 		// Nothing of the former start holds for this one: not its number, nor that
 		// it left.
-		lf = nil
+		ins = nil
 	}
 	switch {
-	case lf != nil && lf.late(&an):
+	case ins != nil && ins.isStale(&an):
 		return false
-	case tr.displaces(lf, &an, now):
+	case tr.keepsCurrent(ins, &an, now):
 		return false
 	}
-	if lf == nil || lf.gone && an.Lifetime == "" {
-		lf = &life{since: now}
-		tr.keep(an.Lifetime, lf)
+	if ins == nil || ins.removed && an.Lifetime == "" {
+		ins = &instance{since: now}
+		tr.remember(an.Lifetime, ins)
 	}
-	if !now.Before(lf.until) && !lf.heard.IsZero() {
-		lf.since = now
+	if !now.Before(ins.expiresAt) && !ins.lastHeard.IsZero() {
+		ins.since = now
 	}
-	lf.assumed = false
-	lf.an, lf.number, lf.heard, lf.until = an, an.Number, now, now.Add(an.TTL())
-	lf.startedMs = max(lf.startedMs, an.StartedMs)
-	lf.leaving = lf.leaving || an.Draining()
-	if lf.leaving {
-		tr.left = an.Lifetime
+	ins.assumed = false
+	ins.an, ins.lastNumber, ins.lastHeard, ins.expiresAt = an, an.Number, now, now.Add(an.TTL())
+	ins.startedMs = max(ins.startedMs, an.StartedMs)
+	ins.leaving = ins.leaving || an.Draining()
+	if ins.leaving {
+		tr.lastLeft = an.Lifetime
 	}
-	tr.cur = lf
+	tr.cur = ins
 	return true
 }
 
@@ -129,51 +129,51 @@
 // known, as when only its removal came, a later one is known by its first numbers. And
 // where the clock of the VM was set back in between, it seems the earlier one, until
 // nothing of the other can be on its way any more.
-func (lf *life) precedes(an *admin.Announcement, now time.Time) bool {
+func (ins *instance) precedes(an *admin.Announcement, now time.Time) bool {
 	switch {
 	case an.StartedMs == 0:
 		return false
-	case lf.startedMs == 0:
-		return lf.gone && an.Number <= firstNumbers
-	case an.StartedMs < lf.startedMs:
-		return now.Sub(lf.heard) > lateFor
+	case ins.startedMs == 0:
+		return ins.removed && an.Number <= maxFirstNumber
+	case an.StartedMs < ins.startedMs:
+		return now.Sub(ins.lastHeard) > maxDelay
 	}
-	return an.StartedMs > lf.startedMs
+	return an.StartedMs > ins.startedMs
 }
 
-func (lf *life) late(an *admin.Announcement) bool {
+func (ins *instance) isStale(an *admin.Announcement) bool {
 	if an.Lifetime == "" {
 		return false
 	}
-	return an.StartedMs != 0 && an.StartedMs < lf.startedMs || an.Number <= lf.number && !lf.assumed || lf.gone
+	return an.StartedMs != 0 && an.StartedMs < ins.startedMs || an.Number <= ins.lastNumber && !ins.assumed || ins.removed
 }
 
-// displaces reports whether an announcement of another lifetime would displace a
+// keepsCurrent reports whether an announcement of another lifetime would displace a
 // present one that was heard lately, without being the first of a new one.
-func (tr *Tracker) displaces(lf *life, an *admin.Announcement, now time.Time) bool {
-	if tr.cur == nil || tr.cur == lf || tr.cur.gone || now.Sub(tr.cur.heard) > freshFor {
+func (tr *Tracker) keepsCurrent(ins *instance, an *admin.Announcement, now time.Time) bool {
+	if tr.cur == nil || tr.cur == ins || tr.cur.removed || now.Sub(tr.cur.lastHeard) > freshTime {
 		return false
 	}
 	if an.StartedMs != 0 && tr.cur.startedMs != 0 {
 		return an.StartedMs < tr.cur.startedMs
 	}
-	return lf != nil || an.Number > firstNumbers
+	return ins != nil || an.Number > maxFirstNumber
 }
 
-func (tr *Tracker) keep(lifetime string, lf *life) {
-	if tr.lives == nil {
-		tr.lives = map[string]*life{}
+func (tr *Tracker) remember(lifetime string, ins *instance) {
+	if tr.instances == nil {
+		tr.instances = map[string]*instance{}
 	}
-	for len(tr.lives) >= keepLives {
+	for len(tr.instances) >= maxInstances {
 		oldest := ""
-		for id, one := range tr.lives {
-			if oldest == "" || one.heard.Before(tr.lives[oldest].heard) {
+		for id, other := range tr.instances {
+			if oldest == "" || other.lastHeard.Before(tr.instances[oldest].lastHeard) {
 				oldest = id
 			}
 		}
-		delete(tr.lives, oldest)
+		delete(tr.instances, oldest)
 	}
-	tr.lives[lifetime] = lf
+	tr.instances[lifetime] = ins
 }
 
 // Assume takes a server that was found to serve before it has announced itself, and
@@ -183,12 +183,12 @@
 	if tr.cur != nil {
 		return false
 	}
-	if lf := tr.lives[an.Lifetime]; lf != nil {
+	if ins := tr.instances[an.Lifetime]; ins != nil {
 		return false
 	}
-	lf := &life{an: an, since: now, heard: now, until: now.Add(an.TTL()), assumed: true}
-	tr.keep(an.Lifetime, lf)
-	tr.cur = lf
+	ins := &instance{an: an, since: now, lastHeard: now, expiresAt: now.Add(an.TTL()), assumed: true}
+	tr.remember(an.Lifetime, ins)
+	tr.cur = ins
 	return true
 }
 
@@ -196,65 +196,65 @@
 // remembered, so that an announcement which it sent before and which comes later does
 // not bring it back. A removal of a start before the newest is late and changes nothing.
 func (tr *Tracker) Withdraw(wd admin.Withdrawal, now time.Time) {
-	lf := tr.leave(member.Leaver{Lifetime: wd.Lifetime, StartedMs: wd.StartedMs}, now)
-	if lf != nil {
-		lf.heard, lf.gone = now, true
+	ins := tr.markLeaving(member.Leaver{Lifetime: wd.Lifetime, StartedMs: wd.StartedMs}, now)
+	if ins != nil {
+		ins.lastHeard, ins.removed = now, true
 	}
 }
 
-// leave notes that a start of the server leaves, and returns what is known of it, nil
+// markLeaving notes that a start of the server leaves, and returns what is known of it, nil
 // where a later one is known.
-func (tr *Tracker) leave(lv member.Leaver, now time.Time) *life {
-	lf := tr.lives[lv.Lifetime]
+func (tr *Tracker) markLeaving(de member.Leaver, now time.Time) *instance {
+	ins := tr.instances[de.Lifetime]
 	switch {
-	case lf != nil && lv.StartedMs != 0 && lv.StartedMs < lf.startedMs:
+	case ins != nil && de.StartedMs != 0 && de.StartedMs < ins.startedMs:
 		return nil
-	case lf == nil, lf.startedMs != 0 && lv.StartedMs > lf.startedMs:
-		next := &life{since: now, heard: now}
-		if lf != nil && tr.cur == lf {
+	case ins == nil, ins.startedMs != 0 && de.StartedMs > ins.startedMs:
+		next := &instance{since: now, lastHeard: now}
+		if ins != nil && tr.cur == ins {
 			tr.cur = next
 		}
-		lf = next
-		tr.keep(lv.Lifetime, lf)
+		ins = next
+		tr.remember(de.Lifetime, ins)
 	}
-	lf.leaving = true
-	lf.startedMs = max(lf.startedMs, lv.StartedMs)
-	lf.number = max(lf.number, lv.At)
-	tr.left = lv.Lifetime
-	return lf
+	ins.leaving = true
+	ins.startedMs = max(ins.startedMs, de.StartedMs)
+	ins.lastNumber = max(ins.lastNumber, de.At)
+	tr.lastLeft = de.Lifetime
+	return ins
 }
 
-// Left returns the last start of the server that said it leaves, with the number of
+// LastDeparture returns the last start of the server that said it leaves, with the number of
 // its newest announcement; empty for none.
-func (tr *Tracker) Left() member.Leaver {
-	if lf := tr.lives[tr.left]; lf != nil && lf.leaving {
-		return member.Leaver{Lifetime: tr.left, StartedMs: lf.startedMs, At: lf.number}
+func (tr *Tracker) LastDeparture() member.Leaver {
+	if ins := tr.instances[tr.lastLeft]; ins != nil && ins.leaving {
+		return member.Leaver{Lifetime: tr.lastLeft, StartedMs: ins.startedMs, At: ins.lastNumber}
 	}
 	return member.Leaver{}
 }
 
-// Lost takes the present server out until it announces itself again.
-func (tr *Tracker) Lost(now time.Time) {
+// MarkUnreachable takes the present server out until it announces itself again.
+func (tr *Tracker) MarkUnreachable(now time.Time) {
 	if tr.cur != nil {
-		tr.cur.until = now
+		tr.cur.expiresAt = now
 	}
 }
 
-// Recall takes what a former process of the VM acknowledged: that start of the server
+// RecoverDeparture takes what a former process of the VM acknowledged: that start of the server
 // leaves, and its announcements up to the number are late.
-func (tr *Tracker) Recall(lv member.Leaver, now time.Time) {
-	if lv.Lifetime != "" {
-		tr.leave(lv, now)
+func (tr *Tracker) RecoverDeparture(de member.Leaver, now time.Time) {
+	if de.Lifetime != "" {
+		tr.markLeaving(de, now)
 	}
 }
 
 // Status returns what the daemon should go by now.
 func (tr *Tracker) Status(now time.Time) Status {
-	lf := tr.cur
-	if lf == nil || lf.gone || !now.Before(lf.until) {
+	ins := tr.cur
+	if ins == nil || ins.removed || !now.Before(ins.expiresAt) {
 		return Status{}
 	}
 	// A copy: the tracker's own changes with the next announcement.
-	an := lf.an
-	return Status{Announcement: &an, Since: lf.since, Until: lf.until, Leaving: lf.leaving}
+	an := ins.an
+	return Status{Announcement: &an, Since: ins.since, ExpiresAt: ins.expiresAt, Leaving: ins.leaving}
 }
--- a/internal/node/server/server_test.go
+++ b/internal/node/server/server_test.go
@@ -11,7 +11,7 @@
 // step is one thing that a tracker hears, and what it must say afterwards.
 type step struct {
 	at       time.Duration
-	do       string // announce, drain, withdraw, recall, lost or assume
+	action   string // announce, drain, withdraw, recall, lost or assume
 	lifetime string
 	number   uint64
 	// want is the lifetime that serves or, with a "-", that leaves.
@@ -22,9 +22,9 @@
 
 const s = time.Second
 
-// TestOrders plays announcements in the orders that a network and a killed
+// TestAnnouncementOrders plays announcements in the orders that a network and a killed
 // daemon bring about.
-func TestOrders(t *testing.T) {
+func TestAnnouncementOrders(t *testing.T) {
 	for name, steps := range map[string][]step{
 		"an overtaken ready does not end a drain": {
 			{0, "announce", "a", 1, "a", 0}, {s, "drain", "a", 3, "-a", 0}, {2 * s, "announce", "a", 2, "-a", 0},
@@ -154,7 +154,7 @@
 			for i, st := range steps {
 				now := start.Add(st.at)
 				an := admin.Announcement{Service: "x", Lifetime: st.lifetime, Number: st.number, StartedMs: st.started}
-				switch st.do {
+				switch st.action {
 				case "announce":
 					tr.Announce(an, now)
 				case "drain":
@@ -163,9 +163,9 @@
 				case "withdraw":
 					tr.Withdraw(admin.Withdrawal{Lifetime: st.lifetime, StartedMs: st.started}, now)
 				case "recall":
-					tr.Recall(member.Leaver{Lifetime: st.lifetime, StartedMs: st.started, At: st.number}, now)
+					tr.RecoverDeparture(member.Leaver{Lifetime: st.lifetime, StartedMs: st.started, At: st.number}, now)
 				case "lost":
-					tr.Lost(now)
+					tr.MarkUnreachable(now)
 				case "assume":
 					tr.Assume(an, now)
 				}
@@ -175,7 +175,7 @@
 					text = "-" + text
 				}
 				if text != st.want {
-					t.Errorf("step %d, %s %s %d: %q serves, want %q", i, st.do, st.lifetime, st.number, text, st.want)
+					t.Errorf("step %d, %s %s %d: %q serves, want %q", i, st.action, st.lifetime, st.number, text, st.want)
 				}
 			}
 		})
@@ -203,27 +203,27 @@
 	}
 }
 
-// TestForgetsTheOldest: a VM on which servers are replaced all day keeps a
+// TestInstanceLimit: a VM on which servers are replaced all day keeps a
 // bounded number of lifetimes.
-func TestForgetsTheOldest(t *testing.T) {
+func TestInstanceLimit(t *testing.T) {
 	var tr Tracker
 	now := time.Unix(1000, 0)
-	for i := range 10 * keepLives {
+	for i := range 10 * maxInstances {
 		now = now.Add(time.Second)
 		tr.Announce(admin.Announcement{Service: "x", Lifetime: time.Duration(i).String(), Number: 1}, now)
 	}
-	if len(tr.lives) > keepLives {
-		t.Errorf("%d lifetimes are kept, bound %d", len(tr.lives), keepLives)
+	if len(tr.instances) > maxInstances {
+		t.Errorf("%d lifetimes are kept, bound %d", len(tr.instances), maxInstances)
 	}
-	if st := tr.Status(now); st.Lifetime() != time.Duration(10*keepLives-1).String() {
+	if st := tr.Status(now); st.Lifetime() != time.Duration(10*maxInstances-1).String() {
 		t.Errorf("the newest lifetime is %q", st.Lifetime())
 	}
 }
 
-// TestStatusStays: the daemon's controllers go by a status while the next
+// TestStatusIsCopy: the daemon's controllers go by a status while the next
 // announcement comes on another connection. What they hold must not change under
 // them; the race detector found that it did.
-func TestStatusStays(t *testing.T) {
+func TestStatusIsCopy(t *testing.T) {
 	var tr Tracker
 	now := time.Unix(1000, 0)
 	tr.Announce(admin.Announcement{Service: "x", Lifetime: "a", Number: 1, Slots: 3}, now)
