--- a/internal/node/addrs/addrs.go
+++ b/internal/node/addrs/addrs.go
@@ -9,8 +9,8 @@
 	"sync"
 )
 
-// The ports that Free draws from: below those that systems give to outgoing
-// connections, so that none of these takes a port before it is listened on.
+// The ports that Free draws from. They are below those that systems assign to outgoing connections,
+// so that none of these takes a port before it is listened on.
 const (
 	firstPort = 10_000
 	lastPort  = 30_000
@@ -21,22 +21,22 @@
 	returned = map[int]bool{}
 )
 
-// Free returns a loopback address that nobody listens on at the moment and that
-// it has not returned before.
+// Free returns a loopback address that nothing listens on at the moment and that it has not
+// returned before.
 func Free() (string, error) { return FreeOn("127.0.0.1") }
 
-// Own returns a loopback IP of this process's own, so that other processes which find
-// addresses at the same time do not take its ports while nobody listens on them.
+// Own returns a loopback IP specific to this process, so that other processes that look for
+// addresses at the same time do not take its ports while nothing listens on them.
 func Own() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.1", 1+(pid>>8)%200, 1+pid%200)
 }
 
-// FreeOn is Free for a loopback IP.
+// FreeOn is Free for a given loopback IP.
 func FreeOn(ip string) (string, error) {
 	mu.Lock()
 	defer mu.Unlock()
-	err := errors.New("addrs: no port is left")
+	err := errors.New("addrs: no free port found")
 	for range 1000 {
 		port := firstPort + rand.IntN(lastPort-firstPort)
 		if returned[port] {
--- a/internal/node/daemon/crash_test.go
+++ b/internal/node/daemon/crash_test.go
@@ -19,63 +19,65 @@
 	"github.com/flamingomast/flamingomast/internal/plat/stand"
 )
 
-// The bounds of a request that ends backend servers, as operators state them.
+// The limits for a poison request, as stated to operators.
 const (
-	// crashLimit is how many servers it may end before it counts.
+	// crashLimit is how many crashes identify a poison request.
 	crashLimit = 3
-	// laterSendLimit is how often it may reach servers later than contact after that.
+	// laterSendLimit is how often the request may still reach servers once settleTime has passed
+	// after that.
 	laterSendLimit = 3
 	settleTime     = 3 * time.Second
 )
 
-// poisonPath begins the path of requests that end their servers, normalPath that of all
-// others.
+// poisonPath is the path prefix of poison requests, normalPath that of all others.
 const (
 	poisonPath = "/deadly"
 	normalPath = "/well"
 )
 
-// crashFleet is some daemons with a backend server each that ends when it runs a request
-// below poisonPath, and is back after a while.
+// crashFleet is a number of daemons, each with a backend server that crashes when it runs a request
+// below poisonPath, and restarts after a while.
 type crashFleet struct {
 	t       *testing.T
 	servers []*crashServer
 	restart restart
-	// reached counts the deadly requests that servers began, ended the servers that did.
+	// reached counts the poison requests that servers began to run, crashed the servers that
+	// crashed.
 	reached, crashed atomic.Int64
 }
 
-// restart is how the servers of a fleet come back after they ended.
+// restart is how the servers of a fleet restart after a crash.
 type restart struct {
-	// delay is how long a server is away.
+	// delay is how long a server is down.
 	delay time.Duration
-	// keepsSocket says that its listening socket outlives it, as that of a prefork server does.
+	// keepsSocket is set if the listening socket outlives the server, like that of a prefork
+	// server.
 	keepsSocket bool
 }
 
-// persistentListener is a listening socket that outlives the server which accepts on it.
+// persistentListener is a listening socket that outlives the server that accepts on it.
 type persistentListener struct {
 	*net.TCPListener
 }
 
-// Close ends the accepting alone.
+// Close makes Accept fail and leaves the socket open.
 func (pl persistentListener) Close() error { return pl.SetDeadline(time.Unix(1, 0)) }
 
-// crashServer is a daemon's backend server.
+// crashServer is the backend server of one daemon.
 type crashServer struct {
 	fl   *crashFleet
 	dm   *Daemon
 	addr string
-	// mu guards what is up, and how often it was started.
+	// mu guards running, starts and socket.
 	mu      sync.Mutex
 	running *faulty.Server
 	starts  int
 	socket  *net.TCPListener
 }
 
-// The times of a mortal server.
+// The service times of a crashServer.
 const (
-	// poisonServiceTime is how long it runs a deadly request, normalServiceTime any other one.
+	// poisonServiceTime is how long it runs a poison request, normalServiceTime any other one.
 	poisonServiceTime = 20 * time.Millisecond
 	normalServiceTime = 40 * time.Millisecond
 )
@@ -125,7 +127,7 @@
 	return fl
 }
 
-// start lets the server serve at its address, as another lifetime than before.
+// start starts the server at its address under a new lifetime.
 func (cs *crashServer) start() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -147,7 +149,7 @@
 	}
 }
 
-// listen returns the server's listening socket; mo.mu is held.
+// listen returns the server's listening socket; cs.mu must be held.
 func (cs *crashServer) listen() (net.Listener, error) {
 	if !cs.fl.restart.keepsSocket {
 		return net.Listen("tcp", cs.addr)
@@ -163,7 +165,7 @@
 	return persistentListener{cs.socket}, cs.socket.SetDeadline(time.Time{})
 }
 
-// stop ends the server with all that it runs, and reports whether it was up.
+// stop ends the server and all requests that it runs, and reports whether it was running.
 func (cs *crashServer) stop() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -190,8 +192,7 @@
 	return false
 }
 
-// send sends a request by the outlet of a VM, as a caller that has a connection of its
-// own for it.
+// send sends a request through the outlet of a VM, on a connection of its own.
 func (fl *crashFleet) send(i int, method, path string, body io.Reader) (status int, retry string) {
 	req, err := http.NewRequestWithContext(fl.t.Context(), method, "http://"+fl.servers[i].dm.se.Outlet+path, body)
 	if err != nil {
@@ -210,19 +211,19 @@
 	return res.StatusCode, res.Header.Get("Retry-After")
 }
 
-// sendUntilCrashes lets a deadly request come at one VM after the other until it has ended as
-// many servers as count.
+// sendUntilCrashes sends a poison request to one VM after another until it has crashed crashLimit
+// servers.
 func (fl *crashFleet) sendUntilCrashes(send func(i int)) {
 	fl.t.Helper()
 	for i := 0; fl.crashed.Load() < crashLimit; i++ {
 		if i == 100 {
-			fl.t.Fatalf("%d servers ended under 100 requests", fl.crashed.Load())
+			fl.t.Fatalf("%d servers crashed under 100 requests", fl.crashed.Load())
 		}
 		send(i % len(fl.servers))
 	}
 }
 
-// restarts are the ways in which servers come back.
+// restarts are the ways in which servers restart.
 var restarts = []struct {
 	name string
 	restart
@@ -232,8 +233,8 @@
 	{"it is back at once", restart{delay: time.Millisecond, keepsSocket: true}},
 }
 
-// TestRequestEndsServers guards against a request that crashes each server that runs it
-// and is sent on for good, by its daemons and by its caller.
+// TestRequestEndsServers guards against a poison request, which crashes each server that runs it,
+// being sent again without end by daemons and by its caller.
 func TestRequestEndsServers(t *testing.T) {
 	for _, tc := range []struct {
 		name, method string
@@ -252,10 +253,10 @@
 	}
 }
 
-// testPoisonRequest lets a deadly request come until it has ended as many servers as count, and
-// checks that it reaches hardly any later on, while others are served.
+// testPoisonRequest sends a poison request until it has crashed crashLimit servers, and checks that
+// it reaches hardly any later on, while other requests are served.
 func testPoisonRequest(t *testing.T, fl *crashFleet, method string, body func() io.Reader) {
-	// Callers of other requests, one of them the same each time, go on all the while.
+	// Callers of other requests, one of them the same each time, continue throughout.
 	ctx, stop := context.WithCancel(t.Context())
 	var callers sync.WaitGroup
 	defer callers.Wait()
@@ -276,12 +277,12 @@
 		sendPoison(i % len(fl.servers))
 	}
 	if got := fl.reached.Load() - before; got > laterSendLimit {
-		t.Errorf("reached servers %d times later than %v after it had ended %d; %d ended in all", got, settleTime, crashLimit, fl.crashed.Load())
+		t.Errorf("reached servers %d times later than %v after it had crashed %d; %d crashed in all", got, settleTime, crashLimit, fl.crashed.Load())
 	}
 	for i := range fl.servers {
 		status, retry := sendPoison(i)
 		if status != http.StatusServiceUnavailable || retry != "" {
-			t.Errorf("vm-%d answers %d, Retry-After %q; want 503 without one: it has not run, and to come back is of no use", i, status, retry)
+			t.Errorf("vm-%d answers %d, Retry-After %q; want 503 without one: the request has not run, and a retry is of no use", i, status, retry)
 		}
 		for _, path := range []string{normalPath + "/same", normalPath + "/new"} {
 			if status, _ := fl.send(i, "GET", path, nil); status != http.StatusOK {
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -35,32 +35,32 @@
 	"github.com/flamingomast/flamingomast/internal/stat/usage"
 )
 
-// The times of a shutdown, from its start; each is cut down to a part of the
-// drain timeout where that is short.
+// The phases of a shutdown, measured from its start. Each is cut to a fraction of the drain timeout
+// when that is short.
 const (
-	// callerLeaveTime is when callers have left: they ask once a second whether the
-	// daemon is ready and leave after two misses. Until then the backend server,
-	// which may live on, serves as before; it is of no use to anyone while this
-	// daemon starts again, so that time is kept short.
+	// callerLeaveTime is how long callers need to leave: they poll readiness once a second and
+	// leave after two failures. Until then the backend server, which may outlive the daemon, serves
+	// as before. It is of no use to anyone while the daemon restarts, so the time is kept short.
 	callerLeaveTime = 2 * time.Second
-	// inletGrace is how long the inlet then still takes requests. The news that
-	// this daemon leaves reaches the outlets in some tens of milliseconds; until
-	// then a refusal would only cost them a second send.
+	// inletGrace is how long the inlet then still accepts requests. The record that says this
+	// daemon is draining reaches the outlets within tens of milliseconds; until then a refusal
+	// would only cost them a second attempt.
 	inletGrace = 300 * time.Millisecond
-	// idleCloseInterval is how often connections that have become idle are ended.
+	// idleCloseInterval is how often connections that have become idle are closed.
 	idleCloseInterval = 20 * time.Millisecond
-	// shutdownReserve is what is kept of the drain timeout for the end itself.
+	// shutdownReserve is the part of the drain timeout that is kept for the steps after the last
+	// request.
 	shutdownReserve = 400 * time.Millisecond
 )
 
-// The idle connections that an outlet keeps to each inlet. A connection costs memory at both
-// ends, and another one is made at no cost to the backend server.
+// The idle connections that an outlet keeps to each inlet. A connection uses memory at both ends,
+// and opening another one costs the backend server nothing.
 const (
 	maxIdlePerInlet  = 12
 	inletIdleTimeout = 3 * time.Second
 )
 
-// Daemon is one daemon.
+// Daemon connects the backend server of one VM to the mesh.
 type Daemon struct {
 	Node   *ctrl.Node
 	Outlet *outlet.Outlet
@@ -69,47 +69,46 @@
 	se    setup.Settings
 	log   *slog.Logger
 	guard *guard.Guard
-	// controlBytes counts what the control part sends and receives, pathBytes what
-	// outlet and inlet do between VMs.
+	// controlBytes counts the bytes that the control plane sends and receives, pathBytes those that
+	// the outlet and the inlet exchange with other VMs.
 	controlBytes, pathBytes meter.Meter
 	drainOnce               sync.Once
-	// draining is closed when an order to drain has come.
+	// draining is closed when a drain begins.
 	draining chan struct{}
-	// stopping is set once the process is to end, closing once the inlet takes
-	// no more requests for good.
+	// stopping is set once the process is to end, inletClosed once the inlet must not accept
+	// requests again.
 	stopping, inletClosed atomic.Bool
-	// drainTimeout is the one in force, in nanoseconds.
+	// drainTimeout is the current setting in nanoseconds.
 	drainTimeout atomic.Int64
-	// store is the platform's, behind the guard.
+	// store is the platform's key-value store, called through the guard.
 	store store.Store
 	local localServer
-	// departure is the newest lifetime that said it leaves.
+	// departure is the newest one that the backend server announced.
 	departure board.Cell[storedDeparture]
 	adapter   Adapter
 }
 
-// Adapter joins a daemon to a platform that has names, formats and calls of its
-// own; the zero value stands for the project's own.
+// Adapter connects a daemon to a platform that has its own names, formats and calls. The zero value
+// uses those of this project.
 type Adapter struct {
-	// Store returns the key-value service at an address.
+	// Store returns the key-value store at an address.
 	Store func(addr string) store.Store
-	// Source returns where versions are read, for the failure domains given with
-	// their regions.
+	// Source returns the source of configuration versions, given the region of each failure domain.
 	Source func(domains map[string]string) ctrl.Source
-	// Names are the headers of callers and backend servers.
+	// Names are the headers exchanged with callers and backend servers.
 	Names result.Names
-	// Pages serves the settings' addresses for readiness and announcements.
+	// Pages returns the handler for the readiness and announcement addresses in the settings.
 	Pages func(admin.Handlers) http.Handler
 }
 
-// Options replaces parts of a daemon; the zero value stands for the real ones.
+// Options replaces parts of a daemon. The zero value uses the defaults.
 type Options struct {
 	Log     *slog.Logger
 	Store   *store.Store
 	Adapter Adapter
 }
 
-// New returns a daemon for checked settings.
+// New returns a daemon. The settings must have been checked.
 func New(se setup.Settings, op Options) *Daemon {
 	dm := &Daemon{se: se, log: op.Log, draining: make(chan struct{}), adapter: op.Adapter}
 	dm.drainTimeout.Store(int64(se.DrainTimeout))
@@ -156,13 +155,13 @@
 	return remote.New(dm.se.Platform).Store()
 }
 
-// Reload takes those of changed settings that can change while a daemon runs.
+// Reload applies those changed settings that can change while the daemon runs.
 func (dm *Daemon) Reload(se setup.Settings) {
 	dm.Outlet.SetSample(se.AccessSample)
 	dm.drainTimeout.Store(int64(se.DrainTimeout))
 }
 
-// listeners are the sockets of a daemon; ready and announce are nil unless set.
+// listeners are the sockets of a daemon. ready and announce are nil unless configured.
 type listeners struct {
 	outlet, inlet, control, admin, ready, announce net.Listener
 }
@@ -191,15 +190,15 @@
 	return &ls, errors.Join(errs...)
 }
 
-// Run serves until ctx ends, then drains and returns. It returns an error when
-// it cannot start, or when another process has taken over this VM's name.
+// Run serves until ctx ends, then drains and returns. It returns an error if it cannot start, or if
+// another process has taken over this VM's name.
 func (dm *Daemon) Run(ctx context.Context) error {
 	ls, err := dm.listen()
 	if err != nil {
 		return err
 	}
 	dm.log.Info("daemon-start", slog.Any("settings", dm.se))
-	// Its parts outlive ctx by the time that the drain takes.
+	// The components outlive ctx by the duration of the drain.
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	var wg conc.WaitGroup
@@ -233,14 +232,14 @@
 	return err
 }
 
-// ReplacedError says that another process runs under the VM's name.
+// ReplacedError reports that another process runs under the VM's name.
 type ReplacedError struct {
 	VM string
 }
 
-// Error names the VM.
+// Error implements the error interface.
 func (er *ReplacedError) Error() string {
-	return fmt.Sprintf("another daemon has taken over the VM name %q; this one ends", er.VM)
+	return fmt.Sprintf("another daemon has taken over the VM name %q; shutting down", er.VM)
 }
 
 func (dm *Daemon) waitForStop(ctx context.Context) error {
@@ -279,12 +278,12 @@
 		return errors.New("stopping")
 	}
 	if dm.Node.Board.Held.Get() == nil {
-		return errors.New("no configuration is held yet")
+		return errors.New("no configuration in force yet")
 	}
 	return nil
 }
 
-// Status returns what is known of the fleet.
+// Status returns the daemon's view of the fleet.
 func (dm *Daemon) Status(ctx context.Context) admin.Status {
 	var domains []string
 	if sn := dm.Node.Board.Held.Get(); sn != nil {
@@ -293,18 +292,18 @@
 	return admin.NewStatus(dm.se.VM, dm.Node.Board.HeldVersion(), domains, dm.Node.Status(ctx, false))
 }
 
-// drainVM passes an order to drain on to the VM's own daemon.
+// drainVM drains a VM, through its own daemon if it is another VM.
 func (dm *Daemon) drainVM(ctx context.Context, vm string) (int, error) {
 	if vm == dm.se.VM {
 		return dm.Drain(), nil
 	}
 	rc := dm.Node.Board.Members.Get().Get(vm)
 	if rc == nil || !rc.Live() {
-		return 0, fmt.Errorf("no daemon of a VM %q is known; see flamingomast status", vm)
+		return 0, fmt.Errorf("no running daemon is known for VM %q; see flamingomast status", vm)
 	}
 	res, err := dm.Node.Client(rc.Control).Drain(ctx, connect.NewRequest(&wirepb.DrainRequest{Vm: vm}))
 	if err != nil {
-		return 0, fmt.Errorf("the daemon of %s at %s: %w", vm, rc.Control, err)
+		return 0, fmt.Errorf("daemon of VM %s at %s: %w", vm, rc.Control, err)
 	}
 	return int(res.Msg.Running), nil
 }
@@ -338,7 +337,7 @@
 	return m
 }
 
-// ownUsage returns what this process takes, nothing where that cannot be read.
+// ownUsage returns the resource usage of this process, or the zero value if it cannot be read.
 func ownUsage() usage.Usage {
 	us, err := usage.Of(0)
 	if err != nil {
@@ -347,5 +346,5 @@
 	return us
 }
 
-// State returns what the daemon says of its backend server.
+// State returns the published state of the backend server.
 func (dm *Daemon) State() member.State { return dm.Node.Board.Self.Get().State }
--- a/internal/node/daemon/daemon_test.go
+++ b/internal/node/daemon/daemon_test.go
@@ -26,7 +26,7 @@
 	for !ok() {
 		select {
 		case <-ctx.Done():
-			t.Fatal("not in time: " + what)
+			t.Fatal("timed out waiting for: " + what)
 		case <-tick.C:
 		}
 	}
@@ -78,16 +78,16 @@
 	}
 }
 
-// TestAnnounceBeforeConfiguration: a backend server announces itself while the
-// daemon holds no version. It must get its slots as soon as one comes, and
-// others when that changes; without, all its requests were refused as full.
+// TestAnnounceBeforeConfiguration guards against a backend server without slots: it announces
+// itself before the daemon has a configuration. It must get its slots as soon as one arrives, and
+// others when that changes; otherwise all its requests are refused as full.
 func TestAnnounceBeforeConfiguration(t *testing.T) {
 	kv := stand.New().Store()
 	dm := start(t, kv)
 	if err := dm.announce(t.Context(), admin.Announcement{Service: "booking", TTLMs: 60_000}); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the announcement is in the record", func() bool { return dm.State() == member.StateServing })
+	eventually(t, "the daemon's record says that the server serves", func() bool { return dm.State() == member.StateServing })
 	if err := dm.ready(); err == nil {
 		t.Error("ready without a configuration")
 	}
@@ -98,21 +98,21 @@
 	if err := dm.ready(); err != nil {
 		t.Errorf("not ready: %v", err)
 	}
-	// The gate and the table follow a version each by itself.
+	// The limiter and the routing table adopt a version independently of each other.
 	eventually(t, "a table", func() bool { return dm.Outlet.Table() != nil })
 	sv := dm.Outlet.Table().Snap.Services["booking"]
-	eventually(t, "the server is routed to", func() bool { return dm.Outlet.Table().Group(sv).Len() == 1 })
+	eventually(t, "the server is in the routing table", func() bool { return dm.Outlet.Table().Group(sv).Len() == 1 })
 }
 
-// TestAnnouncementEnds: a server that no longer renews its announcement, or
-// takes it back, is taken out.
+// TestAnnouncementEnds checks that a server is removed when it no longer renews its announcement,
+// or accepts no connection.
 func TestAnnouncementEnds(t *testing.T) {
 	dm := start(t, stand.New().Store())
 	if err := dm.announce(t.Context(), admin.Announcement{Service: "booking", TTLMs: 3000}); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "serving", func() bool { return dm.State() == member.StateServing })
-	eventually(t, "absent after its time", func() bool { return dm.State() == member.StateAbsent })
+	eventually(t, "absent after the announcement expired", func() bool { return dm.State() == member.StateAbsent })
 	if err := dm.announce(t.Context(), admin.Announcement{Service: "booking", TTLMs: 60_000}); err != nil {
 		t.Fatal(err)
 	}
@@ -121,8 +121,8 @@
 	eventually(t, "absent after no connection could be made", func() bool { return dm.State() == member.StateAbsent })
 }
 
-// TestWrongAnnouncement: a server of another service than declared for the VM
-// is told so.
+// TestWrongAnnouncement checks that the announcement of another service than the one declared for
+// the VM is refused with the reason.
 func TestWrongAnnouncement(t *testing.T) {
 	kv := stand.New().Store()
 	apply(t, kv, 0, mesh(7))
--- a/internal/node/daemon/doc.go
+++ b/internal/node/daemon/doc.go
@@ -1,4 +1,3 @@
-// Package daemon is the life of one daemon: it brings the control part, the
-// outlet, the inlet and the local pages up, keeps them together, and takes
-// them down without cutting off a request.
+// Package daemon runs one daemon: it starts the control plane, the outlet, the inlet and the local
+// HTTP pages, supervises them, and shuts them down without interrupting requests.
 package daemon
--- a/internal/node/daemon/keepalive_test.go
+++ b/internal/node/daemon/keepalive_test.go
@@ -18,11 +18,11 @@
 	"github.com/flamingomast/flamingomast/internal/plat/stand"
 )
 
-// The times of a caller that keeps its connection.
+// The times of a caller that reuses its connection.
 const (
 	routeDeadline = 600 * time.Millisecond
 	serviceTime   = 350 * time.Millisecond
-	// idlePause is longer than the deadline.
+	// idlePause exceeds the deadline.
 	idlePause = 700 * time.Millisecond
 )
 
@@ -33,7 +33,7 @@
 	stop   context.CancelFunc
 }
 
-// slowHandler is a backend server that takes serviceTime.
+// slowHandler answers after serviceTime.
 func slowHandler(_ http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err == nil {
 		<-time.After(serviceTime)
@@ -70,8 +70,8 @@
 	return &singleServer{outlet: se.Outlet, dm: dm, stop: cancel}
 }
 
-// TestKeptConnectionAfterChunks guards against a request being given up on while its server
-// runs it, since an earlier one on its connection had a body in chunks.
+// TestKeptConnectionAfterChunks guards against a request being given up while its server runs it,
+// because an earlier request on its connection had a chunked body.
 func TestKeptConnectionAfterChunks(t *testing.T) {
 	h2 := new(http.Protocols)
 	h2.SetUnencryptedHTTP2(true)
@@ -111,7 +111,7 @@
 				if stopped {
 					ss.stop()
 				}
-				send("right behind it")
+				send("right after it")
 				<-time.After(idlePause)
 				send("after a pause")
 			})
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestServerCallsWhileStopping guards against a request that fails since the daemon beside
-// its server, which is stopping, takes no calls of that server any more.
+// TestServerCallsWhileStopping guards against a request that fails because the daemon beside its
+// server is stopping and no longer accepts calls of that server.
 func TestServerCallsWhileStopping(t *testing.T) {
 	t.Parallel()
 	var ss *singleServer
@@ -143,9 +143,9 @@
 		}
 		close(began)
 		<-ss.dm.draining
-		// Until here callers have left, and the inlet takes nothing any more.
+		// By now callers have left, and the inlet accepts no requests.
 		<-time.After(inletGrace + 100*time.Millisecond)
-		// No server of the service is left, so the call is refused, not cut off.
+		// No server of the service remains, so the call is refused, not interrupted.
 		if status, err := get("/called"); err != nil || status != http.StatusServiceUnavailable {
 			w.WriteHeader(http.StatusInternalServerError)
 		}
@@ -161,19 +161,19 @@
 	<-began
 	ss.stop()
 	if got := <-done; got != http.StatusOK {
-		t.Errorf("the request got %d, since its server could not call", got)
+		t.Errorf("the request got %d because its server could not make its call", got)
 	}
 }
 
-// TestDrainAsNextBegins guards against a request that is cut off since the one before it on
-// its connection, which began earlier, closes the connection.
+// TestDrainAsNextBegins guards against a pipelined request being interrupted because the one before
+// it, which started earlier, closes the connection.
 func TestDrainAsNextBegins(t *testing.T) {
 	t.Parallel()
 	ss := newSingleServer(t, 5*time.Second, slowHandler)
 	sv := ss.dm.servers()
 	sv.front.Ahead = func(r *http.Request) bool {
 		if r.URL.Path == "/last" {
-			// The daemon drains in the moment in which this one begins.
+			// The daemon begins to drain just as this request starts.
 			defer ss.dm.beginDrain()
 		}
 		return true
--- a/internal/node/daemon/local.go
+++ b/internal/node/daemon/local.go
@@ -17,19 +17,19 @@
 	"github.com/flamingomast/flamingomast/internal/path/pick"
 )
 
-// localServer is what is known of the VM's own backend server.
+// localServer is the state of the VM's own backend server.
 type localServer struct {
 	mu      sync.Mutex
 	tracker server.Tracker
-	// recovered is set once it is known what a former process acknowledged;
-	// until then requests are refused.
+	// recovered is set once the state that the predecessor acknowledged is recovered, or the time
+	// for that is over. Until then requests are refused.
 	recovered bool
-	// recoveryDone is closed once recalled is set.
+	// recoveryDone is closed once recovered is set.
 	recoveryDone chan struct{}
 	changed      chan struct{}
 }
 
-// notify lets runLocalServer look again.
+// notify wakes runLocalServer.
 func (ls *localServer) notify() {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -53,7 +53,7 @@
 	return ls.tracker.Status(now), ls.changed
 }
 
-// update changes the tracker and lets runLocalServer look again.
+// update changes the tracker and wakes runLocalServer.
 func (ls *localServer) update(fn func(*server.Tracker)) {
 	ls.mu.Lock()
 	fn(&ls.tracker)
@@ -61,9 +61,10 @@
 	ls.notify()
 }
 
-// announce takes an announcement of the backend server. A server of another
-// service than the inventory has for this VM would get no requests. The answer
-// acknowledges it, so a drain is in force and written down when it returns.
+// announce handles an announcement of the backend server, and returns why it is refused: a server
+// of a service other than the one declared for this VM would get no requests. The response
+// acknowledges the announcement, so a drain takes effect, and is stored if the store answers in
+// time, before announce returns.
 func (dm *Daemon) announce(ctx context.Context, an admin.Announcement) error {
 	if err := dm.checkAnnouncement(an); err != nil {
 		dm.announcementRefused(an.Lifetime, err)
@@ -91,9 +92,9 @@
 	return nil
 }
 
-// checkAnnouncement returns what is wrong with an announcement by the configuration that
-// is held. One that names a service which there is not comes from something else than a
-// backend server of this VM, and must not displace the one that serves.
+// checkAnnouncement checks an announcement against the configuration in force. One that names an
+// unknown service was not sent by a backend server of this VM, and must not displace the one that
+// serves.
 func (dm *Daemon) checkAnnouncement(an admin.Announcement) error {
 	sn := dm.Node.Board.Held.Get()
 	if sn == nil {
@@ -117,12 +118,12 @@
 	return nil
 }
 
-// announcementRefused logs an announcement that names no backend server.
+// announcementRefused logs an announcement that was refused.
 func (dm *Daemon) announcementRefused(lifetime string, err error) {
 	dm.log.Warn("announcement-refused", slog.String("lifetime", lifetime), slog.Any("error", err))
 }
 
-// withdraw takes the backend server out.
+// withdraw removes the backend server.
 func (dm *Daemon) withdraw(ctx context.Context, wd admin.Withdrawal) {
 	now := time.Now()
 	var de member.Leaver
@@ -136,7 +137,7 @@
 	}
 }
 
-// serverUnreachable takes the backend server out when it accepts no connection, until it
+// serverUnreachable removes the backend server, which does not accept connections, until it
 // announces itself again.
 func (dm *Daemon) serverUnreachable() {
 	dm.log.Warn("backend-server-unreachable")
@@ -144,8 +145,8 @@
 	dm.local.update(func(tr *server.Tracker) { tr.MarkUnreachable(now) })
 }
 
-// runLocalServer keeps the inlet and the daemon's record as the backend server, the
-// configuration and the drain say.
+// runLocalServer applies changes of the backend server's state, of the configuration and of the
+// drain to the inlet and to the daemon's record.
 func (dm *Daemon) runLocalServer(ctx context.Context) {
 	for {
 		now := time.Now()
@@ -155,9 +156,9 @@
 		dm.configureLimiter(sn, st)
 		dm.setRecord(st)
 		dm.setTarget(sn, st.Announcement)
-		left := time.Hour
+		wait := time.Hour
 		if st.Announcement != nil {
-			left = st.ExpiresAt.Sub(now)
+			wait = st.ExpiresAt.Sub(now)
 		}
 		select {
 		case <-ctx.Done():
@@ -165,13 +166,13 @@
 		case <-changed:
 		case <-selfChanged:
 		case <-heldChanged:
-		case <-time.After(left):
+		case <-time.After(wait):
 		}
 	}
 }
 
-// configureLimiter gives the inlet its slots, classes and connections, and closes it for
-// a server that leaves.
+// configureLimiter sets the inlet's slots, classes and connection limit, and drains it if the
+// server is leaving.
 func (dm *Daemon) configureLimiter(sn *snap.Snapshot, st server.Status) {
 	if st.Leaving {
 		dm.Inlet.Gate.Drain()
@@ -200,7 +201,7 @@
 	}
 }
 
-// setTarget tells the inlet which backend server is behind it.
+// setTarget sets the backend server that the inlet forwards to.
 func (dm *Daemon) setTarget(sn *snap.Snapshot, an *admin.Announcement) {
 	self := dm.Node.Board.Self.Get()
 	tg := inlet.Target{VM: self.VM, Process: pick.Process(self)}
@@ -214,7 +215,7 @@
 	dm.Inlet.SetTarget(tg)
 }
 
-// setRecord states the backend server to the other daemons, if that changed.
+// setRecord publishes the state of the backend server to the other daemons if it has changed.
 func (dm *Daemon) setRecord(st server.Status) {
 	next := member.Record{State: member.StateAbsent}
 	if an := st.Announcement; an != nil {
@@ -223,8 +224,8 @@
 			Software: an.Software,
 		}
 		if an.ColdMs > 0 {
-			// To a tenth of a second: each change is told to all daemons, and the
-			// end of the cold time moves a little with each announcement.
+			// Rounded to 100 ms: each change is sent to all daemons, and the end of the slow start
+			// shifts a little with each announcement.
 			next.ColdUntil = st.Since.Add(time.Duration(an.ColdMs) * time.Millisecond).Round(100 * time.Millisecond)
 		}
 	}
@@ -253,7 +254,7 @@
 	})
 }
 
-// counts returns what the VM's own backend server did.
+// counts returns the request counts of the VM's own backend server.
 func (dm *Daemon) counts() ctrl.Counts {
 	self := dm.Node.Board.Self.Get()
 	if self.State == member.StateAbsent {
--- a/internal/node/daemon/probe.go
+++ b/internal/node/daemon/probe.go
@@ -10,21 +10,21 @@
 	"github.com/flamingomast/flamingomast/internal/node/server"
 )
 
-// The asking of the backend server at a start.
+// The probing of the backend server at start-up.
 const (
-	// probeInterval is the pause between two questions.
+	// probeInterval is the pause between two probes.
 	probeInterval = 150 * time.Millisecond
-	// probeTimeout is how long it is asked: by then it has announced itself, which it
-	// does every 1.5 s.
+	// probeTimeout is how long the server is probed: by then it has announced itself, which it does
+	// every 1.5 s.
 	probeTimeout = 1500 * time.Millisecond
-	// probeTTL is for how long an answer holds: three intervals of announcements.
+	// probeTTL is how long a result is valid: three announcement intervals.
 	probeTTL = 4500 * time.Millisecond
 )
 
-// runProbe asks the VM's own backend server whether it serves, as long as it has not
-// announced itself to this process. A server that outlives its daemon announces itself
-// up to an interval after the next one has started; until then it would get no request,
-// though it could serve some.
+// runProbe probes the VM's own backend server until it is found to serve, has announced itself to
+// this process, or probeTimeout is over. A server that outlives its daemon announces itself up to
+// one interval after the next daemon has started; until then it would get no requests, though it
+// could serve them.
 func (dm *Daemon) runProbe(ctx context.Context) {
 	path := dm.healthPath(ctx)
 	if path == "" {
@@ -45,8 +45,8 @@
 	}
 }
 
-// healthPath waits for a configuration and for what a former process acknowledged, and
-// returns the path at which the VM's own backend server is asked, empty for none.
+// healthPath waits for a configuration and for the predecessor's state, and returns the path at
+// which the VM's own backend server is probed, empty for none.
 func (dm *Daemon) healthPath(ctx context.Context) string {
 	if dm.se.Server == "" || dm.se.Service == "" || dm.adapter.Names.Lifetime == "" {
 		return ""
--- a/internal/node/daemon/recovery.go
+++ b/internal/node/daemon/recovery.go
@@ -13,51 +13,51 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// The times of what outlives the process.
+// The time limits for storing and recovering the state that outlives the process.
 const (
-	// recoveryTimeout bounds the wait of a new process for what its forerunner
-	// acknowledged: peers are linked within a second, and who has nobody to ask
-	// must not keep its backend server idle.
+	// recoveryTimeout bounds how long a new process waits for the state that its predecessor
+	// acknowledged. Peers are linked within a second, and a daemon without peers must not keep its
+	// backend server idle.
 	recoveryTimeout = 4 * time.Second
-	// firstPeerTimeout is how long it waits for a peer once the store has answered.
+	// firstPeerTimeout is how long it waits for a first peer. The wait for the store may be longer.
 	firstPeerTimeout = 1500 * time.Millisecond
-	// secondPeerTimeout is how long it waits for a second peer after the first knew of
-	// nothing. A plain member has one link only, so there may be no second.
+	// secondPeerTimeout is how long it waits for a second peer after the first knew of no
+	// departure. A member that is not a relay has one link only, so there may be no second peer.
 	secondPeerTimeout = 400 * time.Millisecond
-	// requiredEmptyAnswers is how many peers that know of nothing are believed. News
-	// reaches peers some milliseconds apart, or later under load, so the first
-	// one to answer may not have heard of a drain that was acknowledged.
+	// requiredEmptyAnswers is how many peers have to know of no departure to be believed. Updates
+	// reach peers some milliseconds apart, or later under load, so the first peer to answer may not
+	// have heard of a drain that was acknowledged.
 	requiredEmptyAnswers = 2
-	// departureTTL is how long the store keeps that a lifetime leaves. A server
-	// ends within some tens of seconds after it said so.
+	// departureTTL is how long the store keeps a departure. A server ends within some tens of
+	// seconds after it has announced that it is leaving.
 	departureTTL = time.Minute
-	// storeTimeout bounds the wait of an acknowledgement for the store, and is the
-	// pause before a failed write or read is tried again. A server takes an
-	// answer only within a second.
+	// storeTimeout bounds how long an acknowledgement waits for the store, and is the pause before
+	// a failed write or read is retried. A backend server accepts a response only within a second.
 	storeTimeout = 400 * time.Millisecond
 )
 
-// closeWhenDraining is what the store keeps of a start of the backend server that leaves.
+// storedDeparture is what the store keeps of a departure: an instance of the backend server that
+// has announced that it is leaving.
 type storedDeparture struct {
 	Lifetime  string `json:"lifetime"`
 	StartedMs int64  `json:"started-ms,omitempty"`
 	Number    uint64 `json:"number"`
-	// expiresAt is how long the store is to keep it.
+	// expiresAt is when the store may drop it.
 	expiresAt time.Time
-	// stored is closed once it was written, in the epoch of the store given.
+	// stored is closed after the first successful write. epoch is the store's epoch at the last
+	// one, 0 before that.
 	stored chan struct{}
 	epoch  store.Epoch
 }
 
 func (dm *Daemon) departureKey() string { return "leaving/" + dm.se.VM }
 
-// recordDeparture stops new requests for the server before it returns, and writes
-// down that the lifetime leaves. Without it, a process that replaces this one
-// could take an announcement from before the drain that comes late, and send
-// requests to a server that was told that none will come. The peers hear it at
-// once in the daemon's record; the store is for a herd that ends together, and
-// for a peer that has not heard of it. A write that takes longer than the
-// acknowledgement may wait goes on after it.
+// recordDeparture stops new requests for the server before it returns, and stores that the instance
+// is leaving. Otherwise a process that replaces this one could accept a delayed announcement from
+// before the drain, and send requests to a server that was told to expect none. Peers learn of the
+// departure at once from the daemon's record; the store is for daemons that all end together, and
+// for peers that have not heard of it. A write that takes longer than storeTimeout continues in the
+// background.
 func (dm *Daemon) recordDeparture(ctx context.Context, de member.Leaver) {
 	dm.Inlet.ServerLeaves()
 	dm.configureLimiter(dm.Node.Board.Held.Get(), server.Status{Leaving: true})
@@ -75,9 +75,8 @@
 		slog.Uint64("number", de.At), slog.Bool("stored", stored))
 }
 
-// runStoreDeparture writes down the newest lifetime that leaves, again until the store
-// has it or its time there would be over, and once more in each new epoch of the store,
-// which may have lost it.
+// runStoreDeparture stores the newest departure. It retries until the store has it or it would have
+// expired there, and writes it again in each new epoch of the store, which may have lost it.
 func (dm *Daemon) runStoreDeparture(ctx context.Context) {
 	for ctx.Err() == nil {
 		sd, changed := dm.departure.Watch()
@@ -93,7 +92,8 @@
 	}
 }
 
-// storeDeparture writes lv until that succeeds, a newer one has come, or ctx ends.
+// storeDeparture writes sd until the store has it in the newest known epoch, a newer departure
+// arrives, or ctx ends.
 func (dm *Daemon) storeDeparture(ctx context.Context, sd *storedDeparture, newer <-chan struct{}) {
 	ctx, cancel := context.WithDeadline(ctx, sd.expiresAt)
 	defer cancel()
@@ -119,7 +119,7 @@
 	}
 }
 
-// writeDeparture writes lv, and returns the epoch of the store in which it did.
+// writeDeparture writes sd and returns the epoch of the store in which it was written.
 func (dm *Daemon) writeDeparture(ctx context.Context, sd *storedDeparture) (store.Epoch, error) {
 	value, err := json.Marshal(sd)
 	if err != nil {
@@ -137,7 +137,7 @@
 		ok, _, err = kv.Swap(ctx, ch)
 	}
 	if err == nil && !ok {
-		// A late write of a former process came between, twice.
+		// Delayed writes of a former process came in between, twice.
 		err = errOverwritten
 	}
 	return id.Epoch, err
@@ -145,9 +145,9 @@
 
 var errOverwritten = errors.New("the key was written by another process")
 
-// runRecovery learns what a former process of the VM acknowledged, from the store
-// and from peers, and then lets the backend server take requests. It goes on
-// listening to peers: one may be linked late.
+// runRecovery recovers what a former process of the VM acknowledged, from the store and from peers,
+// and then lets the backend server receive requests. It continues to listen to peers, as one may be
+// linked late.
 func (dm *Daemon) runRecovery(ctx context.Context) {
 	began := time.Now()
 	if !dm.se.FirstStart {
@@ -169,8 +169,8 @@
 	}
 }
 
-// recoverFromPredecessor asks the store and waits for peers. At the first start of a mesh there is
-// nobody to ask about, and hundreds of calls to the store tell nothing.
+// recoverFromPredecessor reads the store and waits for peers. It is skipped at the first start of a
+// mesh, when there is no predecessor and hundreds of calls to the store would return nothing.
 func (dm *Daemon) recoverFromPredecessor(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
@@ -184,7 +184,7 @@
 	<-storeRead
 }
 
-// recoverFromPeers takes what peers keep of the former process.
+// recoverFromPeers applies the departure that peers keep of the predecessor.
 func (dm *Daemon) recoverFromPeers(pr *board.Forerunner) {
 	if pr == nil || pr.Lifetime == "" {
 		return
@@ -192,9 +192,9 @@
 	dm.local.update(func(tr *server.Tracker) { tr.RecoverDeparture(pr.Leaver, time.Now()) })
 }
 
-// waitForPeers waits for the peers' word on the former process, until the
-// store has answered and one of these holds: a peer knows of a drain, enough
-// peers know of none, or no more are expected.
+// waitForPeers waits for peers' answers about the predecessor, until the store has been read and
+// one of these holds: a peer knows of a departure, enough peers know of none, or no more answers
+// are expected.
 func (dm *Daemon) waitForPeers(ctx context.Context, storeRead <-chan struct{}) {
 	timeout := time.NewTimer(firstPeerTimeout)
 	defer timeout.Stop()
@@ -222,7 +222,7 @@
 	}
 }
 
-// recoverFromStore reads what the store keeps, again until it answers.
+// recoverFromStore reads the departure from the store, and retries until the store answers.
 func (dm *Daemon) recoverFromStore(ctx context.Context) {
 	for ctx.Err() == nil {
 		ent, err := dm.store.Get(ctx, dm.departureKey())
@@ -243,9 +243,8 @@
 	}
 }
 
-// parseDeparture reads what the store keeps of a lifetime that leaves; an empty value is
-// none. Of one that cannot be read nothing is taken: half of it may name the server that
-// serves.
+// parseDeparture parses a stored departure; an empty value is none. A value that cannot be parsed
+// is rejected as a whole, as a part of it might name the server that serves.
 func parseDeparture(value []byte) (member.Leaver, error) {
 	if len(value) == 0 {
 		return member.Leaver{}, nil
--- a/internal/node/daemon/recovery_test.go
+++ b/internal/node/daemon/recovery_test.go
@@ -18,7 +18,7 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// peerAnswer is what a peer says of the former process, and when.
+// peerAnswer is what a peer reports about the predecessor, and when.
 type peerAnswer struct {
 	at   time.Duration
 	peer string
@@ -27,7 +27,7 @@
 
 func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// post puts on the board what the peer says; peers are those that have answered.
+// post puts the answer on the board; peers are those that have answered.
 func (pa peerAnswer) post(bd *board.Board, peers map[string]bool) {
 	peers[pa.peer] = true
 	bd.Forerunner.Update(func(cur *board.Forerunner) *board.Forerunner {
@@ -39,24 +39,23 @@
 	})
 }
 
-// TestPredecessorRecovery: a backend server's drain was acknowledged and its daemon
-// replaced before the store had taken it down. Of two peers the first to answer
-// has not heard of the drain. An announcement from before the drain comes late:
-// the server must get no request, and callers saw one at a server that had left.
-// A process of which nobody knows anything must not keep its server waiting.
+// TestPredecessorRecovery guards against requests to a backend server that has left. Its drain was
+// acknowledged, its daemon was replaced before the store had the departure, and the first of two
+// peers to answer has not heard of it. Then a delayed announcement from before the drain arrives. A
+// process about whose predecessor nobody knows anything must not keep its server waiting.
 func TestPredecessorRecovery(t *testing.T) {
 	left := member.Leaver{Lifetime: "i-1", At: 5}
 	for name, tc := range map[string]struct {
 		answers []peerAnswer
-		// delay is when the server serves, 0 for never.
+		// servesAfter is when the server begins to serve, 0 for never.
 		servesAfter time.Duration
 	}{
-		"the first peer knows":           {[]peerAnswer{{millis(50), "p", left}}, 0},
-		"the second peer knows":          {[]peerAnswer{{millis(50), "p", member.Leaver{}}, {millis(300), "q", left}}, 0},
-		"two peers know of nothing":      {[]peerAnswer{{millis(50), "p", member.Leaver{}}, {millis(300), "q", member.Leaver{}}}, millis(300)},
-		"the only peer answers twice":    {[]peerAnswer{{millis(50), "p", member.Leaver{}}, {millis(300), "p", member.Leaver{}}}, millis(450)},
-		"nobody answers":                 {nil, firstPeerTimeout},
-		"the only peer knows of nothing": {[]peerAnswer{{millis(50), "p", member.Leaver{}}}, millis(450)},
+		"the first peer knows":                {[]peerAnswer{{millis(50), "p", left}}, 0},
+		"the second peer knows":               {[]peerAnswer{{millis(50), "p", member.Leaver{}}, {millis(300), "q", left}}, 0},
+		"two peers know of no departure":      {[]peerAnswer{{millis(50), "p", member.Leaver{}}, {millis(300), "q", member.Leaver{}}}, millis(300)},
+		"the only peer answers twice":         {[]peerAnswer{{millis(50), "p", member.Leaver{}}, {millis(300), "p", member.Leaver{}}}, millis(450)},
+		"nobody answers":                      {nil, firstPeerTimeout},
+		"the only peer knows of no departure": {[]peerAnswer{{millis(50), "p", member.Leaver{}}}, millis(450)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -74,7 +73,7 @@
 					time.Sleep(pa.at - time.Since(began))
 					pa.post(dm.Node.Board, peers)
 				}
-				// Off the round times, at which the daemon itself acts.
+				// Avoids the exact times at which the daemon itself acts.
 				time.Sleep(5 * time.Millisecond)
 				for time.Since(began) < 6*time.Second {
 					st, _ := dm.local.watch(time.Now())
@@ -89,10 +88,10 @@
 	}
 }
 
-// TestFirstStart: hundreds of daemons start for the first time. Each asked the store what
-// a former process of its VM had acknowledged, and kept its backend server waiting for
-// peers that could not know. At the first start nothing is asked, and the server serves
-// at once.
+// TestFirstStart guards against needless waiting when hundreds of daemons start for the first time:
+// each read from the store what a predecessor had acknowledged, and kept its backend server waiting
+// for peers that could not know. At the first start the store is not read, and the server serves at
+// once.
 func TestFirstStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := stand.New()
@@ -114,10 +113,10 @@
 	})
 }
 
-// TestLeavingStoredLate: a backend server says that it drains while the store
-// takes two seconds to answer, or answers with errors. The acknowledgement cannot
-// wait for it; the store must know of the drain all the same once it answers, or
-// a process that replaces this one later sends requests to the server.
+// TestLeavingStoredLate guards against a drain that the store never learns of: it takes two seconds
+// to answer, or fails, while a backend server announces the drain. The acknowledgement cannot wait
+// for the store, but the departure must be stored once it answers, or a later process sends
+// requests to the server.
 func TestLeavingStoredLate(t *testing.T) {
 	for name, fault := range map[string]func(context.Context) error{
 		"slow": func(ctx context.Context) error {
@@ -161,10 +160,9 @@
 	}
 }
 
-// TestLeavingOverwritten: a backend server says that it drains just as writes of the
-// VM's former process, which the store executes late, come in between. The write that
-// found another revision was taken for done, and a process that replaced this one sent
-// requests to the server.
+// TestLeavingOverwritten guards against a departure that is lost to writes of the VM's former
+// process, which the store executes late. The write that found another revision was treated as
+// done, and the next process sent requests to the server.
 func TestLeavingOverwritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := stand.New().Store()
@@ -196,8 +194,8 @@
 	})
 }
 
-// TestLeavingStoredAgain guards against a drain that was acknowledged and is gone from a
-// store that came back from an older copy.
+// TestLeavingStoredAgain guards against losing an acknowledged drain when the store is restored
+// from an older copy.
 func TestLeavingStoredAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := stand.New()
@@ -213,7 +211,7 @@
 		for range 2 {
 			st.ComeBack(bk)
 			calls := st.Calls.Total()
-			// Another call, or a peer, shows the epoch.
+			// Another call, or a peer, reveals the epoch.
 			if _, err := dm.Node.Store().Get(ctx, "any"); err != nil {
 				t.Fatal(err)
 			}
@@ -237,9 +235,9 @@
 	})
 }
 
-// TestInvalidStoredDeparture: something else has written under the key where a daemon notes that
-// its backend server leaves. A daemon that starts must neither end over it nor take the
-// server that announces itself for one that left.
+// TestInvalidStoredDeparture covers values that something else has written under the key of the
+// departure. A daemon that starts must neither fail nor treat the server that announces itself as
+// one that left.
 func TestInvalidStoredDeparture(t *testing.T) {
 	for name, value := range map[string]string{
 		"empty": ``, "null": `null`, "another type": `[]`, "a number": `5`, "not JSON": "\xff\x00", "cut short": `{"lifetime":"i-1`,
@@ -268,13 +266,13 @@
 	}
 }
 
-// FuzzLeaving: what cannot be read names no lifetime.
+// FuzzLeaving checks that a value that cannot be parsed names no lifetime.
 func FuzzLeaving(f *testing.F) {
 	f.Add([]byte(`{"lifetime":"i-1","started-ms":5,"number":7}`))
 	f.Add([]byte(`{"lifetime":"i-1","number":1e99}`))
 	f.Fuzz(func(t *testing.T, value []byte) {
 		if de, err := parseDeparture(value); err != nil && de.Lifetime != "" {
-			t.Errorf("%q was taken as %+v", value, de)
+			t.Errorf("%q was parsed as %+v", value, de)
 		}
 	})
 }
--- a/internal/node/daemon/routing.go
+++ b/internal/node/daemon/routing.go
@@ -8,22 +8,22 @@
 	"github.com/flamingomast/flamingomast/internal/roll/canary"
 )
 
-// rebuildDelay bounds how often the routing table is built while records pour in.
+// rebuildDelay bounds how often the routing table is rebuilt while many member records arrive.
 const rebuildDelay = 20 * time.Millisecond
 
-// The number of outlets that a process reckons with while it does not know them yet:
-// each takes its part of what the fleet may do, and a herd that starts at once would
-// take the whole for each of its processes.
+// Each outlet takes its share of what the whole fleet may do. A process that does not know the
+// other outlets yet assumes a large number of them: when many daemons start at once, each of them
+// would otherwise take the whole.
 const (
-	// membershipSettleTime is the time after which a process knows all members, also of a herd
-	// that comes back at once.
+	// membershipSettleTime is the time after which a process knows all members, even when a whole
+	// fleet restarts at once.
 	membershipSettleTime = 5 * time.Second
-	// assumedOutlets is above the number of VMs of a large fleet.
+	// assumedOutlets exceeds the number of VMs in a large fleet.
 	assumedOutlets = 1000
 )
 
-// runRouting builds the outlet's table from the configuration in force, the
-// members and the failure domains that are cut off.
+// runRouting builds the outlet's routing table from the configuration in force, the members, the
+// rollouts and the unreachable failure domains.
 func (dm *Daemon) runRouting(ctx context.Context) {
 	bd := dm.Node.Board
 	settled := time.After(membershipSettleTime)
--- a/internal/node/daemon/serve.go
+++ b/internal/node/daemon/serve.go
@@ -16,13 +16,13 @@
 
 type servers struct {
 	outlet, inlet, control, admin, pages *http.Server
-	// callers and peers are the connections of the outlet and of the inlet.
+	// callers and peers track the connections of the outlet and of the inlet.
 	callers, peers idle.Set
-	// front serves what callers send ahead.
+	// front serves pipelined requests.
 	front *piping.Front
 }
 
-// The limits of what callers may send.
+// The limits for callers' connections and headers.
 const (
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 2 * time.Minute
@@ -49,7 +49,8 @@
 		sv.pages = newServer(dm.adapter.Pages(hs))
 	}
 	sv.front = piping.New(dm.mayPipeline, sv.callers.State)
-	// Whether an answer closes its connection is settled before what stands behind it begins.
+	// It must be settled whether a response closes its connection before a pipelined request behind
+	// it starts, so closeWhenDraining comes first.
 	sv.outlet = newServer(dm.closeWhenDraining(sv.front.Handler(dm.Outlet)))
 	sv.outlet.Protocols = &protocols
 	sv.outlet.ConnState, sv.outlet.ConnContext = sv.front.ConnState, sv.front.ConnContext
@@ -58,9 +59,9 @@
 	return sv
 }
 
-// mayPipeline reports whether a request may be begun before those that its caller sent
-// before it are answered. Once the daemon drains, the next answer closes the
-// connection, and what stands behind it counts as not read.
+// mayPipeline reports whether a request may start before the earlier requests on its connection are
+// answered. Once the daemon drains, the next response closes the connection, and the requests
+// behind it count as not read.
 func (dm *Daemon) mayPipeline(r *http.Request) bool {
 	select {
 	case <-dm.draining:
@@ -70,8 +71,8 @@
 	return dm.Outlet.Repeatable(r)
 }
 
-// closeWhenDraining tells callers and outlets to drop their connections once the daemon
-// drains, so that none of them is in use when the listener goes.
+// closeWhenDraining makes callers and outlets close their connections once the daemon drains, so
+// that none is in use when the listener closes.
 func (dm *Daemon) closeWhenDraining(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -83,7 +84,7 @@
 	})
 }
 
-// beginDrain says everywhere that this daemon ends, and that it is not ready.
+// beginDrain publishes that this daemon is draining, and makes it not ready.
 func (dm *Daemon) beginDrain() {
 	dm.drainOnce.Do(func() {
 		dm.log.Info("drain")
@@ -92,8 +93,8 @@
 	dm.local.notify()
 }
 
-// Drain refuses new requests for the backend server, here at once and, by the
-// news, everywhere soon. It returns how many requests are running.
+// Drain refuses new requests for the backend server: here at once, and at the other daemons as soon
+// as the updated record reaches them. It returns the number of running requests.
 func (dm *Daemon) Drain() int {
 	dm.beginDrain()
 	dm.inletClosed.Store(true)
@@ -101,9 +102,9 @@
 	return running
 }
 
-// shutDown ends the daemon without cutting off a request: callers leave, the
-// news goes out, running requests end, and only then do connections close. A
-// process that was replaced takes its leave without delay.
+// shutDown ends the daemon without interrupting requests: callers leave, the drain is published,
+// running requests end, and only then do connections close. A process that was replaced does not
+// wait for callers and outlets.
 func (dm *Daemon) shutDown(sv *servers, ls *listeners, replaced bool) {
 	began := time.Now()
 	timeout := time.Duration(dm.drainTimeout.Load())
@@ -122,7 +123,7 @@
 	dm.Drain()
 	var wg conc.WaitGroup
 	wg.Go(func() {
-		// What the backend server still runs makes its calls by the outlet.
+		// Requests that the backend server still runs make their calls through the outlet.
 		dm.waitForBackend(ctx, began.Add(total/2))
 		dm.closeServer(ctx, sv.outlet, ls.outlet, &sv.callers)
 	})
@@ -141,7 +142,8 @@
 	dm.log.Info("drained", slog.Duration("took", time.Since(began)))
 }
 
-// waitForBackend waits until the backend server has answered what it runs, or until a moment.
+// waitForBackend waits until the backend server has answered its running requests, until the given
+// time, or until ctx ends.
 func (dm *Daemon) waitForBackend(ctx context.Context, until time.Time) {
 	_, idle := dm.Inlet.Gate.Drain()
 	timeout := time.NewTimer(time.Until(until))
@@ -153,9 +155,9 @@
 	}
 }
 
-// closeServer ends a server once its requests have ended, or with ctx. It takes no
-// new connections, so that those callers who have not left go elsewhere at once,
-// and each answer from now on ends its connection.
+// closeServer closes a server once its requests have ended, or when ctx ends. It accepts no new
+// connections, so that callers that have not left go elsewhere at once, and each response from now
+// on closes its connection.
 func (dm *Daemon) closeServer(ctx context.Context, hs *http.Server, ln net.Listener, conns *idle.Set) {
 	if err := ln.Close(); err != nil {
 		dm.log.Info("listener-close", slog.Any("error", err))
@@ -173,19 +175,18 @@
 	}
 }
 
-// The ending of callers' idle connections.
+// The closing of callers' idle connections.
 const (
-	// idleCheckInterval is how often they are looked at, and also how much longer than
-	// the operators say they are kept, so that no caller who keeps to the limit
-	// meets the end.
+	// idleCheckInterval is how often idle connections are checked. It is also added to the idle
+	// time that operators state, so that a caller that keeps to the limit never meets a closed
+	// connection.
 	idleCheckInterval = 2 * time.Second
-	// maxCallerConns is how many connections are kept at most; beyond it the idle
-	// ones go earlier. A descriptor more than the process may have stops it from
-	// accepting any.
+	// maxCallerConns is the number of connections above which idle ones are closed earlier. A
+	// process that has used up its file descriptors cannot accept any connection.
 	maxCallerConns = 1500
 )
 
-// closeIdleCallers ends the connections that callers have left idle for longer than the
+// closeIdleCallers closes callers' connections that have been idle for longer than the
 // configuration in force allows.
 func (dm *Daemon) closeIdleCallers(ctx context.Context, callers *idle.Set) {
 	tick := time.NewTicker(idleCheckInterval)
--- a/internal/node/daemon/usage.go
+++ b/internal/node/daemon/usage.go
@@ -10,11 +10,11 @@
 	"github.com/flamingomast/flamingomast/internal/stat/logs"
 )
 
-// usageInterval is how often a daemon writes what it takes and sends: often enough to see a
-// burst of some seconds, seldom enough that the lines of hundreds of daemons are few.
+// usageInterval is how often a daemon logs its resource usage and traffic: often enough to show a
+// burst of some seconds, seldom enough that hundreds of daemons log few lines.
 const usageInterval = 10 * time.Second
 
-// memoryMetrics are the parts of the runtime's memory that the usage line tells.
+// memoryMetrics are the runtime metrics in the usage line.
 var memoryMetrics = []struct{ field, metric string }{
 	{"heap-objects", "/memory/classes/heap/objects:bytes"},
 	{"heap-unused", "/memory/classes/heap/unused:bytes"},
@@ -26,8 +26,8 @@
 	{"collections", "/gc/cycles/total:gc-cycles"},
 }
 
-// runUsage writes a line of what the daemon takes and sends now and then, and at its end.
-// All counts are from the start of the process.
+// runUsage logs the daemon's resource usage and traffic at each interval and when the daemon ends.
+// All counts start with the process.
 func (dm *Daemon) runUsage(ctx context.Context) {
 	tick := time.NewTicker(usageInterval)
 	defer tick.Stop()
--- a/internal/node/heap/doc.go
+++ b/internal/node/heap/doc.go
@@ -1,3 +1,3 @@
-// Package heap decides by how much the heap may grow between two collections, so that
-// memory stays small in a daemon with little to do and collections rare in a busy one.
+// Package heap sets how much the heap may grow between garbage collections, so that memory stays
+// small in an idle daemon and collections are rare in a busy one.
 package heap
--- a/internal/node/heap/heap.go
+++ b/internal/node/heap/heap.go
@@ -8,29 +8,27 @@
 )
 
 const (
-	// MinPercent is the growth in percent that a daemon starts with, well below the runtime's
-	// own: a calm daemon collects seldom, and its memory is dear.
+	// MinPercent is the GC percentage that a daemon starts with, well below the runtime's default:
+	// an idle daemon collects seldom, and memory is its scarce resource.
 	MinPercent = 25
-	// maxPercent bounds the growth of a pressed daemon.
+	// maxPercent bounds the GC percentage of a busy daemon.
 	maxPercent = 100
-	// targetInterval is the time that should be between two collections of a pressed daemon. A
-	// collection keeps a VM with a small part of a core from its requests for a tenth of
-	// a second.
+	// targetInterval is the time that should pass between two collections in a busy daemon. A
+	// collection keeps a VM with a small share of a core from its requests for a tenth of a second.
 	targetInterval = 15 * time.Second
-	// highUtilization and calm are the parts of its processor time that a daemon uses, above
-	// which memory is spent to save it, and below which that is given back. At a
-	// quarter a request waits a third longer than it takes.
+	// highUtilization and lowUtilization are fractions of the processor time. Above the first,
+	// memory is spent to save processor time; below the second, it is given back. At a utilization
+	// of a quarter, a request takes a third longer because of waiting.
 	highUtilization = 0.25
 	lowUtilization  = 0.12
 	// quietInterval is the time without a collection after which memory is given back.
 	quietInterval = 60 * time.Second
-	// pollInterval is the time between two looks at the runtime.
+	// pollInterval is the time between two readings of the runtime's metrics.
 	pollInterval = time.Second
 )
 
-// NextPercent returns by how much the heap may grow, in percent, after collections that came
-// apart by interval at the growth of percent, while the daemon used a part of its
-// processor time.
+// NextPercent returns the next GC percentage, given the present one, the interval between
+// collections under it, and the fraction of its processor time that the daemon used.
 func NextPercent(percent int, interval time.Duration, utilization float64) int {
 	if utilization < lowUtilization || interval > quietInterval {
 		return max(percent/2, MinPercent)
@@ -41,28 +39,28 @@
 	return percent
 }
 
-// Stats is what the runtime tells of a process since its start.
+// Stats are the runtime's metrics of a process since its start.
 type Stats struct {
-	// Collections counts those that the runtime began by itself.
+	// Collections counts those that the runtime started by itself.
 	Collections uint64
-	// Idle and Total are processor time in seconds, as of the last collection. Time in
-	// which a process that has something to run is kept from it counts as used.
+	// Idle and Total are processor time in seconds, as of the last collection. Time in which a
+	// runnable process waits for a processor counts as used.
 	Idle, Total float64
 }
 
-// Tuner follows the collections of a process. The zero value is ready for use.
+// Tuner adjusts the GC percentage of a process. The zero value is ready for use.
 type Tuner struct {
 	percent int
-	// last is what was seen at the last collection, at collected; eased is when the
-	// growth was last lowered for want of one.
+	// last is what was observed at the last collection, at lastCollection. lastLowered is when the
+	// percentage was last lowered for lack of a collection.
 	last                        Stats
 	lastCollection, lastLowered time.Time
-	// lowered is set until the collection that a lower growth itself brings about.
+	// lowered is set until the collection that a lower percentage itself causes.
 	lowered bool
 }
 
-// Observe takes what the runtime tells now and returns the growth in percent, and whether
-// it has changed.
+// Observe handles a reading of the metrics, and returns the GC percentage and whether it has
+// changed.
 func (tu *Tuner) Observe(st Stats, now time.Time) (percent int, changed bool) {
 	old := tu.percent
 	switch {
@@ -81,7 +79,7 @@
 	return tu.percent, tu.percent != old
 }
 
-// utilization returns the part of the processor time that was used between two looks.
+// utilization returns the fraction of the processor time that was used between two readings.
 func (st *Stats) utilization(next Stats) float64 {
 	if total := next.Total - st.Total; total > 0 {
 		return 1 - (next.Idle-st.Idle)/total
@@ -89,7 +87,7 @@
 	return 0
 }
 
-// Run sets the growth of this process's heap until ctx ends.
+// Run adjusts the GC percentage of this process until ctx ends.
 func Run(ctx context.Context) {
 	var tu Tuner
 	samples := []metrics.Sample{
--- a/internal/node/heap/heap_test.go
+++ b/internal/node/heap/heap_test.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// TestPercentFollowsLoad: callers of a busy VM with a sixth of a core waited a tenth of a second more
-// every four seconds, since the heap was collected as often. A daemon that is
-// pressed collects seldom, one that is not keeps its heap small, and one whose load has
-// passed goes back to that.
+// TestPercentFollowsLoad guards against frequent collections in a busy daemon: callers of a VM with
+// a sixth of a core waited a tenth of a second more every four seconds, as often as the heap was
+// collected. A busy daemon must collect seldom, an idle one keep its heap small, and one whose load
+// has passed return to that.
 func TestPercentFollowsLoad(t *testing.T) {
 	const live = 10.0 // MB
 	for _, tc := range []struct {
 		name string
-		// loads each last for two minutes.
+		// Each of loads lasts for two minutes.
 		loads []load
 		want  int
 	}{
 		{"idle", []load{{0.02, 0.01}}, MinPercent},
-		{"much garbage, little to do", []load{{2.4, 0.1}}, MinPercent},
-		{"much garbage, something to do", []load{{2.4, 0.2}}, MinPercent},
-		{"pressed", []load{{1.2, 0.4}}, maxPercent},
-		{"pressed by little garbage", []load{{0.3, 0.4}}, 2 * MinPercent},
-		{"more than can be helped", []load{{30, 0.9}}, maxPercent},
-		{"pressed, then idle", []load{{2.4, 0.4}, {0.02, 0.01}, {0.02, 0.01}, {0.02, 0.01}}, MinPercent},
-		{"pressed, then less so", []load{{2.4, 0.4}, {1.2, 0.2}}, maxPercent},
-		{"pressed, then little to do", []load{{2.4, 0.4}, {1.2, 0.05}}, MinPercent},
-		{"idle, then pressed", []load{{0.02, 0.01}, {2.4, 0.4}}, maxPercent},
+		{"much garbage, low utilization", []load{{2.4, 0.1}}, MinPercent},
+		{"much garbage, medium utilization", []load{{2.4, 0.2}}, MinPercent},
+		{"busy", []load{{1.2, 0.4}}, maxPercent},
+		{"busy with little garbage", []load{{0.3, 0.4}}, 2 * MinPercent},
+		{"overloaded with garbage", []load{{30, 0.9}}, maxPercent},
+		{"busy, then idle", []load{{2.4, 0.4}, {0.02, 0.01}, {0.02, 0.01}, {0.02, 0.01}}, MinPercent},
+		{"busy, then less busy", []load{{2.4, 0.4}, {1.2, 0.2}}, maxPercent},
+		{"busy, then low utilization", []load{{2.4, 0.4}, {1.2, 0.05}}, MinPercent},
+		{"idle, then busy", []load{{0.02, 0.01}, {2.4, 0.4}}, maxPercent},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var tu Tuner
@@ -57,19 +57,19 @@
 				}
 			}
 			if percent != tc.want {
-				t.Errorf("the heap grows by %d%%, want %d%%", percent, tc.want)
+				t.Errorf("GC percentage is %d%%, want %d%%", percent, tc.want)
 			}
 			if changes > 3 {
-				t.Errorf("the growth changed %d times at one load", changes)
+				t.Errorf("GC percentage changed %d times under one load", changes)
 			}
 		})
 	}
 }
 
-// load is MB of garbage a second and the part of the processor time that is used.
+// load is the garbage in MB per second and the fraction of the processor time that is used.
 type load struct{ rate, utilization float64 }
 
-// TestRun sets the growth of the process at its start and ends with its context.
+// TestRun checks that Run sets the GC percentage at its start and returns when its context ends.
 func TestRun(t *testing.T) {
 	old := debug.SetGCPercent(100)
 	defer debug.SetGCPercent(old)
@@ -82,7 +82,7 @@
 		}()
 		synctest.Wait()
 		if got := debug.SetGCPercent(100); got != MinPercent {
-			t.Errorf("the growth is %d", got)
+			t.Errorf("GC percentage is %d", got)
 		}
 		cancel()
 		<-done
--- a/internal/node/probe/doc.go
+++ b/internal/node/probe/doc.go
@@ -1,2 +1,2 @@
-// Package probe asks a backend server once whether it serves.
+// Package probe checks once whether a backend server is serving.
 package probe
--- a/internal/node/probe/probe.go
+++ b/internal/node/probe/probe.go
@@ -13,29 +13,29 @@
 	"github.com/flamingomast/flamingomast/internal/plat/dialer"
 )
 
-// Timeout bounds one question. A server answers in milliseconds, and later where all
-// its slots are in use.
+// Timeout bounds one probe. A server responds within milliseconds, or later if all its slots are in
+// use.
 const Timeout = 300 * time.Millisecond
 
-// maxBodyBytes is how many bytes of an answer are read, so that its connection ends well.
+// maxBodyBytes is how much of a response body is read, so that the connection ends cleanly.
 const maxBodyBytes = 4 << 10
 
-// Prober knows how backend servers are asked.
+// Prober holds the names of the headers by which backend servers describe themselves.
 type Prober struct {
-	// Lifetime is the header in which a server names its lifetime, Load the one in
-	// which it gives its slots as the last of several numbers.
+	// Lifetime is the header with the server's lifetime, Load the one whose last number is the
+	// server's slots.
 	Lifetime, Load string
 }
 
-// Result is what a server that serves says of itself.
+// Result is what a serving backend server reports about itself.
 type Result struct {
 	Lifetime string
-	// Slots is 0 where it does not tell.
+	// Slots is 0 if the server does not report it.
 	Slots int
 }
 
-// Probe asks the server at addr (host:port) by its health path. It fails where the server
-// does not answer, does not serve, or does not name itself.
+// Probe requests path, the health path, from the server at addr (host:port). It fails if the server
+// does not respond, is not serving, or does not report its lifetime.
 func (pr Prober) Probe(ctx context.Context, addr, path string) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, Timeout)
 	defer cancel()
@@ -48,7 +48,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	// The answer is read by then, or has failed; an error of closing says no more.
+	// By now the response has been read or has failed; an error of Close adds nothing.
 	defer nc.Close()
 	if deadline, ok := ctx.Deadline(); ok {
 		if err := nc.SetDeadline(deadline); err != nil {
@@ -72,16 +72,16 @@
 	}
 	re := Result{Lifetime: res.Header.Get(pr.Lifetime), Slots: parseSlots(res.Header.Get(pr.Load))}
 	if res.StatusCode != http.StatusOK || re.Lifetime == "" {
-		return Result{}, fmt.Errorf("probe: status %d, lifetime %q", res.StatusCode, re.Lifetime)
+		return Result{}, fmt.Errorf("probe: backend server is not serving or not identified: status %d, lifetime %q", res.StatusCode, re.Lifetime)
 	}
 	return re, nil
 }
 
-// parseSlots reads the last of the numbers of a load, 0 for what cannot be read.
+// parseSlots returns the last number of a load header, 0 if it cannot be parsed.
 func parseSlots(load string) int {
 	n, err := strconv.ParseUint(load[strings.LastIndexByte(load, ',')+1:], 10, 16)
 	if err != nil {
-		// The server tells no load; its announcement brings the slots.
+		// The server reports no load; its announcement will carry the slots.
 		return 0
 	}
 	return int(n)
--- a/internal/node/probe/probe_test.go
+++ b/internal/node/probe/probe_test.go
@@ -11,28 +11,28 @@
 	"time"
 )
 
-// TestProbe: what backend servers answer when they are asked whether they serve, and what
-// is made of it. Whatever cannot be read names no server.
+// TestProbe checks the result for each kind of response. A response that cannot be parsed
+// identifies no server.
 func TestProbe(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// id and load are headers of the answer.
+		// id and load are headers of the response.
 		status   int
 		id, load string
 		want     Result
 		ok       bool
 	}{
 		{"serves", 200, "i-7", "3,0,8", Result{Lifetime: "i-7", Slots: 8}, true},
-		{"tells no load", 200, "i-7", "", Result{Lifetime: "i-7"}, true},
-		{"tells a strange load", 200, "i-7", "3,0,many", Result{Lifetime: "i-7"}, true},
-		{"tells slots beyond measure", 200, "i-7", "3,0,99999999999999999999", Result{Lifetime: "i-7"}, true},
+		{"reports no load", 200, "i-7", "", Result{Lifetime: "i-7"}, true},
+		{"reports an invalid load", 200, "i-7", "3,0,many", Result{Lifetime: "i-7"}, true},
+		{"reports too large a number of slots", 200, "i-7", "3,0,99999999999999999999", Result{Lifetime: "i-7"}, true},
 		{"drains", 503, "i-7", "3,0,8", Result{}, false},
-		{"does not name itself", 200, "", "3,0,8", Result{}, false},
-		{"runs something else", 404, "", "", Result{}, false},
+		{"reports no lifetime", 200, "", "3,0,8", Result{}, false},
+		{"is not a backend server", 404, "", "", Result{}, false},
 	} {
 		sv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path != "/healthz" {
-				t.Errorf("%s: asked for %s", tc.name, r.URL.Path)
+				t.Errorf("%s: request for %s", tc.name, r.URL.Path)
 			}
 			if tc.id != "" {
 				w.Header().Set("X-Id", tc.id)
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestProbeSilentServer: nobody listens, or somebody does and says nothing. The question ends
-// with its context.
+// TestProbeSilentServer checks that a probe fails if nothing listens, and ends with its context if
+// the server does not respond.
 func TestProbeSilentServer(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,7 +59,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	if _, err := (Prober{Lifetime: "X-Id"}).Probe(ctx, ln.Addr().String(), "/healthz"); err == nil {
-		t.Error("a silent server was taken for one that serves")
+		t.Error("a server that does not respond was accepted as serving")
 	}
 	ln.Close()
 	_, err = Prober{Lifetime: "X-Id"}.Probe(t.Context(), ln.Addr().String(), "/healthz")
--- a/internal/node/server/doc.go
+++ b/internal/node/server/doc.go
@@ -1,3 +1,3 @@
-// Package server keeps what a daemon knows of the backend server beside it,
-// from its announcements alone, in whatever order they come.
+// Package server tracks the backend server of a VM by its announcements alone, in whatever order
+// they arrive.
 package server
--- a/internal/node/server/server.go
+++ b/internal/node/server/server.go
@@ -9,60 +9,58 @@
 
 // The limits of a tracker.
 const (
-	// maxInstances is how many former lifetimes are remembered. An announcement
-	// that is later than so many replacements of the server is not expected.
+	// maxInstances is how many instances are remembered. No announcement is expected to be delayed
+	// by that many replacements of the server.
 	maxInstances = 16
-	// freshTime is how long after its last announcement a server is taken to be
-	// there for certain: two of its intervals and a little.
+	// freshTime is how long after its last announcement a server is assumed to be running: two
+	// announcement intervals and a margin.
 	freshTime = 3500 * time.Millisecond
-	// maxFirstNumber are the numbers by which a lifetime that is not known yet is
-	// taken for a new one, and not for a forerunner whose announcement is late.
+	// maxFirstNumber is the highest announcement number by which an unknown lifetime is accepted as
+	// a new instance. A higher number may be from a delayed announcement of a former instance.
 	maxFirstNumber = 2
-	// maxDelay is how long after the last word of a start an announcement of an
-	// earlier one may still be on its way. One that comes later is of a server that
-	// runs: its clock was set back before it started again.
+	// maxDelay is how long after the last announcement of an instance one of an earlier instance
+	// may still be in transit. One that arrives later is from a running server whose clock was set
+	// back before it restarted.
 	maxDelay = 10 * time.Second
 )
 
-// Tracker follows the lifetimes of one backend server. The zero value knows
-// none. It is not safe for concurrent use.
+// Tracker follows the instances of one backend server. The zero value knows of none. It is not safe
+// for concurrent use.
 type Tracker struct {
 	cur       *instance
 	instances map[string]*instance
-	// lastLeft is the last lifetime that said it leaves.
+	// lastLeft is the lifetime of the last instance that announced that it is leaving.
 	lastLeft string
 }
 
-// instance is what is known of one start of the server.
+// instance is one run of the server, identified by its lifetime and start time.
 type instance struct {
 	an admin.Announcement
-	// startedMs is the Unix time in milliseconds at which it started, 0 where it is
-	// not known.
+	// startedMs is the start as Unix time in milliseconds, 0 if unknown.
 	startedMs int64
-	// lastNumber is the highest one of its announcements that was taken.
+	// lastNumber is the highest number of an accepted announcement.
 	lastNumber uint64
-	// since is when it was first heard, heard when it was last, until how long
-	// its last announcement holds.
+	// since is when it was first heard of, lastHeard when it was last heard of, and expiresAt when
+	// its last announcement expires.
 	since, lastHeard, expiresAt time.Time
-	// leaving is set for good once it said that it drains or leaves. gone is
-	// set when it was taken out.
+	// leaving is set for good once the instance has announced that it drains or leaves, removed
+	// once it is withdrawn.
 	leaving, removed bool
-	// assumed is set while it was only found to serve and has not announced itself.
+	// assumed is set while the instance was only found by a probe and has not announced itself.
 	assumed bool
 }
 
-// Status is what the daemon goes by.
+// Status is the state of the backend server as its daemon sees it.
 type Status struct {
 	// Announcement is the newest one, nil while there is no server.
 	Announcement *admin.Announcement
-	// Since is when the server was first heard, Until how long the announcement
-	// holds.
+	// Since is when the server was first heard of, ExpiresAt when the announcement expires.
 	Since, ExpiresAt time.Time
-	// Leaving says that it takes no new requests.
+	// Leaving is set if the server accepts no new requests.
 	Leaving bool
 }
 
-// Lifetime returns the lifetime of the server, empty for none.
+// Lifetime returns the lifetime of the server, empty if there is none.
 func (st Status) Lifetime() string {
 	if st.Announcement == nil {
 		return ""
@@ -70,7 +68,7 @@
 	return st.Announcement.Lifetime
 }
 
-// StartedMs returns when the server started, as it tells, and 0 where it does not.
+// StartedMs returns the start time that the server reported, 0 if it reported none.
 func (st Status) StartedMs() int64 {
 	if st.Announcement == nil {
 		return 0
@@ -78,25 +76,24 @@
 	return st.Announcement.StartedMs
 }
 
-// SameInstance reports whether both are of one start of the server.
+// SameInstance reports whether both statuses are of one instance of the server.
 func (st Status) SameInstance(other Status) bool {
 	return st.Lifetime() == other.Lifetime() && st.StartedMs() == other.StartedMs()
 }
 
-// Announce takes an announcement and reports whether it was news.
+// Announce handles an announcement and reports whether it was accepted.
 //
-// Four of them are late and change nothing. One with a number that is not above the
-// newest of its start was overtaken. One of a start before the newest of the same
-// lifetime is of a server that has ended. One of a start that left would bring back a
-// server that takes no requests. And one of another lifetime than the present, which
-// is not among the first of its kind, was sent by a forerunner that has ended: taking
-// it would send requests to a server that is not there until the present one speaks
-// again. It is taken once the present one has been silent.
+// Four kinds of announcement are late and change nothing. One whose number is not above the newest
+// of its instance was overtaken. One of an earlier instance of the same lifetime is from a server
+// that has ended. One of a withdrawn instance would bring back a server that accepts no requests.
+// And one of another lifetime than the current one, which is not among the first of its instance,
+// was sent by a former instance that has ended: accepting it would send requests to a server that
+// is gone, until the current one announces itself again. It is accepted once the current one has
+// been silent for freshTime.
 func (tr *Tracker) Announce(an admin.Announcement, now time.Time) bool {
 	ins := tr.instances[an.Lifetime]
 	if ins != nil && ins.precedes(&an, now) {
-		// Nothing of the former start holds for this one: not its number, nor that
-		// it left.
+		// Nothing of the former instance applies to this one, neither its number nor that it left.
 		ins = nil
 	}
 	switch {
@@ -123,12 +120,12 @@
 	return true
 }
 
-// precedes reports whether an announcement is of a later start of the same lifetime.
+// precedes reports whether an announcement is from a later instance of the same lifetime.
 //
-// The times of both starts decide. Where that of a start which was taken out is not
-// known, as when only its removal came, a later one is known by its first numbers. And
-// where the clock of the VM was set back in between, it seems the earlier one, until
-// nothing of the other can be on its way any more.
+// The start times decide. Where the start time of a withdrawn instance is unknown, as when only its
+// withdrawal arrived, a later instance is recognized by its first numbers. Where the clock of the
+// VM was set back between the two starts, the later instance seems the earlier one, until no
+// announcement of the other can be in transit.
 func (ins *instance) precedes(an *admin.Announcement, now time.Time) bool {
 	switch {
 	case an.StartedMs == 0:
@@ -148,8 +145,9 @@
 	return an.StartedMs != 0 && an.StartedMs < ins.startedMs || an.Number <= ins.lastNumber && !ins.assumed || ins.removed
 }
 
-// keepsCurrent reports whether an announcement of another lifetime would displace a
-// present one that was heard lately, without being the first of a new one.
+// keepsCurrent reports whether an announcement of another lifetime must not displace the current
+// instance: that was heard of within freshTime, and the other one started earlier or, where a start
+// time is unknown, is not known to be new.
 func (tr *Tracker) keepsCurrent(ins *instance, an *admin.Announcement, now time.Time) bool {
 	if tr.cur == nil || tr.cur == ins || tr.cur.removed || now.Sub(tr.cur.lastHeard) > freshTime {
 		return false
@@ -176,9 +174,9 @@
 	tr.instances[lifetime] = ins
 }
 
-// Assume takes a server that was found to serve before it has announced itself, and
-// reports whether it did. One that left, as far as is known, is not taken; nor is any once
-// a server has announced itself.
+// Assume accepts a server that was found by a probe before it has announced itself, and reports
+// whether it did. A server that is known to have left is not accepted, nor is any once a server has
+// announced itself.
 func (tr *Tracker) Assume(an admin.Announcement, now time.Time) bool {
 	if tr.cur != nil {
 		return false
@@ -192,9 +190,9 @@
 	return true
 }
 
-// Withdraw takes a start of the server out for good. One that is not known is
-// remembered, so that an announcement which it sent before and which comes later does
-// not bring it back. A removal of a start before the newest is late and changes nothing.
+// Withdraw removes an instance of the server for good. An unknown one is remembered, so that a
+// delayed announcement does not bring it back. A withdrawal of an instance before the newest is
+// late and changes nothing.
 func (tr *Tracker) Withdraw(wd admin.Withdrawal, now time.Time) {
 	ins := tr.markLeaving(member.Leaver{Lifetime: wd.Lifetime, StartedMs: wd.StartedMs}, now)
 	if ins != nil {
@@ -202,8 +200,8 @@
 	}
 }
 
-// markLeaving notes that a start of the server leaves, and returns what is known of it, nil
-// where a later one is known.
+// markLeaving marks an instance of the server as leaving and returns it, or nil if a later one of
+// the same lifetime is known.
 func (tr *Tracker) markLeaving(de member.Leaver, now time.Time) *instance {
 	ins := tr.instances[de.Lifetime]
 	switch {
@@ -224,8 +222,8 @@
 	return ins
 }
 
-// LastDeparture returns the last start of the server that said it leaves, with the number of
-// its newest announcement; empty for none.
+// LastDeparture returns the last instance of the server that announced that it is leaving, with the
+// number of its newest announcement; empty if there is none.
 func (tr *Tracker) LastDeparture() member.Leaver {
 	if ins := tr.instances[tr.lastLeft]; ins != nil && ins.leaving {
 		return member.Leaver{Lifetime: tr.lastLeft, StartedMs: ins.startedMs, At: ins.lastNumber}
@@ -233,28 +231,28 @@
 	return member.Leaver{}
 }
 
-// MarkUnreachable takes the present server out until it announces itself again.
+// MarkUnreachable removes the current server until it announces itself again.
 func (tr *Tracker) MarkUnreachable(now time.Time) {
 	if tr.cur != nil {
 		tr.cur.expiresAt = now
 	}
 }
 
-// RecoverDeparture takes what a former process of the VM acknowledged: that start of the server
-// leaves, and its announcements up to the number are late.
+// RecoverDeparture applies a departure that a former process of the VM acknowledged: the instance
+// is leaving, and its announcements up to the number are late.
 func (tr *Tracker) RecoverDeparture(de member.Leaver, now time.Time) {
 	if de.Lifetime != "" {
 		tr.markLeaving(de, now)
 	}
 }
 
-// Status returns what the daemon should go by now.
+// Status returns the state of the server at now.
 func (tr *Tracker) Status(now time.Time) Status {
 	ins := tr.cur
 	if ins == nil || ins.removed || !now.Before(ins.expiresAt) {
 		return Status{}
 	}
-	// A copy: the tracker's own changes with the next announcement.
+	// A copy: the next announcement overwrites the tracker's own.
 	an := ins.an
 	return Status{Announcement: &an, Since: ins.since, ExpiresAt: ins.expiresAt, Leaving: ins.leaving}
 }
--- a/internal/node/server/server_test.go
+++ b/internal/node/server/server_test.go
@@ -8,143 +8,142 @@
 	"github.com/flamingomast/flamingomast/internal/node/admin"
 )
 
-// step is one thing that a tracker hears, and what it must say afterwards.
+// step is an event at a tracker, and the expected state after it.
 type step struct {
 	at       time.Duration
 	action   string // announce, drain, withdraw, recall, lost or assume
 	lifetime string
 	number   uint64
-	// want is the lifetime that serves or, with a "-", that leaves.
+	// want is the lifetime that serves or, with a "-", that is leaving.
 	want string
-	// started is the time of the start, 0 where the server does not tell.
+	// started is the start time, 0 if the server does not report it.
 	started int64
 }
 
 const s = time.Second
 
-// TestAnnouncementOrders plays announcements in the orders that a network and a killed
-// daemon bring about.
+// TestAnnouncementOrders plays events in the orders that networks, crashes and replaced daemons
+// bring about.
 func TestAnnouncementOrders(t *testing.T) {
 	for name, steps := range map[string][]step{
-		"an overtaken ready does not end a drain": {
+		"an overtaken serving announcement does not end a drain": {
 			{0, "announce", "a", 1, "a", 0}, {s, "drain", "a", 3, "-a", 0}, {2 * s, "announce", "a", 2, "-a", 0},
 		},
-		"a ready with a higher number does not end a drain": {
+		"a serving announcement with a higher number does not end a drain": {
 			{0, "announce", "a", 1, "a", 0}, {s, "drain", "a", 2, "-a", 0}, {2 * s, "announce", "a", 3, "-a", 0},
 		},
-		// A user's request was sent to a server that had left: its daemon was
-		// killed after the drain, and the first that the new one heard was an
-		// announcement from before.
-		"a late ready after the daemon was replaced": {
+		// A request was sent to a server that had left: its daemon was killed after the drain, and
+		// the first announcement that the next daemon received was from before the drain.
+		"a late serving announcement after the daemon was replaced": {
 			{0, "recall", "a", 5, "", 0}, {s, "announce", "a", 4, "", 0}, {2 * s, "drain", "a", 6, "-a", 0},
 		},
-		"a ready of a lifetime that a forerunner saw leave": {
+		"a serving announcement of a lifetime that the predecessor saw leave": {
 			{0, "recall", "a", 5, "", 0}, {s, "announce", "a", 6, "-a", 0},
 		},
-		"a removal holds against a late announcement": {
+		"a withdrawal outlasts a late announcement": {
 			{0, "announce", "a", 1, "a", 0}, {s, "withdraw", "a", 0, "", 0}, {2 * s, "announce", "a", 9, "", 0},
 		},
-		"a removal that comes before the announcement": {
+		"a withdrawal that arrives before the announcement": {
 			{0, "withdraw", "a", 0, "", 0}, {s, "announce", "a", 9, "", 0},
 		},
-		"a new lifetime after a removal": {
+		"a new lifetime after a withdrawal": {
 			{0, "announce", "a", 1, "a", 0}, {s, "withdraw", "a", 0, "", 0}, {2 * s, "announce", "b", 1, "b", 0},
 		},
 		"a new lifetime after a crash": {
 			{0, "announce", "a", 7, "a", 0}, {s, "announce", "b", 1, "b", 0},
 		},
-		"an announcement of the crashed lifetime comes late": {
+		"an announcement of the crashed lifetime arrives late": {
 			{0, "announce", "a", 7, "a", 0}, {s, "announce", "b", 1, "b", 0}, {2 * s, "announce", "a", 8, "b", 0},
 		},
-		"one of a lifetime from before the daemon's time": {
+		"an announcement of a lifetime from before the daemon started": {
 			{0, "announce", "b", 1, "b", 0}, {s, "announce", "a", 8, "b", 0},
 		},
-		"a lifetime that was taken by mistake gives way when it is silent": {
+		"a lifetime that was accepted by mistake is displaced once silent": {
 			{0, "announce", "a", 8, "a", 0}, {5 * s, "announce", "b", 5, "b", 0},
 		},
-		"the present one goes on after an interval without news": {
+		"the current one continues after an interval without announcements": {
 			{0, "announce", "a", 8, "a", 0}, {5 * s, "announce", "a", 9, "a", 0}, {12 * s, "announce", "a", 10, "a", 0},
 		},
-		"silence ends it": {
+		"the announcement expires": {
 			{0, "announce", "a", 1, "a", 0}, {7 * s, "recall", "", 0, "", 0},
 		},
-		"a lost one comes back with its next announcement": {
+		"an unreachable one returns with its next announcement": {
 			{0, "announce", "a", 1, "a", 0}, {s, "lost", "", 0, "", 0}, {2 * s, "announce", "a", 2, "a", 0},
 		},
-		"found before it announces itself": {
+		"probed before it announces itself": {
 			{0, "assume", "a", 0, "a", 0}, {s, "announce", "a", 7, "a", 0}, {2 * s, "announce", "a", 6, "a", 0}, {3 * s, "drain", "a", 8, "-a", 0},
 		},
-		"found, and its first announcement has the number 0": {
+		"probed, and its first announcement has the number 0": {
 			{0, "assume", "a", 0, "a", 0}, {s, "announce", "a", 0, "a", 0}, {2 * s, "drain", "a", 1, "-a", 0},
 		},
-		// The daemon was replaced after it had acknowledged that the server leaves; the
-		// server goes on for some seconds and may still say that it is well.
-		"found, though it said that it leaves": {
+		// The daemon was replaced after it had acknowledged that the server is leaving; the server
+		// runs on for some seconds and may still report that it is healthy.
+		"probed, though it announced that it is leaving": {
 			{0, "recall", "a", 5, "", 0}, {s, "assume", "a", 0, "", 0}, {2 * s, "drain", "a", 6, "-a", 0},
 		},
-		"found, though it was taken out": {
+		"probed, though it was withdrawn": {
 			{0, "withdraw", "a", 0, "", 0}, {s, "assume", "a", 0, "", 0},
 		},
-		"found after another has announced itself": {
+		"probed after another has announced itself": {
 			{0, "announce", "a", 3, "a", 0}, {s, "assume", "b", 0, "a", 0},
 		},
-		"a late announcement of a forerunner does not displace the one that was found": {
+		"a late announcement of a former instance does not displace the probed one": {
 			{0, "assume", "b", 0, "b", 0}, {s, "announce", "a", 9, "b", 0}, {2 * s, "announce", "b", 4, "b", 0},
 		},
-		"a new one displaces the one that was found": {
+		"a new one displaces the probed one": {
 			{0, "assume", "a", 0, "a", 0}, {s, "announce", "b", 1, "b", 0},
 		},
-		"found, and never heard": {
+		"probed, and never announced": {
 			{0, "assume", "a", 0, "a", 0}, {7 * s, "recall", "", 0, "", 0},
 		},
-		// A server crashes and starts again under its name; its numbers start anew.
-		"another start of the same lifetime": {
+		// A server crashes and restarts under the same lifetime; its numbers start anew.
+		"another instance of the same lifetime": {
 			{0, "announce", "a", 7, "a", 100}, {s, "announce", "a", 1, "a", 200}, {2 * s, "announce", "a", 2, "a", 200},
 		},
-		"of another start the first announcements were lost": {
+		"the first announcements of another instance were lost": {
 			{0, "announce", "a", 7, "a", 100}, {s, "announce", "a", 5, "a", 200},
 		},
-		"an announcement of the former start comes late": {
+		"an announcement of the former instance arrives late": {
 			{0, "announce", "a", 1, "a", 200}, {s, "drain", "a", 9, "a", 100}, {2 * s, "announce", "a", 2, "a", 200},
 		},
-		"a former start that drained, and the next one": {
+		"a former instance that drained, and the next one": {
 			{0, "drain", "a", 7, "-a", 100}, {s, "announce", "a", 1, "a", 200}, {2 * s, "announce", "a", 8, "a", 100},
 		},
-		"a former start that was taken out, and the next one": {
+		"a former instance that was withdrawn, and the next one": {
 			{0, "announce", "a", 7, "a", 100}, {s, "withdraw", "a", 0, "", 0}, {2 * s, "announce", "a", 1, "a", 200},
 		},
-		"a removal of the former start comes late": {
+		"a withdrawal of the former instance arrives late": {
 			{0, "announce", "a", 1, "a", 200}, {s, "withdraw", "a", 0, "a", 100}, {2 * s, "announce", "a", 2, "a", 200},
 		},
-		"a removal of a start that was not heard": {
+		"a withdrawal of an instance that was not heard of": {
 			{0, "announce", "a", 4, "a", 100}, {s, "withdraw", "a", 0, "", 200}, {2 * s, "announce", "a", 5, "", 100},
 		},
-		"a removal that names no start, before any announcement": {
+		"a withdrawal without a start time, before any announcement": {
 			{0, "withdraw", "a", 0, "", 0}, {s, "announce", "a", 9, "", 100}, {2 * s, "announce", "a", 1, "a", 200},
 		},
-		"a daemon was replaced after the former start drained": {
+		"a daemon was replaced after the former instance drained": {
 			{0, "recall", "a", 5, "", 100}, {s, "announce", "a", 4, "", 100}, {2 * s, "announce", "a", 1, "a", 200},
 		},
-		"the next start was heard before what the forerunner knew": {
+		"the next instance was heard of before the predecessor's departure": {
 			{0, "announce", "a", 1, "a", 200}, {s, "recall", "a", 5, "a", 100},
 		},
-		"a forerunner knew of a drain of the next start": {
+		"the predecessor knew of a drain of the next instance": {
 			{0, "announce", "a", 9, "a", 100}, {s, "recall", "a", 2, "", 200}, {2 * s, "announce", "a", 10, "", 100}, {3 * s, "drain", "a", 3, "-a", 200},
 		},
-		"another start of a lifetime that drains": {
+		"another instance of a lifetime that drains": {
 			{0, "announce", "a", 1, "a", 100}, {s, "drain", "a", 2, "-a", 100}, {2 * s, "drain", "a", 1, "-a", 200}, {3 * s, "announce", "a", 2, "-a", 200},
 		},
 		// The clock of the VM was set back between two starts.
-		"a start that seems earlier is taken once the other is long silent": {
+		"an instance that seems earlier is accepted once the other is long silent": {
 			{0, "announce", "a", 7, "a", 200}, {4 * s, "announce", "a", 3, "a", 100}, {11 * s, "announce", "a", 8, "a", 100}, {12 * s, "announce", "a", 9, "a", 100},
 		},
-		"an earlier start under another name does not displace the present one": {
+		"an earlier instance of another lifetime does not displace the current one": {
 			{0, "announce", "b", 4, "b", 200}, {s, "announce", "a", 1, "b", 100},
 		},
-		"a later start under another name displaces the present one": {
+		"a later instance of another lifetime displaces the current one": {
 			{0, "announce", "a", 4, "a", 100}, {s, "announce", "b", 6, "b", 200},
 		},
-		"found before it announces itself, with its start": {
+		"probed before it announces itself with its start time": {
 			{0, "assume", "a", 0, "a", 0}, {s, "announce", "a", 3, "a", 100}, {2 * s, "announce", "a", 1, "a", 200},
 		},
 	} {
@@ -182,8 +181,8 @@
 	}
 }
 
-// TestWithoutLifetimes: servers that name no lifetime are taken by their last
-// word, and may come back after they withdrew.
+// TestWithoutLifetimes checks servers that report no lifetime: the last announcement counts, and
+// they may return after a withdrawal.
 func TestWithoutLifetimes(t *testing.T) {
 	var tr Tracker
 	now := time.Unix(1000, 0)
@@ -203,8 +202,8 @@
 	}
 }
 
-// TestInstanceLimit: a VM on which servers are replaced all day keeps a
-// bounded number of lifetimes.
+// TestInstanceLimit checks that the number of remembered instances is bounded on a VM whose servers
+// are replaced often.
 func TestInstanceLimit(t *testing.T) {
 	var tr Tracker
 	now := time.Unix(1000, 0)
@@ -213,16 +212,15 @@
 		tr.Announce(admin.Announcement{Service: "x", Lifetime: time.Duration(i).String(), Number: 1}, now)
 	}
 	if len(tr.instances) > maxInstances {
-		t.Errorf("%d lifetimes are kept, bound %d", len(tr.instances), maxInstances)
+		t.Errorf("%d instances are remembered, limit %d", len(tr.instances), maxInstances)
 	}
 	if st := tr.Status(now); st.Lifetime() != time.Duration(10*maxInstances-1).String() {
 		t.Errorf("the newest lifetime is %q", st.Lifetime())
 	}
 }
 
-// TestStatusIsCopy: the daemon's controllers go by a status while the next
-// announcement comes on another connection. What they hold must not change under
-// them; the race detector found that it did.
+// TestStatusIsCopy guards against a status that changes while the daemon uses it and the next
+// announcement arrives on another connection. The race detector found that it did.
 func TestStatusIsCopy(t *testing.T) {
 	var tr Tracker
 	now := time.Unix(1000, 0)
@@ -230,6 +228,6 @@
 	st := tr.Status(now)
 	tr.Announce(admin.Announcement{Service: "x", Lifetime: "a", Number: 2, Slots: 9}, now)
 	if st.Announcement.Slots != 3 {
-		t.Errorf("a status that was handed out has changed to %d slots", st.Announcement.Slots)
+		t.Errorf("a returned status has changed to %d slots", st.Announcement.Slots)
 	}
 }
