--- a/internal/node/daemon/keepalive_test.go
+++ b/internal/node/daemon/keepalive_test.go
@@ -171,7 +171,7 @@
 	t.Parallel()
 	ss := newSingleServer(t, 5*time.Second, slowHandler)
 	sv := ss.dm.servers()
-	sv.front.Ahead = func(r *http.Request) bool {
+	sv.front.MayRunEarly = func(r *http.Request) bool {
 		if r.URL.Path == "/last" {
 			// The daemon begins to drain just as this request starts.
 			defer ss.dm.beginDrain()
--- a/internal/node/daemon/local.go
+++ b/internal/node/daemon/local.go
@@ -84,10 +84,10 @@
 			slog.Int64("present-started", is.StartedMs()))
 	}
 	if accepted && is.Lifetime() != "" && was.SameInstance(is) {
-		dm.Inlet.ServerHeard()
+		dm.Inlet.ServerAnnounced()
 	}
 	if is.Leaving && !(was.Leaving && was.SameInstance(is)) {
-		dm.recordDeparture(ctx, member.Leaver{Lifetime: is.Lifetime(), StartedMs: is.StartedMs(), At: an.Number})
+		dm.recordDeparture(ctx, member.Departure{Lifetime: is.Lifetime(), StartedMs: is.StartedMs(), Number: an.Number})
 	}
 	return nil
 }
@@ -126,7 +126,7 @@
 // withdraw removes the backend server.
 func (dm *Daemon) withdraw(ctx context.Context, wd admin.Withdrawal) {
 	now := time.Now()
-	var de member.Leaver
+	var de member.Departure
 	dm.local.update(func(tr *server.Tracker) {
 		tr.Withdraw(wd, now)
 		de = tr.LastDeparture()
@@ -197,7 +197,7 @@
 	dm.Inlet.Gate.Configure(slots, classes)
 	dm.Inlet.SetMaxConns(sv.Connections)
 	if !dm.inletClosed.Load() {
-		dm.Inlet.Gate.Open()
+		dm.Inlet.Gate.Resume()
 	}
 }
 
--- a/internal/node/daemon/recovery.go
+++ b/internal/node/daemon/recovery.go
@@ -58,10 +58,10 @@
 // departure at once from the daemon's record; the store is for daemons that all end together, and
 // for peers that have not heard of it. A write that takes longer than storeTimeout continues in the
 // background.
-func (dm *Daemon) recordDeparture(ctx context.Context, de member.Leaver) {
-	dm.Inlet.ServerLeaves()
+func (dm *Daemon) recordDeparture(ctx context.Context, de member.Departure) {
+	dm.Inlet.ServerLeaving()
 	dm.configureLimiter(dm.Node.Board.Held.Get(), server.Status{Leaving: true})
-	sd := &storedDeparture{Lifetime: de.Lifetime, StartedMs: de.StartedMs, Number: de.At, expiresAt: time.Now().Add(departureTTL), stored: make(chan struct{})}
+	sd := &storedDeparture{Lifetime: de.Lifetime, StartedMs: de.StartedMs, Number: de.Number, expiresAt: time.Now().Add(departureTTL), stored: make(chan struct{})}
 	dm.departure.Set(sd)
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), storeTimeout)
 	defer cancel()
@@ -72,7 +72,7 @@
 	case <-ctx.Done():
 	}
 	dm.log.Info("server-leaves", slog.String("lifetime", de.Lifetime), slog.Int64("started", de.StartedMs),
-		slog.Uint64("number", de.At), slog.Bool("stored", stored))
+		slog.Uint64("number", de.Number), slog.Bool("stored", stored))
 }
 
 // runStoreDeparture stores the newest departure. It retries until the store has it or it would have
@@ -160,7 +160,7 @@
 	dm.local.notify()
 	dm.log.Info("recalled", slog.Duration("took", time.Since(began)))
 	for ctx.Err() == nil {
-		pr, changed := dm.Node.Board.Forerunner.Watch()
+		pr, changed := dm.Node.Board.Predecessor.Watch()
 		dm.recoverFromPeers(pr)
 		select {
 		case <-changed:
@@ -185,11 +185,11 @@
 }
 
 // recoverFromPeers applies the departure that peers keep of the predecessor.
-func (dm *Daemon) recoverFromPeers(pr *board.Forerunner) {
+func (dm *Daemon) recoverFromPeers(pr *board.Predecessor) {
 	if pr == nil || pr.Lifetime == "" {
 		return
 	}
-	dm.local.update(func(tr *server.Tracker) { tr.RecoverDeparture(pr.Leaver, time.Now()) })
+	dm.local.update(func(tr *server.Tracker) { tr.RecoverDeparture(pr.Departure, time.Now()) })
 }
 
 // waitForPeers waits for peers' answers about the predecessor, until the store has been read and
@@ -200,7 +200,7 @@
 	defer timeout.Stop()
 	stored, timedOut, answered := false, false, false
 	for {
-		pr, changed := dm.Node.Board.Forerunner.Watch()
+		pr, changed := dm.Node.Board.Predecessor.Watch()
 		dm.recoverFromPeers(pr)
 		if pr != nil && !answered {
 			answered = true
@@ -245,13 +245,13 @@
 
 // parseDeparture parses a stored departure; an empty value is none. A value that cannot be parsed
 // is rejected as a whole, as a part of it might name the server that serves.
-func parseDeparture(value []byte) (member.Leaver, error) {
+func parseDeparture(value []byte) (member.Departure, error) {
 	if len(value) == 0 {
-		return member.Leaver{}, nil
+		return member.Departure{}, nil
 	}
 	var sd storedDeparture
 	if err := json.Unmarshal(value, &sd); err != nil {
-		return member.Leaver{}, err
+		return member.Departure{}, err
 	}
-	return member.Leaver{Lifetime: sd.Lifetime, StartedMs: sd.StartedMs, At: sd.Number}, nil
+	return member.Departure{Lifetime: sd.Lifetime, StartedMs: sd.StartedMs, Number: sd.Number}, nil
 }
--- a/internal/node/daemon/recovery_test.go
+++ b/internal/node/daemon/recovery_test.go
@@ -22,7 +22,7 @@
 type peerAnswer struct {
 	at   time.Duration
 	peer string
-	de   member.Leaver
+	de   member.Departure
 }
 
 func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
@@ -30,10 +30,10 @@
 // post puts the answer on the board; peers are those that have answered.
 func (pa peerAnswer) post(bd *board.Board, peers map[string]bool) {
 	peers[pa.peer] = true
-	bd.Forerunner.Update(func(cur *board.Forerunner) *board.Forerunner {
-		next := &board.Forerunner{Leaver: pa.de, Peers: slices.Collect(maps.Keys(peers))}
+	bd.Predecessor.Update(func(cur *board.Predecessor) *board.Predecessor {
+		next := &board.Predecessor{Departure: pa.de, Peers: slices.Collect(maps.Keys(peers))}
 		if cur != nil && pa.de.Lifetime == "" {
-			next.Leaver = cur.Leaver
+			next.Departure = cur.Departure
 		}
 		return next
 	})
@@ -44,18 +44,18 @@
 // peers to answer has not heard of it. Then a delayed announcement from before the drain arrives. A
 // process about whose predecessor nobody knows anything must not keep its server waiting.
 func TestPredecessorRecovery(t *testing.T) {
-	left := member.Leaver{Lifetime: "i-1", At: 5}
+	left := member.Departure{Lifetime: "i-1", Number: 5}
 	for name, tc := range map[string]struct {
 		answers []peerAnswer
 		// servesAfter is when the server begins to serve, 0 for never.
 		servesAfter time.Duration
 	}{
 		"the first peer knows":                {[]peerAnswer{{millis(50), "p", left}}, 0},
-		"the second peer knows":               {[]peerAnswer{{millis(50), "p", member.Leaver{}}, {millis(300), "q", left}}, 0},
-		"two peers know of no departure":      {[]peerAnswer{{millis(50), "p", member.Leaver{}}, {millis(300), "q", member.Leaver{}}}, millis(300)},
-		"the only peer answers twice":         {[]peerAnswer{{millis(50), "p", member.Leaver{}}, {millis(300), "p", member.Leaver{}}}, millis(450)},
+		"the second peer knows":               {[]peerAnswer{{millis(50), "p", member.Departure{}}, {millis(300), "q", left}}, 0},
+		"two peers know of no departure":      {[]peerAnswer{{millis(50), "p", member.Departure{}}, {millis(300), "q", member.Departure{}}}, millis(300)},
+		"the only peer answers twice":         {[]peerAnswer{{millis(50), "p", member.Departure{}}, {millis(300), "p", member.Departure{}}}, millis(450)},
 		"nobody answers":                      {nil, firstPeerTimeout},
-		"the only peer knows of no departure": {[]peerAnswer{{millis(50), "p", member.Leaver{}}}, millis(450)},
+		"the only peer knows of no departure": {[]peerAnswer{{millis(50), "p", member.Departure{}}}, millis(450)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/node/daemon/routing.go
+++ b/internal/node/daemon/routing.go
@@ -32,15 +32,15 @@
 	for {
 		sn, heldChanged := bd.Held.Watch()
 		vw, membersChanged := bd.Members.Watch()
-		unreachable, unreachableChanged := bd.Cut.Watch()
+		unreachable, unreachableChanged := bd.Unreachable.Watch()
 		rollouts, rolloutsChanged := bd.Rollouts.Watch()
 		var rebuild <-chan time.Time
 		if sn != nil {
 			now := time.Now()
 			fl := pick.Fleet{Members: vw, Cut: unreachable, Self: dm.se.VM, Rollouts: rollouts, Admission: &admission, Now: now}
 			tb := pick.Build(sn, fl, dm.Outlet.Table())
-			if !tb.Next.IsZero() {
-				rebuild = time.After(tb.Next.Sub(now))
+			if !tb.RebuildAt.IsZero() {
+				rebuild = time.After(tb.RebuildAt.Sub(now))
 			}
 			if settling {
 				tb.Outlets = max(tb.Outlets, assumedOutlets)
--- a/internal/node/daemon/serve.go
+++ b/internal/node/daemon/serve.go
@@ -19,7 +19,7 @@
 	// callers and peers track the connections of the outlet and of the inlet.
 	callers, peers idle.Set
 	// front serves pipelined requests.
-	front *piping.Front
+	front *piping.Pipeliner
 }
 
 // The limits for callers' connections and headers.
@@ -48,13 +48,13 @@
 	if dm.adapter.Pages != nil {
 		sv.pages = newServer(dm.adapter.Pages(hs))
 	}
-	sv.front = piping.New(dm.mayPipeline, sv.callers.State)
+	sv.front = piping.New(dm.mayPipeline, sv.callers.ConnState)
 	// It must be settled whether a response closes its connection before a pipelined request behind
 	// it starts, so closeWhenDraining comes first.
 	sv.outlet = newServer(dm.closeWhenDraining(sv.front.Handler(dm.Outlet)))
 	sv.outlet.Protocols = &protocols
 	sv.outlet.ConnState, sv.outlet.ConnContext = sv.front.ConnState, sv.front.ConnContext
-	sv.inlet.ConnState = sv.peers.State
+	sv.inlet.ConnState = sv.peers.ConnState
 	sv.control.ErrorLog = sv.outlet.ErrorLog
 	return sv
 }
@@ -68,7 +68,7 @@
 		return false
 	default:
 	}
-	return dm.Outlet.Repeatable(r)
+	return dm.Outlet.Retryable(r)
 }
 
 // closeWhenDraining makes callers and outlets close their connections once the daemon drains, so
@@ -162,7 +162,7 @@
 	if err := ln.Close(); err != nil {
 		dm.log.Info("listener-close", slog.Any("error", err))
 	}
-	for conns.End(0) > 0 && ctx.Err() == nil {
+	for conns.CloseIdle(0) > 0 && ctx.Err() == nil {
 		sleep(ctx, idleCloseInterval)
 	}
 	err := hs.Shutdown(ctx)
@@ -201,9 +201,9 @@
 		if sn := dm.Node.Board.Held.Get(); sn != nil && sn.Limits.Idle > 0 {
 			limit = time.Duration(sn.Limits.Idle)
 		}
-		if open := callers.End(limit + idleCheckInterval); open > maxCallerConns {
+		if open := callers.CloseIdle(limit + idleCheckInterval); open > maxCallerConns {
 			dm.log.Warn("many-connections", slog.Int("connections", open))
-			callers.End(idleCheckInterval)
+			callers.CloseIdle(idleCheckInterval)
 		}
 	}
 }
--- a/internal/node/server/server.go
+++ b/internal/node/server/server.go
@@ -194,7 +194,7 @@
 // delayed announcement does not bring it back. A withdrawal of an instance before the newest is
 // late and changes nothing.
 func (tr *Tracker) Withdraw(wd admin.Withdrawal, now time.Time) {
-	ins := tr.markLeaving(member.Leaver{Lifetime: wd.Lifetime, StartedMs: wd.StartedMs}, now)
+	ins := tr.markLeaving(member.Departure{Lifetime: wd.Lifetime, StartedMs: wd.StartedMs}, now)
 	if ins != nil {
 		ins.lastHeard, ins.removed = now, true
 	}
@@ -202,7 +202,7 @@
 
 // markLeaving marks an instance of the server as leaving and returns it, or nil if a later one of
 // the same lifetime is known.
-func (tr *Tracker) markLeaving(de member.Leaver, now time.Time) *instance {
+func (tr *Tracker) markLeaving(de member.Departure, now time.Time) *instance {
 	ins := tr.instances[de.Lifetime]
 	switch {
 	case ins != nil && de.StartedMs != 0 && de.StartedMs < ins.startedMs:
@@ -217,18 +217,18 @@
 	}
 	ins.leaving = true
 	ins.startedMs = max(ins.startedMs, de.StartedMs)
-	ins.lastNumber = max(ins.lastNumber, de.At)
+	ins.lastNumber = max(ins.lastNumber, de.Number)
 	tr.lastLeft = de.Lifetime
 	return ins
 }
 
 // LastDeparture returns the last instance of the server that announced that it is leaving, with the
 // number of its newest announcement; empty if there is none.
-func (tr *Tracker) LastDeparture() member.Leaver {
+func (tr *Tracker) LastDeparture() member.Departure {
 	if ins := tr.instances[tr.lastLeft]; ins != nil && ins.leaving {
-		return member.Leaver{Lifetime: tr.lastLeft, StartedMs: ins.startedMs, At: ins.lastNumber}
+		return member.Departure{Lifetime: tr.lastLeft, StartedMs: ins.startedMs, Number: ins.lastNumber}
 	}
-	return member.Leaver{}
+	return member.Departure{}
 }
 
 // MarkUnreachable removes the current server until it announces itself again.
@@ -240,7 +240,7 @@
 
 // RecoverDeparture applies a departure that a former process of the VM acknowledged: the instance
 // is leaving, and its announcements up to the number are late.
-func (tr *Tracker) RecoverDeparture(de member.Leaver, now time.Time) {
+func (tr *Tracker) RecoverDeparture(de member.Departure, now time.Time) {
 	if de.Lifetime != "" {
 		tr.markLeaving(de, now)
 	}
--- a/internal/node/server/server_test.go
+++ b/internal/node/server/server_test.go
@@ -162,7 +162,7 @@
 				case "withdraw":
 					tr.Withdraw(admin.Withdrawal{Lifetime: st.lifetime, StartedMs: st.started}, now)
 				case "recall":
-					tr.RecoverDeparture(member.Leaver{Lifetime: st.lifetime, StartedMs: st.started, At: st.number}, now)
+					tr.RecoverDeparture(member.Departure{Lifetime: st.lifetime, StartedMs: st.started, Number: st.number}, now)
 				case "lost":
 					tr.MarkUnreachable(now)
 				case "assume":
