--- a/internal/node/daemon/local.go
+++ b/internal/node/daemon/local.go
@@ -17,53 +17,54 @@
 	"github.com/flamingomast/flamingomast/internal/path/pick"
 )
 
-// local is what is known of the VM's own backend server.
-type local struct {
-	mu sync.Mutex
-	tr server.Tracker
-	// recalled is set once it is known what a former process acknowledged;
-	// until then requests are refused.
-	recalled bool
-	// known is closed once recalled is set.
-	known chan struct{}
-	kick  chan struct{}
+// localServer is the state of the VM's own backend server.
+type localServer struct {
+	mu      sync.Mutex
+	tracker server.Tracker
+	// recovered is set once the state that the predecessor acknowledged is recovered, or the time
+	// for that is over. Until then requests are refused.
+	recovered bool
+	// recoveryDone is closed once recovered is set.
+	recoveryDone chan struct{}
+	changed      chan struct{}
 }
 
-// poke lets runLocal look again.
-func (lo *local) poke() {
-	lo.mu.Lock()
-	defer lo.mu.Unlock()
-	if lo.kick != nil {
-		close(lo.kick)
-		lo.kick = nil
+// notify wakes runLocalServer.
+func (ls *localServer) notify() {
+	ls.mu.Lock()
+	defer ls.mu.Unlock()
+	if ls.changed != nil {
+		close(ls.changed)
+		ls.changed = nil
 	}
 }
 
 // watch returns the state of the server and a channel that is closed at the
 // next change.
-func (lo *local) watch(now time.Time) (server.Status, <-chan struct{}) {
-	lo.mu.Lock()
-	defer lo.mu.Unlock()
-	if lo.kick == nil {
-		lo.kick = make(chan struct{})
+func (ls *localServer) watch(now time.Time) (server.Status, <-chan struct{}) {
+	ls.mu.Lock()
+	defer ls.mu.Unlock()
+	if ls.changed == nil {
+		ls.changed = make(chan struct{})
 	}
-	if !lo.recalled {
-		return server.Status{}, lo.kick
+	if !ls.recovered {
+		return server.Status{}, ls.changed
 	}
-	return lo.tr.Status(now), lo.kick
+	return ls.tracker.Status(now), ls.changed
 }
 
-// update changes the tracker and lets runLocal look again.
-func (lo *local) update(fn func(*server.Tracker)) {
-	lo.mu.Lock()
-	fn(&lo.tr)
-	lo.mu.Unlock()
-	lo.poke()
+// update changes the tracker and wakes runLocalServer.
+func (ls *localServer) update(fn func(*server.Tracker)) {
+	ls.mu.Lock()
+	fn(&ls.tracker)
+	ls.mu.Unlock()
+	ls.notify()
 }
 
-// announce takes an announcement of the backend server. A server of another
-// service than the inventory has for this VM would get no requests. The answer
-// acknowledges it, so a drain is in force and written down when it returns.
+// announce handles an announcement of the backend server, and returns why it is refused: a server
+// of a service other than the one declared for this VM would get no requests. The response
+// acknowledges the announcement, so a drain takes effect, and is stored if the store answers in
+// time, before announce returns.
 func (dm *Daemon) announce(ctx context.Context, an admin.Announcement) error {
 	if err := dm.checkAnnouncement(an); err != nil {
 		dm.announcementRefused(an.Lifetime, err)
@@ -71,29 +72,29 @@
 	}
 	var was, is server.Status
 	now := time.Now()
-	taken := false
+	accepted := false
 	dm.local.update(func(tr *server.Tracker) {
 		was = tr.Status(now)
-		taken = tr.Announce(an, now)
+		accepted = tr.Announce(an, now)
 		is = tr.Status(now)
 	})
-	if !taken {
+	if !accepted {
 		dm.log.Info("announcement-late", slog.String("lifetime", an.Lifetime), slog.Uint64("number", an.Number),
 			slog.String("state", an.State), slog.Int64("started", an.StartedMs), slog.String("present", is.Lifetime()),
 			slog.Int64("present-started", is.StartedMs()))
 	}
-	if taken && is.Lifetime() != "" && was.SameStart(is) {
+	if accepted && is.Lifetime() != "" && was.SameInstance(is) {
 		dm.Inlet.ServerAnnounced()
 	}
-	if is.Leaving && !(was.Leaving && was.SameStart(is)) {
-		dm.recordLeaving(ctx, member.Departure{Lifetime: is.Lifetime(), StartedMs: is.StartedMs(), Number: an.Number})
+	if is.Leaving && !(was.Leaving && was.SameInstance(is)) {
+		dm.recordDeparture(ctx, member.Departure{Lifetime: is.Lifetime(), StartedMs: is.StartedMs(), Number: an.Number})
 	}
 	return nil
 }
 
-// checkAnnouncement returns what is wrong with an announcement by the configuration that
-// is held. One that names a service which there is not comes from something else than a
-// backend server of this VM, and must not displace the one that serves.
+// checkAnnouncement checks an announcement against the configuration in force. One that names an
+// unknown service was not sent by a backend server of this VM, and must not displace the one that
+// serves.
 func (dm *Daemon) checkAnnouncement(an admin.Announcement) error {
 	sn := dm.Node.Board.Held.Get()
 	if sn == nil {
@@ -117,62 +118,62 @@
 	return nil
 }
 
-// announcementRefused logs an announcement that names no backend server.
+// announcementRefused logs an announcement that was refused.
 func (dm *Daemon) announcementRefused(lifetime string, err error) {
 	dm.log.Warn("announcement-refused", slog.String("lifetime", lifetime), slog.Any("error", err))
 }
 
-// withdraw takes the backend server out.
+// withdraw removes the backend server.
 func (dm *Daemon) withdraw(ctx context.Context, wd admin.Withdrawal) {
 	now := time.Now()
-	var left member.Departure
+	var de member.Departure
 	dm.local.update(func(tr *server.Tracker) {
 		tr.Withdraw(wd, now)
-		left = tr.Left()
+		de = tr.LastDeparture()
 	})
 	dm.log.Info("server-withdrawn", slog.String("lifetime", wd.Lifetime), slog.Int64("started", wd.StartedMs))
-	if wd.Lifetime != "" && left.Lifetime == wd.Lifetime && (wd.StartedMs == 0 || wd.StartedMs == left.StartedMs) {
-		dm.recordLeaving(ctx, left)
+	if wd.Lifetime != "" && de.Lifetime == wd.Lifetime && (wd.StartedMs == 0 || wd.StartedMs == de.StartedMs) {
+		dm.recordDeparture(ctx, de)
 	}
 }
 
-// lost takes the backend server out when it accepts no connection, until it
+// serverUnreachable removes the backend server, which does not accept connections, until it
 // announces itself again.
-func (dm *Daemon) lost() {
+func (dm *Daemon) serverUnreachable() {
 	dm.log.Warn("backend-server-unreachable")
 	now := time.Now()
-	dm.local.update(func(tr *server.Tracker) { tr.Lost(now) })
+	dm.local.update(func(tr *server.Tracker) { tr.MarkUnreachable(now) })
 }
 
-// runLocal keeps the inlet and the daemon's record as the backend server, the
-// configuration and the drain say.
-func (dm *Daemon) runLocal(ctx context.Context) {
+// runLocalServer applies changes of the backend server's state, of the configuration and of the
+// drain to the inlet and to the daemon's record.
+func (dm *Daemon) runLocalServer(ctx context.Context) {
 	for {
 		now := time.Now()
 		st, changed := dm.local.watch(now)
-		_, self := dm.Node.Board.Self.Watch()
-		sn, held := dm.Node.Board.Held.Watch()
-		dm.setGate(sn, st)
+		_, selfChanged := dm.Node.Board.Self.Watch()
+		sn, heldChanged := dm.Node.Board.Held.Watch()
+		dm.configureLimiter(sn, st)
 		dm.setRecord(st)
 		dm.setTarget(sn, st.Announcement)
-		left := time.Hour
+		wait := time.Hour
 		if st.Announcement != nil {
-			left = st.Until.Sub(now)
+			wait = st.ExpiresAt.Sub(now)
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-self:
-		case <-held:
-		case <-time.After(left):
+		case <-selfChanged:
+		case <-heldChanged:
+		case <-time.After(wait):
 		}
 	}
 }
 
-// setGate gives the inlet its slots, classes and connections, and closes it for
-// a server that leaves.
-func (dm *Daemon) setGate(sn *snap.Snapshot, st server.Status) {
+// configureLimiter sets the inlet's slots, classes and connection limit, and drains it if the
+// server is leaving.
+func (dm *Daemon) configureLimiter(sn *snap.Snapshot, st server.Status) {
 	if st.Leaving {
 		dm.Inlet.Gate.Drain()
 		return
@@ -195,12 +196,12 @@
 	}
 	dm.Inlet.Gate.Configure(slots, classes)
 	dm.Inlet.SetMaxConns(sv.Connections)
-	if !dm.closing.Load() {
+	if !dm.inletClosed.Load() {
 		dm.Inlet.Gate.Resume()
 	}
 }
 
-// setTarget tells the inlet which backend server is behind it.
+// setTarget sets the backend server that the inlet forwards to.
 func (dm *Daemon) setTarget(sn *snap.Snapshot, an *admin.Announcement) {
 	self := dm.Node.Board.Self.Get()
 	tg := inlet.Target{VM: self.VM, Process: pick.Process(self)}
@@ -214,7 +215,7 @@
 	dm.Inlet.SetTarget(tg)
 }
 
-// setRecord states the backend server to the other daemons, if that changed.
+// setRecord publishes the state of the backend server to the other daemons if it has changed.
 func (dm *Daemon) setRecord(st server.Status) {
 	next := member.Record{State: member.StateAbsent}
 	if an := st.Announcement; an != nil {
@@ -223,8 +224,8 @@
 			Software: an.Software,
 		}
 		if an.ColdMs > 0 {
-			// To a tenth of a second: each change is told to all daemons, and the
-			// end of the cold time moves a little with each announcement.
+			// Rounded to 100 ms: each change is sent to all daemons, and the end of the slow start
+			// shifts a little with each announcement.
 			next.ColdUntil = st.Since.Add(time.Duration(an.ColdMs) * time.Millisecond).Round(100 * time.Millisecond)
 		}
 	}
@@ -232,10 +233,10 @@
 		next.State = member.StateDraining
 	}
 	dm.local.mu.Lock()
-	next.Leaving = dm.local.tr.Left()
+	next.Leaving = dm.local.tracker.LastDeparture()
 	dm.local.mu.Unlock()
 	select {
-	case <-dm.drained:
+	case <-dm.draining:
 		next.State = member.StateDraining
 	default:
 	}
@@ -253,7 +254,7 @@
 	})
 }
 
-// counts returns what the VM's own backend server did.
+// counts returns the request counts of the VM's own backend server.
 func (dm *Daemon) counts() ctrl.Counts {
 	self := dm.Node.Board.Self.Get()
 	if self.State == member.StateAbsent {
--- a/internal/node/daemon/probe.go
+++ b/internal/node/daemon/probe.go
@@ -10,49 +10,49 @@
 	"github.com/flamingomast/flamingomast/internal/node/server"
 )
 
-// The asking of the backend server at a start.
+// The probing of the backend server at start-up.
 const (
-	// probeAgain is the pause between two questions.
-	probeAgain = 150 * time.Millisecond
-	// probeFor is how long it is asked: by then it has announced itself, which it
-	// does every 1.5 s.
-	probeFor = 1500 * time.Millisecond
-	// probeTTL is for how long an answer holds: three intervals of announcements.
+	// probeInterval is the pause between two probes.
+	probeInterval = 150 * time.Millisecond
+	// probeTimeout is how long the server is probed: by then it has announced itself, which it does
+	// every 1.5 s.
+	probeTimeout = 1500 * time.Millisecond
+	// probeTTL is how long a result is valid: three announcement intervals.
 	probeTTL = 4500 * time.Millisecond
 )
 
-// runProbe asks the VM's own backend server whether it serves, as long as it has not
-// announced itself to this process. A server that outlives its daemon announces itself
-// up to an interval after the next one has started; until then it would get no request,
-// though it could serve some.
+// runProbe probes the VM's own backend server until it is found to serve, has announced itself to
+// this process, or probeTimeout is over. A server that outlives its daemon announces itself up to
+// one interval after the next daemon has started; until then it would get no requests, though it
+// could serve them.
 func (dm *Daemon) runProbe(ctx context.Context) {
 	path := dm.healthPath(ctx)
 	if path == "" {
 		return
 	}
-	ask := probe.Asker{Lifetime: dm.ad.Names.Lifetime, Load: dm.ad.Names.Load}
-	for end := time.Now().Add(probeFor); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, probeAgain) {
-		if !dm.awaitsServer() {
+	pr := probe.Prober{Lifetime: dm.adapter.Names.Lifetime, Load: dm.adapter.Names.Load}
+	for end := time.Now().Add(probeTimeout); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, probeInterval) {
+		if !dm.awaitsAnnouncement() {
 			return
 		}
-		an, err := ask.Ask(ctx, dm.se.Server, path)
+		re, err := pr.Probe(ctx, dm.se.Server, path)
 		if err != nil {
 			dm.log.Info("probe-failed", slog.Any("error", err))
 			continue
 		}
-		dm.assume(an)
+		dm.assumeServing(re)
 		return
 	}
 }
 
-// healthPath waits for a configuration and for what a former process acknowledged, and
-// returns the path at which the VM's own backend server is asked, empty for none.
+// healthPath waits for a configuration and for the predecessor's state, and returns the path at
+// which the VM's own backend server is probed, empty for none.
 func (dm *Daemon) healthPath(ctx context.Context) string {
-	if dm.se.Server == "" || dm.se.Service == "" || dm.ad.Names.Lifetime == "" {
+	if dm.se.Server == "" || dm.se.Service == "" || dm.adapter.Names.Lifetime == "" {
 		return ""
 	}
 	select {
-	case <-dm.local.known:
+	case <-dm.local.recoveryDone:
 	case <-ctx.Done():
 		return ""
 	}
@@ -72,18 +72,18 @@
 	return ""
 }
 
-// awaitsServer reports whether no backend server has announced itself yet.
-func (dm *Daemon) awaitsServer() bool {
+// awaitsAnnouncement reports whether no backend server has announced itself yet.
+func (dm *Daemon) awaitsAnnouncement() bool {
 	st, _ := dm.local.watch(time.Now())
 	return st.Announcement == nil
 }
 
-func (dm *Daemon) assume(an probe.Answer) {
-	taken := false
+func (dm *Daemon) assumeServing(re probe.Result) {
+	accepted := false
 	dm.local.update(func(tr *server.Tracker) {
-		taken = tr.Assume(admin.Announcement{
-			Service: dm.se.Service, Address: dm.se.Server, Slots: an.Slots, Lifetime: an.Lifetime, TTLMs: int(probeTTL.Milliseconds()),
+		accepted = tr.Assume(admin.Announcement{
+			Service: dm.se.Service, Address: dm.se.Server, Slots: re.Slots, Lifetime: re.Lifetime, TTLMs: int(probeTTL.Milliseconds()),
 		}, time.Now())
 	})
-	dm.log.Info("server-found", slog.String("lifetime", an.Lifetime), slog.Int("slots", an.Slots), slog.Bool("taken", taken))
+	dm.log.Info("server-found", slog.String("lifetime", re.Lifetime), slog.Int("slots", re.Slots), slog.Bool("taken", accepted))
 }
--- a/internal/node/daemon/recall_test.go
+++ b/internal/node/daemon/recovery_test.go
@@ -18,45 +18,44 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// heard is what a peer says of the former process, and when.
-type heard struct {
+// peerAnswer is what a peer reports about the predecessor, and when.
+type peerAnswer struct {
 	at   time.Duration
 	peer string
-	lv   member.Departure
+	de   member.Departure
 }
 
-func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// tell puts on the board what the peer says; peers are those that have answered.
-func (he heard) tell(bd *board.Board, peers map[string]bool) {
-	peers[he.peer] = true
+// post puts the answer on the board; peers are those that have answered.
+func (pa peerAnswer) post(bd *board.Board, peers map[string]bool) {
+	peers[pa.peer] = true
 	bd.Predecessor.Update(func(cur *board.Predecessor) *board.Predecessor {
-		next := &board.Predecessor{Departure: he.lv, Peers: slices.Collect(maps.Keys(peers))}
-		if cur != nil && he.lv.Lifetime == "" {
+		next := &board.Predecessor{Departure: pa.de, Peers: slices.Collect(maps.Keys(peers))}
+		if cur != nil && pa.de.Lifetime == "" {
 			next.Departure = cur.Departure
 		}
 		return next
 	})
 }
 
-// TestForerunnerLearned: a backend server's drain was acknowledged and its daemon
-// replaced before the store had taken it down. Of two peers the first to answer
-// has not heard of the drain. An announcement from before the drain comes late:
-// the server must get no request, and callers saw one at a server that had left.
-// A process of which nobody knows anything must not keep its server waiting.
-func TestForerunnerLearned(t *testing.T) {
+// TestPredecessorRecovery guards against requests to a backend server that has left. Its drain was
+// acknowledged, its daemon was replaced before the store had the departure, and the first of two
+// peers to answer has not heard of it. Then a delayed announcement from before the drain arrives. A
+// process about whose predecessor nobody knows anything must not keep its server waiting.
+func TestPredecessorRecovery(t *testing.T) {
 	left := member.Departure{Lifetime: "i-1", Number: 5}
 	for name, tc := range map[string]struct {
-		heard []heard
-		// after is when the server serves, 0 for never.
-		after time.Duration
+		answers []peerAnswer
+		// servesAfter is when the server begins to serve, 0 for never.
+		servesAfter time.Duration
 	}{
-		"the first peer knows":           {[]heard{{ms(50), "p", left}}, 0},
-		"the second peer knows":          {[]heard{{ms(50), "p", member.Departure{}}, {ms(300), "q", left}}, 0},
-		"two peers know of nothing":      {[]heard{{ms(50), "p", member.Departure{}}, {ms(300), "q", member.Departure{}}}, ms(300)},
-		"the only peer answers twice":    {[]heard{{ms(50), "p", member.Departure{}}, {ms(300), "p", member.Departure{}}}, ms(450)},
-		"nobody answers":                 {nil, recallPeers},
-		"the only peer knows of nothing": {[]heard{{ms(50), "p", member.Departure{}}}, ms(450)},
+		"the first peer knows":                {[]peerAnswer{{millis(50), "p", left}}, 0},
+		"the second peer knows":               {[]peerAnswer{{millis(50), "p", member.Departure{}}, {millis(300), "q", left}}, 0},
+		"two peers know of no departure":      {[]peerAnswer{{millis(50), "p", member.Departure{}}, {millis(300), "q", member.Departure{}}}, millis(300)},
+		"the only peer answers twice":         {[]peerAnswer{{millis(50), "p", member.Departure{}}, {millis(300), "p", member.Departure{}}}, millis(450)},
+		"nobody answers":                      {nil, firstPeerTimeout},
+		"the only peer knows of no departure": {[]peerAnswer{{millis(50), "p", member.Departure{}}}, millis(450)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -65,21 +64,21 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				began := time.Now()
-				go dm.runRecall(ctx)
+				go dm.runRecovery(ctx)
 				if err := dm.announce(ctx, admin.Announcement{Service: "booking", Lifetime: "i-1", Number: 4, TTLMs: 60_000}); err != nil {
 					t.Fatal(err)
 				}
 				peers := map[string]bool{}
-				for _, he := range tc.heard {
-					time.Sleep(he.at - time.Since(began))
-					he.tell(dm.Node.Board, peers)
+				for _, pa := range tc.answers {
+					time.Sleep(pa.at - time.Since(began))
+					pa.post(dm.Node.Board, peers)
 				}
-				// Off the round times, at which the daemon itself acts.
+				// Avoids the exact times at which the daemon itself acts.
 				time.Sleep(5 * time.Millisecond)
 				for time.Since(began) < 6*time.Second {
 					st, _ := dm.local.watch(time.Now())
 					serves := st.Announcement != nil && !st.Leaving
-					if want := tc.after != 0 && time.Since(began) > tc.after; serves != want {
+					if want := tc.servesAfter != 0 && time.Since(began) > tc.servesAfter; serves != want {
 						t.Fatalf("after %v the server serves: %v, want %v", time.Since(began), serves, want)
 					}
 					time.Sleep(10 * time.Millisecond)
@@ -89,10 +88,10 @@
 	}
 }
 
-// TestFirstStart: hundreds of daemons start for the first time. Each asked the store what
-// a former process of its VM had acknowledged, and kept its backend server waiting for
-// peers that could not know. At the first start nothing is asked, and the server serves
-// at once.
+// TestFirstStart guards against needless waiting when hundreds of daemons start for the first time:
+// each read from the store what a predecessor had acknowledged, and kept its backend server waiting
+// for peers that could not know. At the first start the store is not read, and the server serves at
+// once.
 func TestFirstStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := stand.New()
@@ -100,7 +99,7 @@
 		dm := New(setup.Settings{VM: "vm-0", Domain: "d", FirstStart: true}, Options{Store: &kv})
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go dm.runRecall(ctx)
+		go dm.runRecovery(ctx)
 		if err := dm.announce(ctx, admin.Announcement{Service: "booking", Lifetime: "i-1", Number: 1, TTLMs: 60_000}); err != nil {
 			t.Fatal(err)
 		}
@@ -114,10 +113,10 @@
 	})
 }
 
-// TestLeavingStoredLate: a backend server says that it drains while the store
-// takes two seconds to answer, or answers with errors. The acknowledgement cannot
-// wait for it; the store must know of the drain all the same once it answers, or
-// a process that replaces this one later sends requests to the server.
+// TestLeavingStoredLate guards against a drain that the store never learns of: it takes two seconds
+// to answer, or fails, while a backend server announces the drain. The acknowledgement cannot wait
+// for the store, but the departure must be stored once it answers, or a later process sends
+// requests to the server.
 func TestLeavingStoredLate(t *testing.T) {
 	for name, fault := range map[string]func(context.Context) error{
 		"slow": func(ctx context.Context) error {
@@ -143,16 +142,16 @@
 				dm := New(setup.Settings{VM: "vm-0", Domain: "d"}, Options{Store: &kv})
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				go dm.runLeaving(ctx)
+				go dm.runStoreDeparture(ctx)
 				began := time.Now()
 				if err := dm.announce(ctx, admin.Announcement{Service: "booking", Lifetime: "i-1", Number: 4, State: "draining", TTLMs: 60_000}); err != nil {
 					t.Fatal(err)
 				}
-				if took := time.Since(began); took > recordTime {
+				if took := time.Since(began); took > storeTimeout {
 					t.Errorf("the acknowledgement took %v", took)
 				}
 				time.Sleep(5 * time.Second)
-				ent, err := kv.Get(ctx, dm.leavingKey())
+				ent, err := kv.Get(ctx, dm.departureKey())
 				if err != nil || !ent.Revision.Exists() {
 					t.Errorf("the store holds %+v, %v", ent, err)
 				}
@@ -161,16 +160,15 @@
 	}
 }
 
-// TestLeavingOverwritten: a backend server says that it drains just as writes of the
-// VM's former process, which the store executes late, come in between. The write that
-// found another revision was taken for done, and a process that replaced this one sent
-// requests to the server.
+// TestLeavingOverwritten guards against a departure that is lost to writes of the VM's former
+// process, which the store executes late. The write that found another revision was treated as
+// done, and the next process sent requests to the server.
 func TestLeavingOverwritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := stand.New().Store()
-		swap, late := kv.Swap, 2
+		swap, lateWrites := kv.Swap, 2
 		kv.Swap = func(ctx context.Context, ch store.Change) (bool, store.Entry, error) {
-			if late--; late >= 0 {
+			if lateWrites--; lateWrites >= 0 {
 				if _, _, err := swap(ctx, store.Change{Key: "leaving/vm-0", Value: []byte(`{"lifetime":"i-0"}`), Revision: ch.Revision}); err != nil {
 					t.Error(err)
 				}
@@ -180,24 +178,24 @@
 		dm := New(setup.Settings{VM: "vm-0", Domain: "d"}, Options{Store: &kv})
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go dm.runLeaving(ctx)
+		go dm.runStoreDeparture(ctx)
 		if err := dm.announce(ctx, admin.Announcement{Service: "booking", Lifetime: "i-1", Number: 4, State: "draining", TTLMs: 60_000}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Second)
-		ent, err := kv.Get(ctx, dm.leavingKey())
-		var lv leaving
+		ent, err := kv.Get(ctx, dm.departureKey())
+		var sd storedDeparture
 		if err == nil {
-			err = json.Unmarshal(ent.Value, &lv)
+			err = json.Unmarshal(ent.Value, &sd)
 		}
-		if err != nil || lv.Lifetime != "i-1" {
+		if err != nil || sd.Lifetime != "i-1" {
 			t.Errorf("the store holds %s, %v", ent.Value, err)
 		}
 	})
 }
 
-// TestLeavingStoredAgain guards against a drain that was acknowledged and is gone from a
-// store that came back from an older copy.
+// TestLeavingStoredAgain guards against losing an acknowledged drain when the store is restored
+// from an older copy.
 func TestLeavingStoredAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := stand.New()
@@ -205,7 +203,7 @@
 		dm := New(setup.Settings{VM: "vm-0", Domain: "d"}, Options{Store: &kv})
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go dm.runLeaving(ctx)
+		go dm.runStoreDeparture(ctx)
 		bk := st.Backup()
 		if err := dm.announce(ctx, admin.Announcement{Service: "booking", Lifetime: "i-1", Number: 4, State: "draining", TTLMs: 60_000}); err != nil {
 			t.Fatal(err)
@@ -213,34 +211,34 @@
 		for range 2 {
 			st.ComeBack(bk)
 			calls := st.Calls.Total()
-			// Another call, or a peer, shows the epoch.
+			// Another call, or a peer, reveals the epoch.
 			if _, err := dm.Node.Store().Get(ctx, "any"); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(time.Second)
-			if ent, err := kv.Get(ctx, dm.leavingKey()); err != nil || !strings.Contains(string(ent.Value), "i-1") {
+			if ent, err := kv.Get(ctx, dm.departureKey()); err != nil || !strings.Contains(string(ent.Value), "i-1") {
 				t.Errorf("the store holds %q, %v", ent.Value, err)
 			}
 			if n := st.Calls.Total() - calls; n > 4 {
 				t.Errorf("%d calls to the store", n)
 			}
 		}
-		time.Sleep(leavingTTL)
+		time.Sleep(departureTTL)
 		st.ComeBack(bk)
 		if _, err := dm.Node.Store().Get(ctx, "any"); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		if ent, err := kv.Get(ctx, dm.leavingKey()); err != nil || ent.Revision.Exists() {
+		if ent, err := kv.Get(ctx, dm.departureKey()); err != nil || ent.Revision.Exists() {
 			t.Errorf("the store holds %q of a server that ended long ago, %v", ent.Value, err)
 		}
 	})
 }
 
-// TestForeignLeaving: something else has written under the key where a daemon notes that
-// its backend server leaves. A daemon that starts must neither end over it nor take the
-// server that announces itself for one that left.
-func TestForeignLeaving(t *testing.T) {
+// TestInvalidStoredDeparture covers values that something else has written under the key of the
+// departure. A daemon that starts must neither fail nor treat the server that announces itself as
+// one that left.
+func TestInvalidStoredDeparture(t *testing.T) {
 	for name, value := range map[string]string{
 		"empty": ``, "null": `null`, "another type": `[]`, "a number": `5`, "not JSON": "\xff\x00", "cut short": `{"lifetime":"i-1`,
 		"a lifetime of another type": `{"lifetime":5,"number":9}`, "a number that overflows": `{"lifetime":"i-1","number":1e99}`,
@@ -255,11 +253,11 @@
 				dm := New(setup.Settings{VM: "vm-0", Domain: "d"}, Options{Store: &kv})
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				go dm.runRecall(ctx)
+				go dm.runRecovery(ctx)
 				if err := dm.announce(ctx, admin.Announcement{Service: "booking", Lifetime: "i-1", Number: 1, TTLMs: 60_000}); err != nil {
 					t.Fatal(err)
 				}
-				time.Sleep(recallTime)
+				time.Sleep(recoveryTimeout)
 				if st, _ := dm.local.watch(time.Now()); st.Announcement == nil || st.Leaving {
 					t.Errorf("the server does not serve: %+v", st)
 				}
@@ -268,13 +266,13 @@
 	}
 }
 
-// FuzzLeaving: what cannot be read names no lifetime.
+// FuzzLeaving checks that a value that cannot be parsed names no lifetime.
 func FuzzLeaving(f *testing.F) {
 	f.Add([]byte(`{"lifetime":"i-1","started-ms":5,"number":7}`))
 	f.Add([]byte(`{"lifetime":"i-1","number":1e99}`))
 	f.Fuzz(func(t *testing.T, value []byte) {
-		if left, err := readLeaving(value); err != nil && left.Lifetime != "" {
-			t.Errorf("%q was taken as %+v", value, left)
+		if de, err := parseDeparture(value); err != nil && de.Lifetime != "" {
+			t.Errorf("%q was parsed as %+v", value, de)
 		}
 	})
 }
--- a/internal/node/server/server.go
+++ b/internal/node/server/server.go
@@ -9,60 +9,58 @@
 
 // The limits of a tracker.
 const (
-	// keepLives is how many former lifetimes are remembered. An announcement
-	// that is later than so many replacements of the server is not expected.
-	keepLives = 16
-	// freshFor is how long after its last announcement a server is taken to be
-	// there for certain: two of its intervals and a little.
-	freshFor = 3500 * time.Millisecond
-	// firstNumbers are the numbers by which a lifetime that is not known yet is
-	// taken for a new one, and not for a forerunner whose announcement is late.
-	firstNumbers = 2
-	// lateFor is how long after the last word of a start an announcement of an
-	// earlier one may still be on its way. One that comes later is of a server that
-	// runs: its clock was set back before it started again.
-	lateFor = 10 * time.Second
+	// maxInstances is how many instances are remembered. No announcement is expected to be delayed
+	// by that many replacements of the server.
+	maxInstances = 16
+	// freshTime is how long after its last announcement a server is assumed to be running: two
+	// announcement intervals and a margin.
+	freshTime = 3500 * time.Millisecond
+	// maxFirstNumber is the highest announcement number by which an unknown lifetime is accepted as
+	// a new instance. A higher number may be from a delayed announcement of a former instance.
+	maxFirstNumber = 2
+	// maxDelay is how long after the last announcement of an instance one of an earlier instance
+	// may still be in transit. One that arrives later is from a running server whose clock was set
+	// back before it restarted.
+	maxDelay = 10 * time.Second
 )
 
-// Tracker follows the lifetimes of one backend server. The zero value knows
-// none. It is not safe for concurrent use.
+// Tracker follows the instances of one backend server. The zero value knows of none. It is not safe
+// for concurrent use.
 type Tracker struct {
-	cur   *life
-	lives map[string]*life
-	// left is the last lifetime that said it leaves.
-	left string
+	cur       *instance
+	instances map[string]*instance
+	// lastLeft is the lifetime of the last instance that announced that it is leaving.
+	lastLeft string
 }
 
-// life is what is known of one start of the server.
-type life struct {
+// instance is one run of the server, identified by its lifetime and start time.
+type instance struct {
 	an admin.Announcement
-	// startedMs is the Unix time in milliseconds at which it started, 0 where it is
-	// not known.
+	// startedMs is the start as Unix time in milliseconds, 0 if unknown.
 	startedMs int64
-	// number is the highest one of its announcements that was taken.
-	number uint64
-	// since is when it was first heard, heard when it was last, until how long
-	// its last announcement holds.
-	since, heard, until time.Time
-	// leaving is set for good once it said that it drains or leaves. gone is
-	// set when it was taken out.
-	leaving, gone bool
-	// assumed is set while it was only found to serve and has not announced itself.
+	// lastNumber is the highest number of an accepted announcement.
+	lastNumber uint64
+	// since is when it was first heard of, lastHeard when it was last heard of, and expiresAt when
+	// its last announcement expires.
+	since, lastHeard, expiresAt time.Time
+	// leaving is set for good once the instance has announced that it drains or leaves, removed
+	// once it is withdrawn.
+	leaving, removed bool
+	// assumed is set while the instance was only found by a probe and has not announced itself.
 	assumed bool
 }
 
-// Status is what the daemon goes by.
+// Status is the state of the backend server as its daemon sees it.
 type Status struct {
 	// Announcement is the newest one, nil while there is no server.
 	Announcement *admin.Announcement
-	// Since is when the server was first heard, Until how long the announcement
-	// holds.
-	Since, Until time.Time
-	// Leaving says that it takes no new requests.
+	// Since is when the server was first heard of, ExpiresAt when the announcement expires.
+	Since, ExpiresAt time.Time
+	// Leaving is set if the server accepts no new requests.
 	Leaving bool
 }
 
-// Lifetime returns the lifetime of the server, empty for none.
+// Lifetime returns the lifetime of the server, empty if there is none.
 func (st Status) Lifetime() string {
 	if st.Announcement == nil {
 		return ""
@@ -70,7 +68,7 @@
 	return st.Announcement.Lifetime
 }
 
-// StartedMs returns when the server started, as it tells, and 0 where it does not.
+// StartedMs returns the start time that the server reported, 0 if it reported none.
 func (st Status) StartedMs() int64 {
 	if st.Announcement == nil {
 		return 0
@@ -78,183 +76,183 @@
 	return st.Announcement.StartedMs
 }
 
-// SameStart reports whether both are of one start of the server.
-func (st Status) SameStart(other Status) bool {
+// SameInstance reports whether both statuses are of one instance of the server.
+func (st Status) SameInstance(other Status) bool {
 	return st.Lifetime() == other.Lifetime() && st.StartedMs() == other.StartedMs()
 }
 
-// Announce takes an announcement and reports whether it was news.
+// Announce handles an announcement and reports whether it was accepted.
 //
-// Four of them are late and change nothing. One with a number that is not above the
-// newest of its start was overtaken. One of a start before the newest of the same
-// lifetime is of a server that has ended. One of a start that left would bring back a
-// server that takes no requests. And one of another lifetime than the present, which
-// is not among the first of its kind, was sent by a forerunner that has ended: taking
-// it would send requests to a server that is not there until the present one speaks
-// again. It is taken once the present one has been silent.
+// Four kinds of announcement are late and change nothing. One whose number is not above the newest
+// of its instance was overtaken. One of an earlier instance of the same lifetime is from a server
+// that has ended. One of a withdrawn instance would bring back a server that accepts no requests.
+// And one of another lifetime than the current one, which is not among the first of its instance,
+// was sent by a former instance that has ended: accepting it would send requests to a server that
+// is gone, until the current one announces itself again. It is accepted once the current one has
+// been silent for freshTime.
 func (tr *Tracker) Announce(an admin.Announcement, now time.Time) bool {
-	lf := tr.lives[an.Lifetime]
-	if lf != nil && lf.precedes(&an, now) {
-		// Nothing of the former start holds for this one: not its number, nor that
-		// it left.
-		lf = nil
+	ins := tr.instances[an.Lifetime]
+	if ins != nil && ins.precedes(&an, now) {
+		// Nothing of the former instance applies to this one, neither its number nor that it left.
+		ins = nil
 	}
 	switch {
-	case lf != nil && lf.late(&an):
+	case ins != nil && ins.isStale(&an):
 		return false
-	case tr.displaces(lf, &an, now):
+	case tr.keepsCurrent(ins, &an, now):
 		return false
 	}
-	if lf == nil || lf.gone && an.Lifetime == "" {
-		lf = &life{since: now}
-		tr.keep(an.Lifetime, lf)
+	if ins == nil || ins.removed && an.Lifetime == "" {
+		ins = &instance{since: now}
+		tr.remember(an.Lifetime, ins)
 	}
-	if !now.Before(lf.until) && !lf.heard.IsZero() {
-		lf.since = now
+	if !now.Before(ins.expiresAt) && !ins.lastHeard.IsZero() {
+		ins.since = now
 	}
-	lf.assumed = false
-	lf.an, lf.number, lf.heard, lf.until = an, an.Number, now, now.Add(an.TTL())
-	lf.startedMs = max(lf.startedMs, an.StartedMs)
-	lf.leaving = lf.leaving || an.Draining()
-	if lf.leaving {
-		tr.left = an.Lifetime
+	ins.assumed = false
+	ins.an, ins.lastNumber, ins.lastHeard, ins.expiresAt = an, an.Number, now, now.Add(an.TTL())
+	ins.startedMs = max(ins.startedMs, an.StartedMs)
+	ins.leaving = ins.leaving || an.Draining()
+	if ins.leaving {
+		tr.lastLeft = an.Lifetime
 	}
-	tr.cur = lf
+	tr.cur = ins
 	return true
 }
 
-// precedes reports whether an announcement is of a later start of the same lifetime.
+// precedes reports whether an announcement is from a later instance of the same lifetime.
 //
-// The times of both starts decide. Where that of a start which was taken out is not
-// known, as when only its removal came, a later one is known by its first numbers. And
-// where the clock of the VM was set back in between, it seems the earlier one, until
-// nothing of the other can be on its way any more.
-func (lf *life) precedes(an *admin.Announcement, now time.Time) bool {
+// The start times decide. Where the start time of a withdrawn instance is unknown, as when only its
+// withdrawal arrived, a later instance is recognized by its first numbers. Where the clock of the
+// VM was set back between the two starts, the later instance seems the earlier one, until no
+// announcement of the other can be in transit.
+func (ins *instance) precedes(an *admin.Announcement, now time.Time) bool {
 	switch {
 	case an.StartedMs == 0:
 		return false
-	case lf.startedMs == 0:
-		return lf.gone && an.Number <= firstNumbers
-	case an.StartedMs < lf.startedMs:
-		return now.Sub(lf.heard) > lateFor
+	case ins.startedMs == 0:
+		return ins.removed && an.Number <= maxFirstNumber
+	case an.StartedMs < ins.startedMs:
+		return now.Sub(ins.lastHeard) > maxDelay
 	}
-	return an.StartedMs > lf.startedMs
+	return an.StartedMs > ins.startedMs
 }
 
-func (lf *life) late(an *admin.Announcement) bool {
+func (ins *instance) isStale(an *admin.Announcement) bool {
 	if an.Lifetime == "" {
 		return false
 	}
-	return an.StartedMs != 0 && an.StartedMs < lf.startedMs || an.Number <= lf.number && !lf.assumed || lf.gone
+	return an.StartedMs != 0 && an.StartedMs < ins.startedMs || an.Number <= ins.lastNumber && !ins.assumed || ins.removed
 }
 
-// displaces reports whether an announcement of another lifetime would displace a
-// present one that was heard lately, without being the first of a new one.
-func (tr *Tracker) displaces(lf *life, an *admin.Announcement, now time.Time) bool {
-	if tr.cur == nil || tr.cur == lf || tr.cur.gone || now.Sub(tr.cur.heard) > freshFor {
+// keepsCurrent reports whether an announcement of another lifetime must not displace the current
+// instance: that was heard of within freshTime, and the other one started earlier or, where a start
+// time is unknown, is not known to be new.
+func (tr *Tracker) keepsCurrent(ins *instance, an *admin.Announcement, now time.Time) bool {
+	if tr.cur == nil || tr.cur == ins || tr.cur.removed || now.Sub(tr.cur.lastHeard) > freshTime {
 		return false
 	}
 	if an.StartedMs != 0 && tr.cur.startedMs != 0 {
 		return an.StartedMs < tr.cur.startedMs
 	}
-	return lf != nil || an.Number > firstNumbers
+	return ins != nil || an.Number > maxFirstNumber
 }
 
-func (tr *Tracker) keep(lifetime string, lf *life) {
-	if tr.lives == nil {
-		tr.lives = map[string]*life{}
+func (tr *Tracker) remember(lifetime string, ins *instance) {
+	if tr.instances == nil {
+		tr.instances = map[string]*instance{}
 	}
-	for len(tr.lives) >= keepLives {
+	for len(tr.instances) >= maxInstances {
 		oldest := ""
-		for id, one := range tr.lives {
-			if oldest == "" || one.heard.Before(tr.lives[oldest].heard) {
+		for id, other := range tr.instances {
+			if oldest == "" || other.lastHeard.Before(tr.instances[oldest].lastHeard) {
 				oldest = id
 			}
 		}
-		delete(tr.lives, oldest)
+		delete(tr.instances, oldest)
 	}
-	tr.lives[lifetime] = lf
+	tr.instances[lifetime] = ins
 }
 
-// Assume takes a server that was found to serve before it has announced itself, and
-// reports whether it did. One that left, as far as is known, is not taken; nor is any once
-// a server has announced itself.
+// Assume accepts a server that was found by a probe before it has announced itself, and reports
+// whether it did. A server that is known to have left is not accepted, nor is any once a server has
+// announced itself.
 func (tr *Tracker) Assume(an admin.Announcement, now time.Time) bool {
 	if tr.cur != nil {
 		return false
 	}
-	if lf := tr.lives[an.Lifetime]; lf != nil {
+	if ins := tr.instances[an.Lifetime]; ins != nil {
 		return false
 	}
-	lf := &life{an: an, since: now, heard: now, until: now.Add(an.TTL()), assumed: true}
-	tr.keep(an.Lifetime, lf)
-	tr.cur = lf
+	ins := &instance{an: an, since: now, lastHeard: now, expiresAt: now.Add(an.TTL()), assumed: true}
+	tr.remember(an.Lifetime, ins)
+	tr.cur = ins
 	return true
 }
 
-// Withdraw takes a start of the server out for good. One that is not known is
-// remembered, so that an announcement which it sent before and which comes later does
-// not bring it back. A removal of a start before the newest is late and changes nothing.
+// Withdraw removes an instance of the server for good. An unknown one is remembered, so that a
+// delayed announcement does not bring it back. A withdrawal of an instance before the newest is
+// late and changes nothing.
 func (tr *Tracker) Withdraw(wd admin.Withdrawal, now time.Time) {
-	lf := tr.leave(member.Departure{Lifetime: wd.Lifetime, StartedMs: wd.StartedMs}, now)
-	if lf != nil {
-		lf.heard, lf.gone = now, true
+	ins := tr.markLeaving(member.Departure{Lifetime: wd.Lifetime, StartedMs: wd.StartedMs}, now)
+	if ins != nil {
+		ins.lastHeard, ins.removed = now, true
 	}
 }
 
-// leave notes that a start of the server leaves, and returns what is known of it, nil
-// where a later one is known.
-func (tr *Tracker) leave(lv member.Departure, now time.Time) *life {
-	lf := tr.lives[lv.Lifetime]
+// markLeaving marks an instance of the server as leaving and returns it, or nil if a later one of
+// the same lifetime is known.
+func (tr *Tracker) markLeaving(de member.Departure, now time.Time) *instance {
+	ins := tr.instances[de.Lifetime]
 	switch {
-	case lf != nil && lv.StartedMs != 0 && lv.StartedMs < lf.startedMs:
+	case ins != nil && de.StartedMs != 0 && de.StartedMs < ins.startedMs:
 		return nil
-	case lf == nil, lf.startedMs != 0 && lv.StartedMs > lf.startedMs:
-		next := &life{since: now, heard: now}
-		if lf != nil && tr.cur == lf {
+	case ins == nil, ins.startedMs != 0 && de.StartedMs > ins.startedMs:
+		next := &instance{since: now, lastHeard: now}
+		if ins != nil && tr.cur == ins {
 			tr.cur = next
 		}
-		lf = next
-		tr.keep(lv.Lifetime, lf)
+		ins = next
+		tr.remember(de.Lifetime, ins)
 	}
-	lf.leaving = true
-	lf.startedMs = max(lf.startedMs, lv.StartedMs)
-	lf.number = max(lf.number, lv.Number)
-	tr.left = lv.Lifetime
-	return lf
+	ins.leaving = true
+	ins.startedMs = max(ins.startedMs, de.StartedMs)
+	ins.lastNumber = max(ins.lastNumber, de.Number)
+	tr.lastLeft = de.Lifetime
+	return ins
 }
 
-// Left returns the last start of the server that said it leaves, with the number of
-// its newest announcement; empty for none.
-func (tr *Tracker) Left() member.Departure {
-	if lf := tr.lives[tr.left]; lf != nil && lf.leaving {
-		return member.Departure{Lifetime: tr.left, StartedMs: lf.startedMs, Number: lf.number}
+// LastDeparture returns the last instance of the server that announced that it is leaving, with the
+// number of its newest announcement; empty if there is none.
+func (tr *Tracker) LastDeparture() member.Departure {
+	if ins := tr.instances[tr.lastLeft]; ins != nil && ins.leaving {
+		return member.Departure{Lifetime: tr.lastLeft, StartedMs: ins.startedMs, Number: ins.lastNumber}
 	}
 	return member.Departure{}
 }
 
-// Lost takes the present server out until it announces itself again.
-func (tr *Tracker) Lost(now time.Time) {
+// MarkUnreachable removes the current server until it announces itself again.
+func (tr *Tracker) MarkUnreachable(now time.Time) {
 	if tr.cur != nil {
-		tr.cur.until = now
+		tr.cur.expiresAt = now
 	}
 }
 
-// Recall takes what a former process of the VM acknowledged: that start of the server
-// leaves, and its announcements up to the number are late.
-func (tr *Tracker) Recall(lv member.Departure, now time.Time) {
-	if lv.Lifetime != "" {
-		tr.leave(lv, now)
+// RecoverDeparture applies a departure that a former process of the VM acknowledged: the instance
+// is leaving, and its announcements up to the number are late.
+func (tr *Tracker) RecoverDeparture(de member.Departure, now time.Time) {
+	if de.Lifetime != "" {
+		tr.markLeaving(de, now)
 	}
 }
 
-// Status returns what the daemon should go by now.
+// Status returns the state of the server at now.
 func (tr *Tracker) Status(now time.Time) Status {
-	lf := tr.cur
-	if lf == nil || lf.gone || !now.Before(lf.until) {
+	ins := tr.cur
+	if ins == nil || ins.removed || !now.Before(ins.expiresAt) {
 		return Status{}
 	}
-	// A copy: the tracker's own changes with the next announcement.
-	an := lf.an
-	return Status{Announcement: &an, Since: lf.since, Until: lf.until, Leaving: lf.leaving}
+	// A copy: the next announcement overwrites the tracker's own.
+	an := ins.an
+	return Status{Announcement: &an, Since: ins.since, ExpiresAt: ins.expiresAt, Leaving: ins.leaving}
 }
