--- a/internal/node/addrs/addrs.go
+++ b/internal/node/addrs/addrs.go
@@ -25,9 +25,9 @@
 // returned before.
 func Free() (string, error) { return FreeOn("127.0.0.1") }
 
-// Own returns a loopback IP specific to this process, so that other processes that look for
+// ProcessIP returns a loopback IP specific to this process, so that other processes that look for
 // addresses at the same time do not take its ports while nothing listens on them.
-func Own() string {
+func ProcessIP() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.1", 1+(pid>>8)%200, 1+pid%200)
 }
