--- a/internal/conf/accept/accept_test.go
+++ b/internal/conf/accept/accept_test.go
@@ -18,8 +18,8 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// mesh declares services with the given slots, by name.
-func mesh(t interface{ Fatal(...any) }, slots map[string]int) *pack.Content {
+// meshContent declares services with the given slots, by name.
+func meshContent(t interface{ Fatal(...any) }, slots map[string]int) *pack.Content {
 	ms := &decl.Mesh{}
 	for name, n := range slots {
 		ms.Services = append(ms.Services, decl.Service{Name: name, Port: 1, Slots: n})
@@ -42,8 +42,8 @@
 
 func TestSubmit(t *testing.T) {
 	kv := stand.New().Store()
-	one := mesh(t, map[string]int{"booking": 1})
-	two := mesh(t, map[string]int{"booking": 2, "portal": 1})
+	one := meshContent(t, map[string]int{"booking": 1})
+	two := meshContent(t, map[string]int{"booking": 2, "portal": 1})
 	for _, tc := range []struct {
 		name string
 		sub  Submission
@@ -51,10 +51,10 @@
 		ver  uint64
 	}{
 		{"first", Submission{ID: "a", Content: one}, Accepted, 1},
-		{"the same again", Submission{ID: "a", Content: one}, Already, 1},
+		{"the same again", Submission{ID: "a", Content: one}, AlreadyAccepted, 1},
 		{"no change", Submission{ID: "b", Base: 1, Content: one}, Unchanged, 1},
 		{"second", Submission{ID: "c", Base: 1, Content: two}, Accepted, 2},
-		{"the first once more", Submission{ID: "a", Content: one}, Already, 1},
+		{"the first once more", Submission{ID: "a", Content: one}, AlreadyAccepted, 1},
 		{"a revert is a new version", Submission{ID: "d", Base: 2, Content: one}, Accepted, 3},
 	} {
 		res := submit(t, kv, tc.sub)
@@ -97,9 +97,9 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			kv := stand.New().Store()
-			submit(t, kv, Submission{ID: "0", Content: mesh(t, base)})
-			submit(t, kv, Submission{ID: "theirs", Base: 1, Author: "ana", Content: mesh(t, map[string]int{"booking": 9, "portal": 1})})
-			res, err := Submit(t.Context(), kv, Submission{ID: "mine", Base: 1, Content: mesh(t, tc.mine)})
+			submit(t, kv, Submission{ID: "0", Content: meshContent(t, base)})
+			submit(t, kv, Submission{ID: "theirs", Base: 1, Author: "ana", Content: meshContent(t, map[string]int{"booking": 9, "portal": 1})})
+			res, err := Submit(t.Context(), kv, Submission{ID: "mine", Base: 1, Content: meshContent(t, tc.mine)})
 			if tc.conflict != "" {
 				var ce *ConflictError
 				if !errors.As(err, &ce) || ce.Keys[0].String() != tc.conflict || ce.Theirs.Author != "ana" {
@@ -113,7 +113,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if want := mesh(t, tc.want).Digest.String(); res.Entry.Digest != want {
+			if want := meshContent(t, tc.want).Digest.String(); res.Entry.Digest != want {
 				t.Errorf("digest %s, want %s", res.Entry.Digest, want)
 			}
 		})
@@ -149,9 +149,9 @@
 	for lost := range 6 {
 		synctest.Test(t, func(t *testing.T) {
 			st := stand.New()
-			submit(t, st.Store(), Submission{ID: "0", Content: mesh(t, map[string]int{"booking": 1})})
+			submit(t, st.Store(), Submission{ID: "0", Content: meshContent(t, map[string]int{"booking": 1})})
 			st.SetFaults(stand.Faults{LoseAnswers: lost})
-			res := submit(t, st.Store(), Submission{ID: "1", Base: 1, Content: mesh(t, map[string]int{"booking": 2})})
+			res := submit(t, st.Store(), Submission{ID: "1", Base: 1, Content: meshContent(t, map[string]int{"booking": 2})})
 			if res.Entry.Version != 2 {
 				t.Errorf("%d answers lost: version %d, want 2", lost, res.Entry.Version)
 			}
@@ -175,7 +175,7 @@
 			}
 			return ok, cur, err
 		}
-		sub := Submission{ID: "x", Content: mesh(t, map[string]int{"booking": 1})}
+		sub := Submission{ID: "x", Content: meshContent(t, map[string]int{"booking": 1})}
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		_, err := Submit(ctx, kv, sub)
@@ -184,8 +184,8 @@
 			t.Fatalf("error %v, want an UnknownError", err)
 		}
 		st.SetFaults(stand.Faults{})
-		submit(t, st.Store(), Submission{ID: "y", Base: 1, Content: mesh(t, map[string]int{"booking": 2})})
-		if res := submit(t, st.Store(), sub); res.Status != Already || res.Entry.Version != 1 {
+		submit(t, st.Store(), Submission{ID: "y", Base: 1, Content: meshContent(t, map[string]int{"booking": 2})})
+		if res := submit(t, st.Store(), sub); res.Status != AlreadyAccepted || res.Entry.Version != 1 {
 			t.Errorf("given again: %s as version %d", res.Status, res.Entry.Version)
 		}
 	})
@@ -205,17 +205,17 @@
 				Delay: time.Duration(rapid.IntRange(0, 300).Draw(rt, "delay")) * time.Millisecond,
 			})
 		}
-		synctest.Test(t, func(t *testing.T) { raceOnce(t, operators, faults) })
+		synctest.Test(t, func(t *testing.T) { runRace(t, operators, faults) })
 	})
 }
 
-func raceOnce(t *testing.T, operators int, faults []stand.Faults) {
+func runRace(t *testing.T, operators int, faults []stand.Faults) {
 	st := stand.New()
 	slots := map[string]int{}
 	for i := range operators {
 		slots[fmt.Sprint("s", i)] = 1
 	}
-	submit(t, st.Store(), Submission{ID: "0", Content: mesh(t, slots)})
+	submit(t, st.Store(), Submission{ID: "0", Content: meshContent(t, slots)})
 	var wg conc.WaitGroup
 	for i := range operators {
 		mine := map[string]int{}
@@ -223,7 +223,7 @@
 			mine[name] = n
 		}
 		mine[fmt.Sprint("s", i)] = 100 + i
-		co := mesh(t, mine)
+		co := meshContent(t, mine)
 		wg.Go(func() {
 			if _, err := Submit(t.Context(), st.Store(), Submission{ID: fmt.Sprint("op", i), Base: 1, Content: co}); err != nil {
 				t.Errorf("operator %d: %v", i, err)
@@ -257,24 +257,24 @@
 	for i := range operators {
 		slots[fmt.Sprint("s", i)] = 100 + i
 	}
-	if want := mesh(t, slots).Digest.String(); hd.Last.Digest != want {
+	if want := meshContent(t, slots).Digest.String(); hd.Last.Digest != want {
 		t.Errorf("the last version does not hold all changes")
 	}
 }
 
-// TestOldContentsGo: what the platform keeps of old versions is bounded.
-func TestOldContentsGo(t *testing.T) {
+// TestContentRetention: what the platform keeps of old versions is bounded.
+func TestContentRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := stand.New().Store()
-		for v := range uint64(KeepContents + 3) {
-			submit(t, kv, Submission{ID: fmt.Sprint(v), Base: v, Content: mesh(t, map[string]int{"booking": int(v) + 1})})
+		for v := range uint64(RetainedContents + 3) {
+			submit(t, kv, Submission{ID: fmt.Sprint(v), Base: v, Content: meshContent(t, map[string]int{"booking": int(v) + 1})})
 			time.Sleep(time.Second)
 		}
 		hd, _, err := Load(t.Context(), kv)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for v, kept := range map[uint64]bool{1: false, 3: false, 4: true, KeepContents + 3: true} {
+		for v, kept := range map[uint64]bool{1: false, 3: false, 4: true, RetainedContents + 3: true} {
 			en, err := Find(t.Context(), kv, hd, v)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/conf/accept/head.go
+++ b/internal/conf/accept/head.go
@@ -14,12 +14,12 @@
 // HeadKey is the key of the record that is the commit point.
 const HeadKey = "head"
 
-// keepRecent is how many submissions the head remembers. A submission is
+// maxRecent is how many submissions the head remembers. A submission is
 // recognised when repeated for as long as it is remembered.
-const keepRecent = 64
+const maxRecent = 64
 
-// KeepContents is how many versions have their contents kept in the platform.
-const KeepContents = 512
+// RetainedContents is how many versions have their contents kept in the platform.
+const RetainedContents = 512
 
 // partSize is the most bytes of content in one value, half of the platform's
 // limit.
@@ -56,7 +56,7 @@
 	Submission string `json:"submission"`
 }
 
-func (hd *Head) bySubmission(id string) (version uint64, ok bool) {
+func (hd *Head) findSubmission(id string) (version uint64, ok bool) {
 	i := slices.IndexFunc(hd.Recent, func(rf Ref) bool { return rf.Submission == id })
 	if i < 0 {
 		return 0, false
@@ -138,7 +138,7 @@
 		}
 		body = append(body, ent.Value...)
 	}
-	return apply(nil, body, en)
+	return decodeContent(nil, body, en)
 }
 
 // Step reads the content of an entry as a delta from base where the platform
@@ -154,10 +154,10 @@
 	if !ent.Revision.Exists() {
 		return Content(ctx, kv, en)
 	}
-	return apply(base, ent.Value, en)
+	return decodeContent(base, ent.Value, en)
 }
 
-func apply(base *pack.Content, body []byte, en Entry) (*pack.Content, error) {
+func decodeContent(base *pack.Content, body []byte, en Entry) (*pack.Content, error) {
 	want, err := pack.ParseDigest(en.Digest)
 	if err != nil {
 		return nil, err
--- a/internal/conf/accept/submit.go
+++ b/internal/conf/accept/submit.go
@@ -44,8 +44,8 @@
 const (
 	// Accepted means that this call made a new version.
 	Accepted Status = iota + 1
-	// Already means that an earlier call with the same ID made it.
-	Already
+	// AlreadyAccepted means that an earlier call with the same ID made it.
+	AlreadyAccepted
 	// Unchanged means that the version in force says the same.
 	Unchanged
 )
@@ -108,26 +108,26 @@
 
 // The waits between attempts while the platform does not answer.
 const (
-	firstWait = 20 * time.Millisecond
-	mostWait  = time.Second
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = time.Second
 )
 
 // Submit makes the content of sub the newest version, or says why not. It goes
 // on through outages of the platform until ctx ends.
 func Submit(ctx context.Context, kv store.Store, sub Submission) (Result, error) {
 	sm := &submitter{kv: kv, sub: sub}
-	for wait := firstWait; ; wait = min(2*wait, mostWait) {
+	for backoff := minBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		res, done, err := sm.attempt(ctx)
 		if done {
 			return res, err
 		}
 		select {
 		case <-ctx.Done():
-			if sm.swapped {
+			if sm.outcomeUnknown {
 				return Result{}, &UnknownError{ID: sub.ID, Err: err}
 			}
 			return Result{}, fmt.Errorf("not accepted: %w", err)
-		case <-time.After(rand.N(wait)):
+		case <-time.After(rand.N(backoff)):
 		}
 	}
 }
@@ -135,8 +135,8 @@
 type submitter struct {
 	kv  store.Store
 	sub Submission
-	// swapped is set once a swap was sent whose outcome is unknown.
-	swapped bool
+	// outcomeUnknown is set once a swap was sent whose outcome is unknown.
+	outcomeUnknown bool
 }
 
 // attempt tries once. It is not done when another attempt may succeed.
@@ -149,9 +149,9 @@
 	// and its answer was lost, the id stands in the record, also when other
 	// versions came after it. A swap still on its way bears the same revision
 	// as the next one, so only one of the two takes effect.
-	if version, ok := hd.bySubmission(sm.sub.ID); ok {
+	if version, ok := hd.findSubmission(sm.sub.ID); ok {
 		en, err := Find(ctx, sm.kv, hd, version)
-		return Result{Status: Already, Entry: en, Rebased: en.Base != en.Parent}, err == nil, err
+		return Result{Status: AlreadyAccepted, Entry: en, Rebased: en.Base != en.Parent}, err == nil, err
 	}
 	last := hd.Last
 	if last.Version < sm.sub.Floor && !sm.sub.Resume {
@@ -159,23 +159,23 @@
 	}
 	co, old, err := sm.rebase(ctx, hd)
 	if err != nil {
-		return Result{}, !isPlatform(err), err
+		return Result{}, !isTransient(err), err
 	}
 	if co.Digest.String() == last.Digest && last.Version >= sm.sub.Floor {
 		return Result{Status: Unchanged, Entry: last}, true, nil
 	}
-	en := sm.entry(last, co)
-	if err := sm.write(ctx, &en, last, old, co); err != nil {
+	en := sm.newEntry(last, co)
+	if err := sm.writeContent(ctx, &en, last, old, co); err != nil {
 		return Result{}, store.Is(err, store.TooLarge), err
 	}
 	return sm.commit(ctx, hd, rev, en)
 }
 
-func isPlatform(err error) bool {
+func isTransient(err error) bool {
 	return store.Is(err, store.Unavailable) || store.Is(err, store.Unknown) || store.Is(err, store.Limited)
 }
 
-func (sm *submitter) entry(last Entry, co *pack.Content) Entry {
+func (sm *submitter) newEntry(last Entry, co *pack.Content) Entry {
 	return Entry{
 		Version:    max(last.Version, sm.sub.Floor) + 1,
 		Digest:     co.Digest.String(),
@@ -224,31 +224,31 @@
 // of one resource on both sides, unless they are equal, are a ConflictError;
 // the whole is checked again, since changes of different resources may clash.
 func Rebase(base, mine, theirs *pack.Content) (*pack.Content, error) {
-	my := pack.Diff(base, mine)
+	myDelta := pack.Diff(base, mine)
 	changed := map[pack.Key]bool{}
 	for _, ky := range pack.Diff(base, theirs).Keys() {
 		changed[ky] = true
 	}
-	var clash []pack.Key
-	for _, ky := range my.Keys() {
+	var conflicts []pack.Key
+	for _, ky := range myDelta.Keys() {
 		if changed[ky] && string(mine.Get(ky)) != string(theirs.Get(ky)) {
-			clash = append(clash, ky)
+			conflicts = append(conflicts, ky)
 		}
 	}
-	if clash != nil {
-		return nil, &ConflictError{Keys: clash}
+	if conflicts != nil {
+		return nil, &ConflictError{Keys: conflicts}
 	}
 	var res []pack.Resource
-	mineKeys := map[pack.Key]bool{}
-	for _, ky := range my.Keys() {
-		mineKeys[ky] = true
+	myKeys := map[pack.Key]bool{}
+	for _, ky := range myDelta.Keys() {
+		myKeys[ky] = true
 	}
 	for _, rs := range theirs.Resources {
-		if !mineKeys[rs.Key] {
+		if !myKeys[rs.Key] {
 			res = append(res, rs)
 		}
 	}
-	next := pack.New(append(res, my.Set...))
+	next := pack.New(append(res, myDelta.Set...))
 	ms, err := pack.Decode(next)
 	if err != nil {
 		return nil, err
@@ -270,10 +270,10 @@
 	return "together with the versions accepted since its base the submission fails the check:\n" + er.Problems.Error()
 }
 
-// write stores the content, whole and as a delta, ahead of the commit. It also
+// writeContent stores the content, whole and as a delta, ahead of the commit. It also
 // stores the entry that the commit takes out of the head, so that none is ever
 // lost, whenever the process may die.
-func (sm *submitter) write(ctx context.Context, en *Entry, last Entry, old, co *pack.Content) error {
+func (sm *submitter) writeContent(ctx context.Context, en *Entry, last Entry, old, co *pack.Content) error {
 	if last.Version > 0 {
 		value, err := json.Marshal(last)
 		if err != nil {
@@ -309,8 +309,8 @@
 
 func (sm *submitter) commit(ctx context.Context, hd *Head, rev store.Revision, en Entry) (Result, bool, error) {
 	next := Head{Last: en, Recent: append(slices.Clone(hd.Recent), Ref{Version: en.Version, Submission: en.Submission})}
-	if n := len(next.Recent); n > keepRecent {
-		next.Recent = next.Recent[n-keepRecent:]
+	if n := len(next.Recent); n > maxRecent {
+		next.Recent = next.Recent[n-maxRecent:]
 	}
 	value, err := json.Marshal(next)
 	if err != nil {
@@ -318,23 +318,23 @@
 	}
 	ok, _, err := sm.kv.Swap(ctx, store.Change{Key: HeadKey, Revision: rev, Value: value})
 	if err != nil {
-		sm.swapped = sm.swapped || store.Is(err, store.Unknown)
+		sm.outcomeUnknown = sm.outcomeUnknown || store.Is(err, store.Unknown)
 		return Result{}, false, err
 	}
 	if !ok {
 		return Result{}, false, fmt.Errorf("another submission was accepted first")
 	}
-	sm.tidy(ctx, en)
+	sm.prune(ctx, en)
 	return Result{Status: Accepted, Entry: en, Rebased: en.Base != en.Parent}, true, nil
 }
 
-// tidy removes the content that is no longer kept. Should the process die
+// prune removes the content that is no longer kept. Should the process die
 // before, what is left over costs space only.
-func (sm *submitter) tidy(ctx context.Context, en Entry) {
-	if en.Version <= KeepContents {
+func (sm *submitter) prune(ctx context.Context, en Entry) {
+	if en.Version <= RetainedContents {
 		return
 	}
-	old, err := Find(ctx, sm.kv, &Head{}, en.Version-KeepContents)
+	old, err := Find(ctx, sm.kv, &Head{}, en.Version-RetainedContents)
 	if err != nil {
 		return
 	}
--- a/internal/conf/decl/check.go
+++ b/internal/conf/decl/check.go
@@ -13,27 +13,27 @@
 
 // The limits of what may be declared.
 const (
-	maxSlots    = 10_000
-	maxConns    = 100_000
-	maxQueue    = 10_000
-	maxDeadline = 10 * time.Minute
-	maxWeight   = 1_000_000
-	maxPriority = 100
-	maxAttempts = 100
+	maxSlots       = 10_000
+	maxConnections = 100_000
+	maxQueue       = 10_000
+	maxDeadline    = 10 * time.Minute
+	maxWeight      = 1_000_000
+	maxPriority    = 100
+	maxAttempts    = 100
 )
 
 // The longest names, in bytes: a label and a whole name of RFC 1035.
 const (
-	maxName   = 63
-	maxHost   = 253
-	maxMethod = 20
+	maxNameLen   = 63
+	maxHostLen   = 253
+	maxMethodLen = 20
 )
 
-// named reports whether a text is 1 to most of a-z, 0-9, "-" and ".", with a letter or
+// isName reports whether a text is 1 to most of a-z, 0-9, "-" and ".", with a letter or
 // digit at both ends. It stands in place of a regular expression, since a version has
 // thousands of names.
-func named(s string, most int) bool {
-	if s == "" || len(s) > most {
+func isName(s string, maxLen int) bool {
+	if s == "" || len(s) > maxLen {
 		return false
 	}
 	for i := range len(s) {
@@ -47,9 +47,9 @@
 	return true
 }
 
-// method reports whether a text is 1 to 20 capital letters.
-func method(s string) bool {
-	if s == "" || len(s) > maxMethod {
+// isMethod reports whether a text is 1 to 20 capital letters.
+func isMethod(s string) bool {
+	if s == "" || len(s) > maxMethodLen {
 		return false
 	}
 	for i := range len(s) {
@@ -64,13 +64,13 @@
 // dangling reference, no impossible share and no route that can never match.
 func Check(ms *Mesh) strict.Problems {
 	ck := &checker{ms: ms}
-	ck.regions = index(ck, "region", ms.Regions, func(rg *Region) (string, strict.Pos) { return rg.Name, rg.Pos })
-	ck.domains = index(ck, "failure domain", ms.Domains, func(dm *Domain) (string, strict.Pos) { return dm.Name, dm.Pos })
-	ck.services = index(ck, "service", ms.Services, func(sv *Service) (string, strict.Pos) { return sv.Name, sv.Pos })
-	ck.classes = index(ck, "class", ms.Classes, func(cl *Class) (string, strict.Pos) { return cl.Name, cl.Pos })
-	index(ck, "VM", ms.VMs, func(vm *VM) (string, strict.Pos) { return vm.Name, vm.Pos })
-	index(ck, "caller limits", ms.CallerLimits, func(cl *CallerLimits) (string, strict.Pos) { return cl.Name, cl.Pos })
-	index(ck, "route", ms.Routes, func(rt *Route) (string, strict.Pos) { return rt.Name, rt.Pos })
+	ck.regions = indexNames(ck, "region", ms.Regions, func(rg *Region) (string, strict.Pos) { return rg.Name, rg.Pos })
+	ck.domains = indexNames(ck, "failure domain", ms.Domains, func(dm *Domain) (string, strict.Pos) { return dm.Name, dm.Pos })
+	ck.services = indexNames(ck, "service", ms.Services, func(sv *Service) (string, strict.Pos) { return sv.Name, sv.Pos })
+	ck.classes = indexNames(ck, "class", ms.Classes, func(cl *Class) (string, strict.Pos) { return cl.Name, cl.Pos })
+	indexNames(ck, "VM", ms.VMs, func(vm *VM) (string, strict.Pos) { return vm.Name, vm.Pos })
+	indexNames(ck, "caller limits", ms.CallerLimits, func(cl *CallerLimits) (string, strict.Pos) { return cl.Name, cl.Pos })
+	indexNames(ck, "route", ms.Routes, func(rt *Route) (string, strict.Pos) { return rt.Name, rt.Pos })
 	ck.checkDomains()
 	ck.checkServices()
 	ck.checkVMs()
@@ -85,21 +85,21 @@
 // The least that callers are given; below it no request could be sent.
 const (
 	minHeadBytes = 256
-	minTime      = 10 * time.Millisecond
+	minTimeout   = 10 * time.Millisecond
 )
 
 func (ck *checker) checkLimits() {
 	for i, cl := range ck.ms.CallerLimits {
-		of := fmt.Sprintf("caller limits %q", cl.Name)
+		subject := fmt.Sprintf("caller limits %q", cl.Name)
 		if i > 0 {
-			ck.add(cl.Pos, "put them together in one entry", "%s are a second entry", of)
+			ck.add(cl.Pos, "put them together in one entry", "%s are a second entry", subject)
 		}
 		if cl.HeadBytes != 0 && cl.HeadBytes < minHeadBytes || cl.BodyBytes < 0 {
-			ck.add(cl.Pos, fmt.Sprintf("set head-bytes to %d or more and body-bytes to 0 or more", minHeadBytes), "%s have head-bytes %d and body-bytes %d", of, cl.HeadBytes, cl.BodyBytes)
+			ck.add(cl.Pos, fmt.Sprintf("set head-bytes to %d or more and body-bytes to 0 or more", minHeadBytes), "%s have head-bytes %d and body-bytes %d", subject, cl.HeadBytes, cl.BodyBytes)
 		}
 		for name, du := range map[string]Duration{"head": cl.Head, "idle": cl.Idle} {
-			if du != 0 && time.Duration(du) < minTime {
-				ck.add(cl.Pos, fmt.Sprintf("set it to %s or more", minTime), "%s have %s %s", of, name, time.Duration(du))
+			if du != 0 && time.Duration(du) < minTimeout {
+				ck.add(cl.Pos, fmt.Sprintf("set it to %s or more", minTimeout), "%s have %s %s", subject, name, time.Duration(du))
 			}
 		}
 	}
@@ -111,13 +111,13 @@
 	prs                                 strict.Problems
 }
 
-// index returns the names of a list and reports bad and repeated ones.
-func index[T any](ck *checker, kind string, list []T, name func(*T) (string, strict.Pos)) map[string]bool {
+// indexNames returns the names of a list and reports bad and repeated ones.
+func indexNames[T any](ck *checker, kind string, list []T, name func(*T) (string, strict.Pos)) map[string]bool {
 	seen := make(map[string]strict.Pos, len(list))
 	names := make(map[string]bool, len(list))
 	for i := range list {
 		n, pos := name(&list[i])
-		if !named(n, maxName) {
+		if !isName(n, maxNameLen) {
 			ck.add(pos, "set \"name\" to 1 to 63 of a-z, 0-9, \"-\" and \".\", with a letter or digit at both ends", "%s name %q is not allowed", kind, n)
 			continue
 		}
@@ -135,7 +135,7 @@
 	ck.prs.Add(pos, fmt.Sprintf(format, args...), remedy)
 }
 
-func (ck *checker) ref(pos strict.Pos, kind, name string, known map[string]bool, of string) {
+func (ck *checker) checkRef(pos strict.Pos, kind, name string, known map[string]bool, subject string) {
 	if known[name] {
 		return
 	}
@@ -143,24 +143,24 @@
 	for n := range known {
 		names = append(names, n)
 	}
-	ck.add(pos, strict.Suggest(name, names), "%s names the %s %q, which is not declared", of, kind, name)
+	ck.add(pos, strict.Suggest(name, names), "%s names the %s %q, which is not declared", subject, kind, name)
 }
 
-func (ck *checker) within(pos strict.Pos, of, key string, got, low, high int) {
+func (ck *checker) checkRange(pos strict.Pos, subject, key string, got, low, high int) {
 	if got < low || got > high {
-		ck.add(pos, fmt.Sprintf("set it from %d to %d", low, high), "%s has %s %d", of, key, got)
+		ck.add(pos, fmt.Sprintf("set it from %d to %d", low, high), "%s has %s %d", subject, key, got)
 	}
 }
 
-func (ck *checker) deadline(pos strict.Pos, of string, du Duration) {
+func (ck *checker) checkDeadline(pos strict.Pos, subject string, du Duration) {
 	if time.Duration(du) > maxDeadline {
-		ck.add(pos, fmt.Sprintf("set it to %s at most", maxDeadline), "%s has a deadline of %s", of, time.Duration(du))
+		ck.add(pos, fmt.Sprintf("set it to %s at most", maxDeadline), "%s has a deadline of %s", subject, time.Duration(du))
 	}
 }
 
 func (ck *checker) checkDomains() {
 	for _, dm := range ck.ms.Domains {
-		ck.ref(dm.Pos, "region", dm.Region, ck.regions, fmt.Sprintf("failure domain %q", dm.Name))
+		ck.checkRef(dm.Pos, "region", dm.Region, ck.regions, fmt.Sprintf("failure domain %q", dm.Name))
 		if slices.Contains([]string{OrderOwn, OrderRegion, OrderAny}, dm.Name) {
 			ck.add(dm.Pos, "rename it", "failure domain %q has a name that placements use as a word", dm.Name)
 		}
@@ -169,49 +169,49 @@
 
 func (ck *checker) checkServices() {
 	for _, sv := range ck.ms.Services {
-		of := fmt.Sprintf("service %q", sv.Name)
+		subject := fmt.Sprintf("service %q", sv.Name)
 		if sv.Announced {
-			ck.announced(&sv, of)
+			ck.checkAnnounced(&sv, subject)
 		} else {
-			ck.within(sv.Pos, of, "port", sv.Port, 1, 65535)
-			ck.within(sv.Pos, of, "slots", sv.Slots, 1, maxSlots)
+			ck.checkRange(sv.Pos, subject, "port", sv.Port, 1, 65535)
+			ck.checkRange(sv.Pos, subject, "slots", sv.Slots, 1, maxSlots)
 		}
-		ck.within(sv.Pos, of, "connections", sv.Connections, 0, maxConns)
+		ck.checkRange(sv.Pos, subject, "connections", sv.Connections, 0, maxConnections)
 		if sv.Health != "" && !strings.HasPrefix(sv.Health, "/") {
-			ck.add(sv.Pos, "begin it with \"/\"", "%s has the health path %q", of, sv.Health)
+			ck.add(sv.Pos, "begin it with \"/\"", "%s has the health path %q", subject, sv.Health)
 		}
 		if sv.Connections > 0 && sv.Connections < sv.Slots {
-			ck.add(sv.Pos, "give it as many connections as slots or more", "%s has %d connections for %d slots", of, sv.Connections, sv.Slots)
+			ck.add(sv.Pos, "give it as many connections as slots or more", "%s has %d connections for %d slots", subject, sv.Connections, sv.Slots)
 		}
 		if sv.Class != "" {
-			ck.ref(sv.Pos, "class", sv.Class, ck.classes, of)
+			ck.checkRef(sv.Pos, "class", sv.Class, ck.classes, subject)
 		}
-		ck.deadline(sv.Pos, of, sv.Deadline)
+		ck.checkDeadline(sv.Pos, subject, sv.Deadline)
 	}
 }
 
-// announced reports what an announced service declares besides what its
+// checkAnnounced reports what an announced service declares besides what its
 // backend servers say themselves: of two sources one would be wrong.
-func (ck *checker) announced(sv *Service, of string) {
+func (ck *checker) checkAnnounced(sv *Service, subject string) {
 	if sv.Port != 0 || sv.Slots != 0 {
-		ck.add(sv.Pos, "leave out port and slots, or announced", "%s is announced and has port %d and slots %d", of, sv.Port, sv.Slots)
+		ck.add(sv.Pos, "leave out port and slots, or announced", "%s is announced and has port %d and slots %d", subject, sv.Port, sv.Slots)
 	}
 }
 
 func (ck *checker) checkVMs() {
 	for _, vm := range ck.ms.VMs {
-		of := fmt.Sprintf("VM %q", vm.Name)
-		ck.ref(vm.Pos, "failure domain", vm.Domain, ck.domains, of)
-		ck.ref(vm.Pos, "service", vm.Service, ck.services, of)
+		subject := fmt.Sprintf("VM %q", vm.Name)
+		ck.checkRef(vm.Pos, "failure domain", vm.Domain, ck.domains, subject)
+		ck.checkRef(vm.Pos, "service", vm.Service, ck.services, subject)
 	}
 }
 
 func (ck *checker) checkClasses() {
 	sum := 0
 	for _, cl := range ck.ms.Classes {
-		of := fmt.Sprintf("class %q", cl.Name)
-		ck.within(cl.Pos, of, "share", cl.Share, 0, 100)
-		ck.within(cl.Pos, of, "queue", cl.Queue, 0, maxQueue)
+		subject := fmt.Sprintf("class %q", cl.Name)
+		ck.checkRange(cl.Pos, subject, "share", cl.Share, 0, 100)
+		ck.checkRange(cl.Pos, subject, "queue", cl.Queue, 0, maxQueue)
 		sum += cl.Share
 		if sum > 100 {
 			ck.add(cl.Pos, "lower the shares until they add up to 100 or less", "with class %q the shares add up to %d percent", cl.Name, sum)
@@ -221,64 +221,64 @@
 
 func (ck *checker) checkRoutes() {
 	for _, rt := range ck.ms.Routes {
-		of := "route " + strconv.Quote(rt.Name)
-		ck.checkMatch(&rt, of)
-		ck.checkTargets(&rt, of)
+		subject := "route " + strconv.Quote(rt.Name)
+		ck.checkMatch(&rt, subject)
+		ck.checkTargets(&rt, subject)
 		if rt.Class != "" {
-			ck.ref(rt.Pos, "class", rt.Class, ck.classes, of)
+			ck.checkRef(rt.Pos, "class", rt.Class, ck.classes, subject)
 		}
-		ck.deadline(rt.Pos, of, rt.Deadline)
-		ck.within(rt.Pos, of, "priority", rt.Priority, 0, maxPriority)
-		ck.within(rt.Pos, of, "attempts", rt.Attempts, 0, maxAttempts)
+		ck.checkDeadline(rt.Pos, subject, rt.Deadline)
+		ck.checkRange(rt.Pos, subject, "priority", rt.Priority, 0, maxPriority)
+		ck.checkRange(rt.Pos, subject, "attempts", rt.Attempts, 0, maxAttempts)
 		if rt.Repeat != "" && !slices.Contains([]Repeat{RepeatSafe, RepeatNever, RepeatAlways}, rt.Repeat) {
-			ck.add(rt.Pos, "set it to safe, never or always", "%s has repeat %q", of, rt.Repeat)
+			ck.add(rt.Pos, "set it to safe, never or always", "%s has repeat %q", subject, rt.Repeat)
 		}
 	}
 }
 
-func (ck *checker) checkMatch(rt *Route, of string) {
+func (ck *checker) checkMatch(rt *Route, subject string) {
 	mt := &rt.Match
 	pos := mt.Pos
 	if pos.Line == 0 {
 		pos = rt.Pos
 	}
-	if !named(mt.Host, maxHost) {
-		ck.add(pos, "set match.host to the host name that callers use, in small letters and without a port", "%s matches the host %q", of, mt.Host)
+	if !isName(mt.Host, maxHostLen) {
+		ck.add(pos, "set match.host to the host name that callers use, in small letters and without a port", "%s matches the host %q", subject, mt.Host)
 	}
 	if mt.PathPrefix != "" && !strings.HasPrefix(mt.PathPrefix, "/") {
-		ck.add(pos, "begin it with \"/\"", "%s has the path prefix %q", of, mt.PathPrefix)
+		ck.add(pos, "begin it with \"/\"", "%s has the path prefix %q", subject, mt.PathPrefix)
 	}
 	for i, m := range mt.Methods {
-		if !method(m) || m == http.MethodConnect {
-			ck.add(pos, "write methods in capital letters, as GET or POST; CONNECT is not carried", "%s matches the method %q", of, m)
+		if !isMethod(m) || m == http.MethodConnect {
+			ck.add(pos, "write methods in capital letters, as GET or POST; CONNECT is not carried", "%s matches the method %q", subject, m)
 		}
 		if slices.Contains(mt.Methods[:i], m) {
-			ck.add(pos, "remove one of the two", "%s names the method %q twice", of, m)
+			ck.add(pos, "remove one of the two", "%s names the method %q twice", subject, m)
 		}
 	}
 	for h := range mt.Headers {
 		if h == "" || http.CanonicalHeaderKey(h) == "Host" || strings.ContainsAny(h, " :\r\n") {
-			ck.add(pos, "name a header other than Host, without spaces", "%s matches the header %q", of, h)
+			ck.add(pos, "name a header other than Host, without spaces", "%s matches the header %q", subject, h)
 		}
 	}
 }
 
-func (ck *checker) checkTargets(rt *Route, of string) {
+func (ck *checker) checkTargets(rt *Route, subject string) {
 	if len(rt.To) == 0 {
-		ck.add(rt.Pos, "give \"to\" one service or more", "%s leads nowhere", of)
+		ck.add(rt.Pos, "give \"to\" one service or more", "%s leads nowhere", subject)
 		return
 	}
 	sum := 0
 	for i, tg := range rt.To {
-		ck.ref(tg.Pos, "service", tg.Service, ck.services, of)
-		ck.within(tg.Pos, of, "weight", tg.Weight, 0, maxWeight)
+		ck.checkRef(tg.Pos, "service", tg.Service, ck.services, subject)
+		ck.checkRange(tg.Pos, subject, "weight", tg.Weight, 0, maxWeight)
 		if slices.ContainsFunc(rt.To[:i], func(other Target) bool { return other.Service == tg.Service }) {
-			ck.add(tg.Pos, "add the two weights up", "%s names the service %q twice", of, tg.Service)
+			ck.add(tg.Pos, "add the two weights up", "%s names the service %q twice", subject, tg.Service)
 		}
 		sum += tg.Weight
 	}
 	if sum <= 0 {
-		ck.add(rt.Pos, "give one target a weight of 1 or more", "%s has weights that add up to %d", of, sum)
+		ck.add(rt.Pos, "give one target a weight of 1 or more", "%s has weights that add up to %d", subject, sum)
 	}
 }
 
@@ -289,9 +289,9 @@
 	for i := range ck.ms.Routes {
 		rt := &ck.ms.Routes[i]
 		for _, key := range overlapKeys(&rt.Match) {
-			if rt0, ok := first[key]; ok && rt0.Name != rt.Name {
+			if prior, ok := first[key]; ok && prior.Name != rt.Name {
 				ck.add(rt.Pos, "remove one of the two, or let them differ in path-prefix, methods or headers",
-					"route %q can never match all it names: route %q at %s takes the same requests", rt.Name, rt0.Name, rt0.Pos)
+					"route %q can never match all it names: route %q at %s takes the same requests", rt.Name, prior.Name, prior.Pos)
 				break
 			}
 			first[key] = rt
@@ -326,21 +326,21 @@
 func (ck *checker) checkPlacements() {
 	seen := map[string]strict.Pos{}
 	for _, pl := range ck.ms.Placements {
-		of := fmt.Sprintf("the placement of %q", pl.Service)
-		ck.ref(pl.Pos, "service", pl.Service, ck.services, of)
+		subject := fmt.Sprintf("the placement of %q", pl.Service)
+		ck.checkRef(pl.Pos, "service", pl.Service, ck.services, subject)
 		if first, ok := seen[pl.Service]; ok {
-			ck.add(pl.Pos, "remove one of the two", "%s is already declared at %s", of, first)
+			ck.add(pl.Pos, "remove one of the two", "%s is already declared at %s", subject, first)
 		}
 		seen[pl.Service] = pl.Pos
 		if len(pl.Order) == 0 {
-			ck.add(pl.Pos, "list failure domains, or the words own, region and any", "%s has no order", of)
+			ck.add(pl.Pos, "list failure domains, or the words own, region and any", "%s has no order", subject)
 		}
 		for i, o := range pl.Order {
 			if o != OrderOwn && o != OrderRegion && o != OrderAny {
-				ck.ref(pl.Pos, "failure domain", o, ck.domains, of)
+				ck.checkRef(pl.Pos, "failure domain", o, ck.domains, subject)
 			}
 			if slices.Contains(pl.Order[:i], o) {
-				ck.add(pl.Pos, "remove one of the two", "%s names %q twice", of, o)
+				ck.add(pl.Pos, "remove one of the two", "%s names %q twice", subject, o)
 			}
 		}
 	}
--- a/internal/conf/decl/decl_test.go
+++ b/internal/conf/decl/decl_test.go
@@ -14,8 +14,8 @@
 	"github.com/flamingomast/flamingomast/internal/conf/strict"
 )
 
-// base declares one of each, without a fault.
-const base = `regions: [{name: vale-sul}]
+// validBase declares one of each, without a fault.
+const validBase = `regions: [{name: vale-sul}]
 failure-domains: [{name: centro, region: vale-sul}]
 classes: [{name: lookup, share: 60}]
 services: [{name: booking, port: 9001, slots: 10}]
@@ -32,8 +32,8 @@
 		{"unknown inner key", "regions: [{name: a, zone: b}]", []string{`m.yaml:1:21: unknown key "zone"; known are name`}},
 		{"repeated key", "regions: []\nregions: []", []string{`m.yaml:2:1: key "regions" is already on line 1; remove one of the two`}},
 		{"not a list", "regions: x", []string{`m.yaml:1:10: regions must be a list, not "x"; start each entry with "- "`}},
-		{"not a number", base + "#\nservices: []", []string{`m.yaml:7:1: key "services" is already on line 4; remove one of the two`}},
-		{"number as text", strings.Replace(base, "slots: 10", "slots: ten", 1), []string{
+		{"not a number", validBase + "#\nservices: []", []string{`m.yaml:7:1: key "services" is already on line 4; remove one of the two`}},
+		{"number as text", strings.Replace(validBase, "slots: 10", "slots: ten", 1), []string{
 			`m.yaml:4:47: slots must be a whole number, not "ten"`,
 			`m.yaml:4:12: service "booking" has slots 0; set it from 1 to 10000`,
 		}},
@@ -41,59 +41,59 @@
 			`m.yaml:1:11: an entry of regions must be written out, not a mapping; anchors and aliases are not read`,
 			`m.yaml:1:25: an entry of regions must be written out, not an alias; anchors and aliases are not read`,
 		}},
-		{"second document", base + "---\nregions: []", []string{`m.yaml:6:1: a second document; keep one document in a file`}},
+		{"second document", validBase + "---\nregions: []", []string{`m.yaml:6:1: a second document; keep one document in a file`}},
 		{"bad name", "regions: [{name: Vale Sul}]", []string{
 			`m.yaml:1:11: region name "Vale Sul" is not allowed; set "name" to 1 to 63 of a-z, 0-9, "-" and ".", with a letter or digit at both ends`,
 		}},
-		{"declared twice", base + "routes: []\n" + "placements: [{service: booking, order: [own], spill: true}, {service: booking, order: [own], spill: true}]", []string{
+		{"declared twice", validBase + "routes: []\n" + "placements: [{service: booking, order: [own], spill: true}, {service: booking, order: [own], spill: true}]", []string{
 			`m.yaml:7:61: the placement of "booking" is already declared at m.yaml:7:14; remove one of the two`,
 		}},
-		{"dangling region", strings.Replace(base, "region: vale-sul}", "region: vale-su}", 1), []string{
+		{"dangling region", strings.Replace(validBase, "region: vale-sul}", "region: vale-su}", 1), []string{
 			`m.yaml:2:19: failure domain "centro" names the region "vale-su", which is not declared; did you mean "vale-sul"?`,
 		}},
-		{"dangling service", base + "routes: [{name: r, match: {host: h}, to: [{service: orders, weight: 1}]}]", []string{
+		{"dangling service", validBase + "routes: [{name: r, match: {host: h}, to: [{service: orders, weight: 1}]}]", []string{
 			`m.yaml:6:43: route "r" names the service "orders", which is not declared; known are booking`,
 		}},
-		{"dangling class", base + "routes: [{name: r, match: {host: h}, class: x, to: [{service: booking, weight: 1}]}]", []string{
+		{"dangling class", validBase + "routes: [{name: r, match: {host: h}, class: x, to: [{service: booking, weight: 1}]}]", []string{
 			`m.yaml:6:10: route "r" names the class "x", which is not declared; known are lookup`,
 		}},
-		{"shares above 100", strings.Replace(base, "share: 60}", "share: 60}, {name: confirm, share: 50}", 1), []string{
+		{"shares above 100", strings.Replace(validBase, "share: 60}", "share: 60}, {name: confirm, share: 50}", 1), []string{
 			`m.yaml:3:38: with class "confirm" the shares add up to 110 percent; lower the shares until they add up to 100 or less`,
 		}},
-		{"no weight", base + "routes: [{name: r, match: {host: h}, to: [{service: booking, weight: 0}]}]", []string{
+		{"no weight", validBase + "routes: [{name: r, match: {host: h}, to: [{service: booking, weight: 0}]}]", []string{
 			`m.yaml:6:10: route "r" has weights that add up to 0; give one target a weight of 1 or more`,
 		}},
-		{"leads nowhere", base + "routes: [{name: r, match: {host: h}, to: []}]", []string{
+		{"leads nowhere", validBase + "routes: [{name: r, match: {host: h}, to: []}]", []string{
 			`m.yaml:6:10: route "r" leads nowhere; give "to" one service or more`,
 		}},
-		{"never matches", base + `routes:
+		{"never matches", validBase + `routes:
 - {name: a, match: {host: h, path-prefix: /x, methods: [GET, POST]}, to: [{service: booking, weight: 1}]}
 - {name: b, match: {host: h, path-prefix: /x, methods: [POST]}, to: [{service: booking, weight: 1}]}`, []string{
 			`m.yaml:8:3: route "b" can never match all it names: route "a" at m.yaml:7:3 takes the same requests; remove one of the two, or let them differ in path-prefix, methods or headers`,
 		}},
-		{"bad match", base + "routes: [{name: r, match: {host: \"H:80\", path-prefix: x, methods: [get], headers: {Host: y}}, to: [{service: booking, weight: 1}]}]", []string{
+		{"bad match", validBase + "routes: [{name: r, match: {host: \"H:80\", path-prefix: x, methods: [get], headers: {Host: y}}, to: [{service: booking, weight: 1}]}]", []string{
 			`m.yaml:6:27: route "r" matches the host "H:80"; set match.host to the host name that callers use, in small letters and without a port`,
 			`m.yaml:6:27: route "r" has the path prefix "x"; begin it with "/"`,
 			`m.yaml:6:27: route "r" matches the method "get"; write methods in capital letters, as GET or POST; CONNECT is not carried`,
 			`m.yaml:6:27: route "r" matches the header "Host"; name a header other than Host, without spaces`,
 		}},
-		{"bad repeat", base + "routes: [{name: r, match: {host: h}, repeat: maybe, to: [{service: booking, weight: 1}]}]", []string{
+		{"bad repeat", validBase + "routes: [{name: r, match: {host: h}, repeat: maybe, to: [{service: booking, weight: 1}]}]", []string{
 			`m.yaml:6:10: route "r" has repeat "maybe"; set it to safe, never or always`,
 		}},
-		{"bad duration", base + "routes: [{name: r, match: {host: h}, deadline: 2 s, to: [{service: booking, weight: 1}]}]", []string{
+		{"bad duration", validBase + "routes: [{name: r, match: {host: h}, deadline: 2 s, to: [{service: booking, weight: 1}]}]", []string{
 			`m.yaml:6:48: deadline: "2 s" is not a duration; write it as 500ms, 2s or 1m`,
 		}},
-		{"long deadline", base + "routes: [{name: r, match: {host: h}, deadline: 1h, to: [{service: booking, weight: 1}]}]", []string{
+		{"long deadline", validBase + "routes: [{name: r, match: {host: h}, deadline: 1h, to: [{service: booking, weight: 1}]}]", []string{
 			`m.yaml:6:10: route "r" has a deadline of 1h0m0s; set it to 10m0s at most`,
 		}},
-		{"few connections", strings.Replace(base, "slots: 10", "slots: 10, connections: 5", 1), []string{
+		{"few connections", strings.Replace(validBase, "slots: 10", "slots: 10, connections: 5", 1), []string{
 			`m.yaml:4:12: service "booking" has 5 connections for 10 slots; give it as many connections as slots or more`,
 		}},
-		{"bad order", base + "placements: [{service: booking, order: [own, norte, own], spill: true}]", []string{
+		{"bad order", validBase + "placements: [{service: booking, order: [own, norte, own], spill: true}]", []string{
 			`m.yaml:6:14: the placement of "booking" names the failure domain "norte", which is not declared; known are centro`,
 			`m.yaml:6:14: the placement of "booking" names "own" twice; remove one of the two`,
 		}},
-		{"reserved name", strings.Replace(base, "{name: centro,", "{name: own, region: vale-sul}, {name: centro,", 1), []string{
+		{"reserved name", strings.Replace(validBase, "{name: centro,", "{name: own, region: vale-sul}, {name: centro,", 1), []string{
 			`m.yaml:2:19: failure domain "own" has a name that placements use as a word; rename it`,
 		}},
 	} {
@@ -115,7 +115,7 @@
 func TestLargeFile(t *testing.T) {
 	dir := t.TempDir()
 	large, small := filepath.Join(dir, "large.yaml"), filepath.Join(dir, "small.yaml")
-	if err := os.WriteFile(large, make([]byte, MaxFile+1), 0o600); err != nil {
+	if err := os.WriteFile(large, make([]byte, MaxFileSize+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(small, []byte("regoins: []"), 0o600); err != nil {
@@ -188,7 +188,7 @@
 // FuzzParse: whatever the bytes, parsing ends with a mesh that passes the
 // check or with problems, and never with a panic.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(base))
+	f.Add([]byte(validBase))
 	f.Add([]byte("vms: [{name: [}]"))
 	f.Add([]byte("a: &x [*x]"))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/conf/decl/named_test.go
+++ b/internal/conf/decl/named_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestNamed compares the forms of names with what they are documented to be.
-func TestNamed(t *testing.T) {
+// TestNameForms compares the forms of names with what they are documented to be.
+func TestNameForms(t *testing.T) {
 	name := regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 	host := regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,251}[a-z0-9])?$`)
 	verb := regexp.MustCompile(`^[A-Z]{1,20}$`)
@@ -17,8 +17,8 @@
 			rapid.StringMatching(`[a-z0-9.-]{0,4}`), rapid.StringMatching(`[a-z0-9][a-z0-9.-]{58,64}`),
 			rapid.StringMatching(`[a-z][a-z0-9.-]{248,254}`), rapid.StringMatching(`[A-Za]{0,22}`), rapid.String(),
 		).Draw(t, "text")
-		if named(s, maxName) != name.MatchString(s) || named(s, maxHost) != host.MatchString(s) || method(s) != verb.MatchString(s) {
-			t.Fatalf("%q: name %t, host %t, method %t", s, named(s, maxName), named(s, maxHost), method(s))
+		if isName(s, maxNameLen) != name.MatchString(s) || isName(s, maxHostLen) != host.MatchString(s) || isMethod(s) != verb.MatchString(s) {
+			t.Fatalf("%q: name %t, host %t, method %t", s, isName(s, maxNameLen), isName(s, maxHostLen), isMethod(s))
 		}
 	})
 }
--- a/internal/conf/decl/read.go
+++ b/internal/conf/decl/read.go
@@ -13,8 +13,8 @@
 	"github.com/flamingomast/flamingomast/internal/conf/strict"
 )
 
-// MaxFile is the size in bytes above which a file of declarations is refused.
-const MaxFile = 1 << 20
+// MaxFileSize is the size in bytes above which a file of declarations is refused.
+const MaxFileSize = 1 << 20
 
 // Read reads all .yaml files of dir as one Mesh and checks it. The error is a
 // strict.Problems that lists all that is wrong.
@@ -41,8 +41,8 @@
 	if len(files) == 0 && len(prs) == 0 {
 		prs.Add(strict.Pos{File: dir}, "no .yaml file in it", "name a directory that holds the declarations")
 	}
-	ms, more := Parse(files)
-	return ms, append(prs, more...).Err()
+	ms, parseProblems := Parse(files)
+	return ms, append(prs, parseProblems...).Err()
 }
 
 func readFile(path string) ([]byte, error) {
@@ -50,8 +50,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if fi.Size() > MaxFile {
-		return nil, fmt.Errorf("the file has %d bytes, more than %d", fi.Size(), MaxFile)
+	if fi.Size() > MaxFileSize {
+		return nil, fmt.Errorf("the file has %d bytes, more than %d", fi.Size(), MaxFileSize)
 	}
 	return os.ReadFile(path)
 }
@@ -66,16 +66,16 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		var one Mesh
-		prs = append(prs, strict.Decode(name, files[name], &one)...)
-		ms.Regions = append(ms.Regions, one.Regions...)
-		ms.Domains = append(ms.Domains, one.Domains...)
-		ms.Services = append(ms.Services, one.Services...)
-		ms.VMs = append(ms.VMs, one.VMs...)
-		ms.Classes = append(ms.Classes, one.Classes...)
-		ms.Routes = append(ms.Routes, one.Routes...)
-		ms.Placements = append(ms.Placements, one.Placements...)
-		ms.CallerLimits = append(ms.CallerLimits, one.CallerLimits...)
+		var fileMesh Mesh
+		prs = append(prs, strict.Decode(name, files[name], &fileMesh)...)
+		ms.Regions = append(ms.Regions, fileMesh.Regions...)
+		ms.Domains = append(ms.Domains, fileMesh.Domains...)
+		ms.Services = append(ms.Services, fileMesh.Services...)
+		ms.VMs = append(ms.VMs, fileMesh.VMs...)
+		ms.Classes = append(ms.Classes, fileMesh.Classes...)
+		ms.Routes = append(ms.Routes, fileMesh.Routes...)
+		ms.Placements = append(ms.Placements, fileMesh.Placements...)
+		ms.CallerLimits = append(ms.CallerLimits, fileMesh.CallerLimits...)
 	}
 	for _, pr := range Check(&ms) {
 		// What has no place comes from an entry that could not be read, which
@@ -89,17 +89,17 @@
 
 // Sort puts each list into its canonical order, by name.
 func (ms *Mesh) Sort() {
-	byName(ms.Regions, func(rg Region) string { return rg.Name })
-	byName(ms.Domains, func(dm Domain) string { return dm.Name })
-	byName(ms.Services, func(sv Service) string { return sv.Name })
-	byName(ms.VMs, func(vm VM) string { return vm.Name })
-	byName(ms.Classes, func(cl Class) string { return cl.Name })
-	byName(ms.Routes, func(rt Route) string { return rt.Name })
-	byName(ms.Placements, func(pl Placement) string { return pl.Service })
-	byName(ms.CallerLimits, func(cl CallerLimits) string { return cl.Name })
+	sortByName(ms.Regions, func(rg Region) string { return rg.Name })
+	sortByName(ms.Domains, func(dm Domain) string { return dm.Name })
+	sortByName(ms.Services, func(sv Service) string { return sv.Name })
+	sortByName(ms.VMs, func(vm VM) string { return vm.Name })
+	sortByName(ms.Classes, func(cl Class) string { return cl.Name })
+	sortByName(ms.Routes, func(rt Route) string { return rt.Name })
+	sortByName(ms.Placements, func(pl Placement) string { return pl.Service })
+	sortByName(ms.CallerLimits, func(cl CallerLimits) string { return cl.Name })
 }
 
-func byName[T any](list []T, name func(T) string) {
+func sortByName[T any](list []T, name func(T) string) {
 	slices.SortFunc(list, func(a, b T) int { return strings.Compare(name(a), name(b)) })
 }
 
@@ -125,15 +125,15 @@
 	if err := yaml.Unmarshal(js, &doc); err != nil {
 		return nil, err
 	}
-	plain(&doc)
+	clearStyle(&doc)
 	return yaml.Marshal(&doc)
 }
 
-// plain takes the flow style and the quotes of JSON off a node where they are
+// clearStyle takes the flow style and the quotes of JSON off a node where they are
 // not needed.
-func plain(n *yaml.Node) {
+func clearStyle(n *yaml.Node) {
 	n.Style = 0
 	for _, c := range n.Content {
-		plain(c)
+		clearStyle(c)
 	}
 }
--- a/internal/conf/pack/decode.go
+++ b/internal/conf/pack/decode.go
@@ -35,10 +35,10 @@
 	}
 	for _, rs := range co.Resources {
 		i, found := old.seek(rs.Key)
-		if found && bytes.Equal(old.resources[old.at].Body, rs.Body) && reuse(ms, de.mesh, rs.Key.Kind, i) {
+		if found && bytes.Equal(old.resources[old.pos].Body, rs.Body) && appendReused(ms, de.mesh, rs.Key.Kind, i) {
 			continue
 		}
-		if err := decodeOne(ms, rs); err != nil {
+		if err := decodeResource(ms, rs); err != nil {
 			return nil, fmt.Errorf("pack: %s: %w", rs.Key, err)
 		}
 	}
@@ -46,13 +46,13 @@
 	return ms, nil
 }
 
-// Forget drops what was decoded last.
-func (de *Decoder) Forget() { de.last, de.mesh = nil, nil }
+// Reset drops what was decoded last.
+func (de *Decoder) Reset() { de.last, de.mesh = nil, nil }
 
 // cursor walks through sorted resources.
 type cursor struct {
 	resources []Resource
-	at        int
+	pos       int
 	// kind is that of the resource at the cursor, index its place among those of its
 	// kind.
 	kind  Kind
@@ -62,8 +62,8 @@
 // seek moves on to the first resource that is not before a key, and reports whether it is
 // the one of the key, and its place among those of its kind.
 func (cu *cursor) seek(ky Key) (index int, found bool) {
-	for cu.at < len(cu.resources) {
-		cur := cu.resources[cu.at].Key
+	for cu.pos < len(cu.resources) {
+		cur := cu.resources[cu.pos].Key
 		if cur.Kind != cu.kind {
 			cu.kind, cu.index = cur.Kind, 0
 		}
@@ -71,14 +71,14 @@
 		if c >= 0 {
 			return cu.index, c == 0
 		}
-		cu.at++
+		cu.pos++
 		cu.index++
 	}
 	return 0, false
 }
 
-// reuse appends the declaration at a place of a list of old to the same list of ms.
-func reuse(ms, old *decl.Mesh, kind Kind, i int) bool {
+// appendReused appends the declaration at a place of a list of old to the same list of ms.
+func appendReused(ms, old *decl.Mesh, kind Kind, i int) bool {
 	switch kind {
 	case KindRegion:
 		return appendFrom(&ms.Regions, old.Regions, i)
@@ -111,7 +111,7 @@
 	return true
 }
 
-func decodeOne(ms *decl.Mesh, rs Resource) error {
+func decodeResource(ms *decl.Mesh, rs Resource) error {
 	switch rs.Key.Kind {
 	case KindRegion:
 		return decodeInto(&ms.Regions, rs.Body, func(rg *decl.Region) *strict.Pos { return &rg.Pos }, rs.Key)
--- a/internal/conf/pack/delta.go
+++ b/internal/conf/pack/delta.go
@@ -135,17 +135,17 @@
 	return res
 }
 
-// MaxDecoded is the size in bytes above which a decompressed delta is refused.
-const MaxDecoded = 16 << 20
+// MaxDecompressedSize is the size in bytes above which a decompressed delta is refused.
+const MaxDecompressedSize = 16 << 20
 
-// window bounds the memory of the coders; contents are far below a megabyte.
-const window = 128 << 10
+// windowSize bounds the memory of the coders; contents are far below a megabyte.
+const windowSize = 128 << 10
 
 var (
 	encoder = must(zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true),
-		zstd.WithWindowSize(window), zstd.WithSingleSegment(false)))
+		zstd.WithWindowSize(windowSize), zstd.WithSingleSegment(false)))
 	decoder = must(zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
-		zstd.WithDecoderMaxMemory(MaxDecoded)))
+		zstd.WithDecoderMaxMemory(MaxDecompressedSize)))
 )
 
 // The encoder makes its channels at first use. They are made here, so that no
@@ -178,7 +178,7 @@
 // of their own for each stream would take more memory than all else.
 func Compress(raw []byte) []byte { return encoder.EncodeAll(raw, nil) }
 
-// Decompress returns what Compress was given, of at most MaxDecoded bytes.
+// Decompress returns what Compress was given, of at most MaxDecompressedSize bytes.
 func Decompress(body []byte) ([]byte, error) {
 	raw, err := decoder.DecodeAll(body, nil)
 	if err != nil {
@@ -198,10 +198,10 @@
 		return nil, fmt.Errorf("pack: decoding: %w", err)
 	}
 	dt := &Delta{}
-	if dt.Base, err = digestOf(pb.Base, true); err != nil {
+	if dt.Base, err = digestFromBytes(pb.Base, true); err != nil {
 		return nil, err
 	}
-	if dt.Digest, err = digestOf(pb.Digest, false); err != nil {
+	if dt.Digest, err = digestFromBytes(pb.Digest, false); err != nil {
 		return nil, err
 	}
 	for _, rs := range pb.Set {
@@ -213,8 +213,8 @@
 	return dt, nil
 }
 
-func digestOf(b []byte, mayBeEmpty bool) (Digest, error) {
-	if len(b) == 0 && mayBeEmpty {
+func digestFromBytes(b []byte, allowEmpty bool) (Digest, error) {
+	if len(b) == 0 && allowEmpty {
 		return Digest{}, nil
 	}
 	if len(b) != len(Digest{}) {
--- a/internal/conf/pack/history.go
+++ b/internal/conf/pack/history.go
@@ -2,18 +2,18 @@
 
 import "sync"
 
-// keepBases is how many contents a History keeps as bases of deltas. Who is
+// maxBases is how many contents a History keeps as bases of deltas. Who is
 // farther behind gets the whole, which is not much larger than many deltas. Contents
 // share the bodies of equal resources, so each costs little.
-const keepBases = 8
+const maxBases = 8
 
 // History keeps the newest contents and encodes deltas between them, each once
 // however many peers ask for it.
 type History struct {
-	mu     sync.Mutex
-	list   []*Content
-	latest *Content
-	bodies map[Digest][]byte
+	mu       sync.Mutex
+	contents []*Content
+	latest   *Content
+	deltas   map[Digest][]byte
 }
 
 // Add makes co the newest content.
@@ -21,10 +21,10 @@
 	hi.mu.Lock()
 	defer hi.mu.Unlock()
 	hi.latest = co
-	hi.bodies = map[Digest][]byte{}
-	hi.list = append(hi.list, co)
-	if len(hi.list) > keepBases {
-		hi.list = append([]*Content(nil), hi.list[len(hi.list)-keepBases:]...)
+	hi.deltas = map[Digest][]byte{}
+	hi.contents = append(hi.contents, co)
+	if len(hi.contents) > maxBases {
+		hi.contents = append([]*Content(nil), hi.contents[len(hi.contents)-maxBases:]...)
 	}
 }
 
@@ -36,13 +36,13 @@
 	if hi.latest == nil || hi.latest.Digest != next {
 		return nil, false
 	}
-	if body, ok := hi.bodies[base]; ok {
+	if body, ok := hi.deltas[base]; ok {
 		return body, true
 	}
-	for _, co := range hi.list {
+	for _, co := range hi.contents {
 		if co.Digest == base {
 			body := Marshal(Diff(co, hi.latest))
-			hi.bodies[base] = body
+			hi.deltas[base] = body
 			return body, true
 		}
 	}
@@ -56,10 +56,10 @@
 	if hi.latest == nil || hi.latest.Digest != next {
 		return nil, false
 	}
-	body, ok := hi.bodies[Digest{}]
+	body, ok := hi.deltas[Digest{}]
 	if !ok {
 		body = Marshal(Diff(nil, hi.latest))
-		hi.bodies[Digest{}] = body
+		hi.deltas[Digest{}] = body
 	}
 	return body, true
 }
--- a/internal/conf/pack/pack.go
+++ b/internal/conf/pack/pack.go
@@ -82,10 +82,10 @@
 // New returns the content of the given resources, which it sorts.
 func New(res []Resource) *Content {
 	slices.SortFunc(res, func(a, b Resource) int { return a.Key.Compare(b.Key) })
-	return &Content{Resources: res, Digest: sum(res)}
+	return &Content{Resources: res, Digest: computeDigest(res)}
 }
 
-func sum(res []Resource) Digest {
+func computeDigest(res []Resource) Digest {
 	hs := sha256.New()
 	var size [8]byte
 	write := func(b []byte) {
--- a/internal/conf/pack/pack_test.go
+++ b/internal/conf/pack/pack_test.go
@@ -100,7 +100,7 @@
 		if err != nil {
 			return
 		}
-		if co, err := Apply(nil, dt); err == nil && co.Digest != sum(co.Resources) {
+		if co, err := Apply(nil, dt); err == nil && co.Digest != computeDigest(co.Resources) {
 			t.Error("a content with a wrong digest")
 		}
 	})
--- a/internal/conf/sample/sample.go
+++ b/internal/conf/sample/sample.go
@@ -11,9 +11,9 @@
 // What each service of a sample has, as in the brief, and its port; services
 // have ports of their own, from this one on.
 const (
-	slots     = 10
-	conns     = 120
-	firstPort = 9000
+	slots       = 10
+	connections = 120
+	firstPort   = 9000
 )
 
 // The classes of a sample and their shares.
@@ -22,16 +22,16 @@
 	confirm, confirmShare = "confirm", 50
 )
 
-// oneRegion is how many failure domains fit into one region; a sample with more
+// maxDomainsPerRegion is how many failure domains fit into one region; a sample with more
 // has two regions.
-const oneRegion = 3
+const maxDomainsPerRegion = 3
 
 // Mesh declares vms VMs in so many failure domains (d0, d1, …), each running one
 // of so many services (service-0, service-1, …) in turn. Each service has a
 // route for what may not be repeated and a placement.
 func Mesh(vms, domains, services int) *decl.Mesh {
 	ms := &decl.Mesh{Regions: []decl.Region{{Name: "r0"}}}
-	if domains > oneRegion {
+	if domains > maxDomainsPerRegion {
 		ms.Regions = append(ms.Regions, decl.Region{Name: "r1"})
 	}
 	for i := range domains {
@@ -51,7 +51,7 @@
 }
 
 func addService(ms *decl.Mesh, name string, port int) {
-	ms.Services = append(ms.Services, decl.Service{Name: name, Port: port, Slots: slots, Connections: conns, Class: lookup})
+	ms.Services = append(ms.Services, decl.Service{Name: name, Port: port, Slots: slots, Connections: connections, Class: lookup})
 	ms.Routes = append(ms.Routes, decl.Route{
 		Name: name + "-confirm", Match: decl.Match{Host: name + ".example", PathPrefix: "/confirm", Methods: []string{"POST"}},
 		To: []decl.Target{{Service: name, Weight: 1}}, Class: confirm, Repeat: decl.RepeatNever,
--- a/internal/conf/snap/many_test.go
+++ b/internal/conf/snap/many_test.go
@@ -105,8 +105,8 @@
 			}
 		}
 	})
-	const most = 2 * 1600 * 4
-	if n > most {
-		t.Errorf("%v allocations for two versions, bound %d", n, most)
+	const maxAllocs = 2 * 1600 * 4
+	if n > maxAllocs {
+		t.Errorf("%v allocations for two versions, bound %d", n, maxAllocs)
 	}
 }
--- a/internal/conf/snap/match.go
+++ b/internal/conf/snap/match.go
@@ -11,13 +11,13 @@
 // the service that has the host as its name.
 func (sn *Snapshot) Match(method, host, path string, hdr http.Header) *Route {
 	host = hostName(host)
-	for _, rt := range sn.hosts[host] {
-		if rt.takes(method, path, hdr) {
+	for _, rt := range sn.routesByHost[host] {
+		if rt.matches(method, path, hdr) {
 			return rt
 		}
 	}
 	if sv, ok := sn.Services[host]; ok {
-		return sv.route
+		return sv.defaultRoute
 	}
 	return nil
 }
@@ -29,7 +29,7 @@
 	return strings.ToLower(host)
 }
 
-func (rt *Route) takes(method, path string, hdr http.Header) bool {
+func (rt *Route) matches(method, path string, hdr http.Header) bool {
 	if rt.literal && !strings.HasPrefix(path, rt.prefix) || !rt.literal && !underPrefix(path, rt.prefix) {
 		return false
 	}
--- a/internal/conf/snap/snap.go
+++ b/internal/conf/snap/snap.go
@@ -32,8 +32,8 @@
 	// for requests without a class.
 	Classes []*Class
 	// RouteList has all routes in the order of their Index.
-	RouteList []*Route
-	hosts     map[string][]*Route
+	RouteList    []*Route
+	routesByHost map[string][]*Route
 }
 
 // Service is a declared service with its placement.
@@ -44,8 +44,8 @@
 	// ones first.
 	Tiers [][]string
 	Spill bool
-	// route takes requests whose host is the service's own name.
-	route *Route
+	// defaultRoute takes requests whose host is the service's own name.
+	defaultRoute *Route
 }
 
 // VM is where a declared VM is and what it runs.
@@ -142,7 +142,7 @@
 }
 
 // Forget drops what the compiler keeps of the last version.
-func (cp *Compiler) Forget() { cp.de.Forget() }
+func (cp *Compiler) Forget() { cp.de.Reset() }
 
 // Compile does what the function of that name does.
 func (cp *Compiler) Compile(version uint64, co *pack.Content, domain string) (*Snapshot, error) {
@@ -154,12 +154,12 @@
 		return nil, &CompileError{Version: version, Err: prs.Err()}
 	}
 	sn := &Snapshot{
-		Version:  version,
-		Digest:   co.Digest,
-		Domain:   domain,
-		Services: make(map[string]*Service, len(ms.Services)),
-		VMs:      make(map[string]VM, len(ms.VMs)),
-		hosts:    map[string][]*Route{},
+		Version:      version,
+		Digest:       co.Digest,
+		Domain:       domain,
+		Services:     make(map[string]*Service, len(ms.Services)),
+		VMs:          make(map[string]VM, len(ms.VMs)),
+		routesByHost: map[string][]*Route{},
 	}
 	for _, vm := range ms.VMs {
 		sn.VMs[vm.Name] = VM{Domain: vm.Domain, Service: vm.Service}
@@ -211,14 +211,14 @@
 			pl = decl.Placement{Order: []string{decl.OrderOwn, decl.OrderRegion, decl.OrderAny}, Spill: true}
 		}
 		sv := &Service{Service: dsv, Index: len(sn.ServiceList), Spill: pl.Spill, Tiers: sn.tiers(pl.Order, regions)}
-		sv.route = &Route{
+		sv.defaultRoute = &Route{
 			Name:     "service " + sv.Name,
 			Targets:  []Target{{Service: sv, UpTo: 1}},
 			Class:    classes[sv.Class],
-			Deadline: deadline(0, sv),
+			Deadline: effectiveDeadline(0, sv),
 			Repeat:   decl.RepeatSafe,
 		}
-		sn.addRoute(sv.route)
+		sn.addRoute(sv.defaultRoute)
 		sn.ServiceList = append(sn.ServiceList, sv)
 		sn.Services[sv.Name] = sv
 	}
@@ -229,7 +229,7 @@
 	sn.RouteList = append(sn.RouteList, rt)
 }
 
-func deadline(declared decl.Duration, sv *Service) time.Duration {
+func effectiveDeadline(declared decl.Duration, sv *Service) time.Duration {
 	switch {
 	case declared > 0:
 		return time.Duration(declared)
@@ -297,17 +297,17 @@
 		if drt.Class == "" {
 			rt.Class = classes[rt.Targets[0].Service.Class]
 		}
-		rt.Deadline = deadline(drt.Deadline, rt.Targets[0].Service)
+		rt.Deadline = effectiveDeadline(drt.Deadline, rt.Targets[0].Service)
 		sn.addRoute(rt)
-		sn.hosts[drt.Match.Host] = append(sn.hosts[drt.Match.Host], rt)
+		sn.routesByHost[drt.Match.Host] = append(sn.routesByHost[drt.Match.Host], rt)
 	}
-	for _, rts := range sn.hosts {
-		slices.SortFunc(rts, moreSpecific)
+	for _, rts := range sn.routesByHost {
+		slices.SortFunc(rts, compareSpecificity)
 	}
 }
 
-// moreSpecific orders routes as decl.Match says.
-func moreSpecific(a, b *Route) int {
+// compareSpecificity orders routes as decl.Match says.
+func compareSpecificity(a, b *Route) int {
 	switch {
 	case len(a.prefix) != len(b.prefix):
 		return len(b.prefix) - len(a.prefix)
--- a/internal/conf/snap/snap_test.go
+++ b/internal/conf/snap/snap_test.go
@@ -13,7 +13,7 @@
 	"github.com/flamingomast/flamingomast/internal/conf/sample"
 )
 
-const rules = `
+const testConfig = `
 regions: [{name: north}, {name: south}]
 failure-domains: [{name: a, region: north}, {name: b, region: north}, {name: c, region: south}]
 classes: [{name: confirm, share: 50}, {name: lookup, share: 20}]
@@ -49,7 +49,7 @@
 }
 
 func TestMatch(t *testing.T) {
-	sn := compile(t, rules, "a")
+	sn := compile(t, testConfig, "a")
 	for _, tc := range []struct {
 		method, host, path, beta, want string
 	}{
@@ -82,8 +82,8 @@
 	}
 }
 
-func TestCompiled(t *testing.T) {
-	sn := compile(t, rules, "a")
+func TestCompile(t *testing.T) {
+	sn := compile(t, testConfig, "a")
 	for name, want := range map[string][][]string{"booking": {{"a"}, {"b"}, {"c"}}, "canary": {{"c"}}, "portal": {{"a"}, {"b"}, {"c"}}} {
 		if diff := cmp.Diff(want, sn.Services[name].Tiers); diff != "" {
 			t.Errorf("tiers of %s (-want +got):\n%s", name, diff)
@@ -116,8 +116,8 @@
 	}
 }
 
-// sized compiles a sample.
-func sized(t testing.TB, vms, services int) *Snapshot {
+// compileSample compiles a sample.
+func compileSample(t testing.TB, vms, services int) *Snapshot {
 	t.Helper()
 	co, err := pack.Encode(sample.Mesh(vms, 5, services))
 	if err != nil {
@@ -130,9 +130,9 @@
 	return sn
 }
 
-// TestMatchAllocates: matching is on the path of each request.
-func TestMatchAllocates(t *testing.T) {
-	sn := sized(t, 10, 73)
+// TestMatchAllocations: matching is on the path of each request.
+func TestMatchAllocations(t *testing.T) {
+	sn := compileSample(t, 10, 73)
 	hdr := http.Header{}
 	if n := testing.AllocsPerRun(100, func() { sn.Match("POST", "service-7.example:80", "/confirm/1", hdr) }); n > 0 {
 		t.Errorf("%v allocations a match", n)
@@ -141,7 +141,7 @@
 
 func BenchmarkMatch(b *testing.B) {
 	for _, services := range []int{2, 73, 730} {
-		sn := sized(b, 10, services)
+		sn := compileSample(b, 10, services)
 		b.Run(fmt.Sprint(services), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/conf/strict/problem.go
+++ b/internal/conf/strict/problem.go
@@ -52,8 +52,8 @@
 }
 
 // Add appends a problem.
-func (prs *Problems) Add(pos Pos, what, remedy string) {
-	*prs = append(*prs, Problem{Pos: pos, What: what, Remedy: remedy})
+func (prs *Problems) Add(pos Pos, message, remedy string) {
+	*prs = append(*prs, Problem{Pos: pos, What: message, Remedy: remedy})
 }
 
 // Err returns the problems sorted by position, or nil when there are none.
--- a/internal/conf/strict/strict.go
+++ b/internal/conf/strict/strict.go
@@ -29,13 +29,13 @@
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
-		de.prs.Add(syntaxPos(file, err), "not YAML: "+syntaxText(err), "mend the syntax on that line")
+		de.prs.Add(syntaxPos(file, err), "not YAML: "+syntaxMessage(err), "mend the syntax on that line")
 		return de.prs
 	}
-	de.value(doc.Content[0], reflect.ValueOf(dst).Elem(), "the file")
-	var more yaml.Node
-	if err := dec.Decode(&more); err == nil {
-		de.prs.Add(de.pos(&more), "a second document", "keep one document in a file")
+	de.decodeValue(doc.Content[0], reflect.ValueOf(dst).Elem(), "the file")
+	var extra yaml.Node
+	if err := dec.Decode(&extra); err == nil {
+		de.prs.Add(de.pos(&extra), "a second document", "keep one document in a file")
 	}
 	return de.prs
 }
@@ -50,7 +50,7 @@
 	return Pos{File: file, Line: 1}
 }
 
-func syntaxText(err error) string {
+func syntaxMessage(err error) string {
 	txt := strings.TrimPrefix(err.Error(), "yaml: ")
 	return lineInError.ReplaceAllString(txt, "")
 }
@@ -64,8 +64,8 @@
 	return Pos{File: de.file, Line: n.Line, Column: n.Column}
 }
 
-func (de *decoder) want(n *yaml.Node, what, kind, remedy string) {
-	de.prs.Add(de.pos(n), fmt.Sprintf("%s must be %s, not %s", what, kind, describe(n)), remedy)
+func (de *decoder) typeError(n *yaml.Node, subject, kind, remedy string) {
+	de.prs.Add(de.pos(n), fmt.Sprintf("%s must be %s, not %s", subject, kind, describe(n)), remedy)
 }
 
 func describe(n *yaml.Node) string {
@@ -83,45 +83,45 @@
 	return strconv.Quote(n.Value)
 }
 
-var textType = reflect.TypeFor[encoding.TextUnmarshaler]()
+var textUnmarshalerType = reflect.TypeFor[encoding.TextUnmarshaler]()
 
-func (de *decoder) value(n *yaml.Node, v reflect.Value, what string) {
+func (de *decoder) decodeValue(n *yaml.Node, v reflect.Value, subject string) {
 	if n.Kind == yaml.AliasNode || n.Anchor != "" {
-		de.want(n, what, "written out", "anchors and aliases are not read")
+		de.typeError(n, subject, "written out", "anchors and aliases are not read")
 		return
 	}
-	if v.CanAddr() && v.Addr().Type().Implements(textType) {
-		de.text(n, v, what)
+	if v.CanAddr() && v.Addr().Type().Implements(textUnmarshalerType) {
+		de.decodeText(n, v, subject)
 		return
 	}
 	switch v.Kind() {
 	case reflect.Struct:
-		de.fields(n, v, what)
+		de.decodeStruct(n, v, subject)
 	case reflect.Slice:
-		de.list(n, v, what)
+		de.decodeList(n, v, subject)
 	case reflect.Map:
-		de.dict(n, v, what)
+		de.decodeMap(n, v, subject)
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		de.value(n, v.Elem(), what)
+		de.decodeValue(n, v.Elem(), subject)
 	default:
-		de.scalar(n, v, what)
+		de.decodeScalar(n, v, subject)
 	}
 }
 
-func (de *decoder) text(n *yaml.Node, v reflect.Value, what string) {
+func (de *decoder) decodeText(n *yaml.Node, v reflect.Value, subject string) {
 	if n.Kind != yaml.ScalarNode {
-		de.want(n, what, "a single value", "")
+		de.typeError(n, subject, "a single value", "")
 		return
 	}
 	if err := v.Addr().Interface().(encoding.TextUnmarshaler).UnmarshalText([]byte(n.Value)); err != nil {
-		de.prs.Add(de.pos(n), fmt.Sprintf("%s: %v", what, err), "")
+		de.prs.Add(de.pos(n), fmt.Sprintf("%s: %v", subject, err), "")
 	}
 }
 
-func (de *decoder) scalar(n *yaml.Node, v reflect.Value, what string) {
+func (de *decoder) decodeScalar(n *yaml.Node, v reflect.Value, subject string) {
 	if n.Kind != yaml.ScalarNode || n.Tag == "!!null" {
-		de.want(n, what, kindName(v.Kind()), "")
+		de.typeError(n, subject, kindName(v.Kind()), "")
 		return
 	}
 	switch v.Kind() {
@@ -130,14 +130,14 @@
 	case reflect.Bool:
 		b, err := strconv.ParseBool(n.Value)
 		if err != nil {
-			de.want(n, what, "true or false", "")
+			de.typeError(n, subject, "true or false", "")
 			return
 		}
 		v.SetBool(b)
 	case reflect.Int:
 		i, err := strconv.ParseInt(n.Value, 10, 32)
 		if err != nil {
-			de.want(n, what, "a whole number", "")
+			de.typeError(n, subject, "a whole number", "")
 			return
 		}
 		v.SetInt(i)
@@ -156,33 +156,33 @@
 	return "a text"
 }
 
-func (de *decoder) list(n *yaml.Node, v reflect.Value, what string) {
+func (de *decoder) decodeList(n *yaml.Node, v reflect.Value, subject string) {
 	if n.Kind != yaml.SequenceNode {
-		de.want(n, what, "a list", "start each entry with \"- \"")
+		de.typeError(n, subject, "a list", "start each entry with \"- \"")
 		return
 	}
 	v.Set(reflect.MakeSlice(v.Type(), len(n.Content), len(n.Content)))
 	for i, c := range n.Content {
-		de.value(c, v.Index(i), "an entry of "+what)
+		de.decodeValue(c, v.Index(i), "an entry of "+subject)
 	}
 }
 
-func (de *decoder) dict(n *yaml.Node, v reflect.Value, what string) {
+func (de *decoder) decodeMap(n *yaml.Node, v reflect.Value, subject string) {
 	if n.Kind != yaml.MappingNode {
-		de.want(n, what, "a mapping", "")
+		de.typeError(n, subject, "a mapping", "")
 		return
 	}
 	v.Set(reflect.MakeMap(v.Type()))
-	de.pairs(n, func(key string, _, val *yaml.Node) {
+	de.eachPair(n, func(key string, _, val *yaml.Node) {
 		elem := reflect.New(v.Type().Elem()).Elem()
-		de.value(val, elem, key)
+		de.decodeValue(val, elem, key)
 		v.SetMapIndex(reflect.ValueOf(key), elem)
 	})
 }
 
-func (de *decoder) fields(n *yaml.Node, v reflect.Value, what string) {
+func (de *decoder) decodeStruct(n *yaml.Node, v reflect.Value, subject string) {
 	if n.Kind != yaml.MappingNode {
-		de.want(n, what, "a mapping", "write it as \"key: value\"")
+		de.typeError(n, subject, "a mapping", "write it as \"key: value\"")
 		return
 	}
 	known := map[string]reflect.Value{}
@@ -197,18 +197,18 @@
 		known[name] = v.Field(i)
 		names = append(names, name)
 	}
-	de.pairs(n, func(key string, k, val *yaml.Node) {
+	de.eachPair(n, func(key string, k, val *yaml.Node) {
 		fv, ok := known[key]
 		if !ok {
 			de.prs.Add(de.pos(k), fmt.Sprintf("unknown key %q", key), Suggest(key, names))
 			return
 		}
-		de.value(val, fv, key)
+		de.decodeValue(val, fv, key)
 	})
 }
 
-// pairs calls fn for each key of the mapping n and reports repeated keys.
-func (de *decoder) pairs(n *yaml.Node, fn func(key string, k, val *yaml.Node)) {
+// eachPair calls fn for each key of the mapping n and reports repeated keys.
+func (de *decoder) eachPair(n *yaml.Node, fn func(key string, k, val *yaml.Node)) {
 	lines := map[string]int{}
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		k, val := n.Content[i], n.Content[i+1]
@@ -225,7 +225,7 @@
 func Suggest(name string, known []string) string {
 	best, dist := "", 3
 	for _, k := range known {
-		if d := distance(name, k); d < dist {
+		if d := editDistance(name, k); d < dist {
 			best, dist = k, d
 		}
 	}
@@ -233,9 +233,9 @@
 		return fmt.Sprintf("did you mean %q?", best)
 	}
 	sorted := slices.Sorted(slices.Values(known))
-	const most = 12
-	if len(sorted) > most {
-		sorted = append(sorted[:most], "…")
+	const maxShown = 12
+	if len(sorted) > maxShown {
+		sorted = append(sorted[:maxShown], "…")
 	}
 	if len(sorted) == 0 {
 		return "none is declared"
@@ -243,8 +243,8 @@
 	return "known are " + strings.Join(sorted, ", ")
 }
 
-// distance is the Levenshtein distance of two short names.
-func distance(a, b string) int {
+// editDistance is the Levenshtein distance of two short names.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
