--- a/internal/conf/accept/accept_test.go
+++ b/internal/conf/accept/accept_test.go
@@ -18,7 +18,7 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// meshContent declares services with the given slots, by name.
+// meshContent encodes a mesh of services whose slots are given by name.
 func meshContent(t interface{ Fatal(...any) }, slots map[string]int) *pack.Content {
 	ms := &decl.Mesh{}
 	for name, n := range slots {
@@ -51,10 +51,10 @@
 		ver  uint64
 	}{
 		{"first", Submission{ID: "a", Content: one}, Accepted, 1},
-		{"the same again", Submission{ID: "a", Content: one}, AlreadyAccepted, 1},
+		{"same ID again", Submission{ID: "a", Content: one}, AlreadyAccepted, 1},
 		{"no change", Submission{ID: "b", Base: 1, Content: one}, Unchanged, 1},
 		{"second", Submission{ID: "c", Base: 1, Content: two}, Accepted, 2},
-		{"the first once more", Submission{ID: "a", Content: one}, AlreadyAccepted, 1},
+		{"first ID after a later version", Submission{ID: "a", Content: one}, AlreadyAccepted, 1},
 		{"a revert is a new version", Submission{ID: "d", Base: 2, Content: one}, Accepted, 3},
 	} {
 		res := submit(t, kv, tc.sub)
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestOperatorsRace: two operators start from version 1. Where they change
-// different services both changes stand; where they change the same one the
-// second is refused and told by whom, and nothing of it is applied.
+// TestOperatorsRace: two operators start from version 1. Changes to different services are
+// merged. If both change the same service in different ways, the second submission is rejected
+// with the name of the other author, and nothing of it is applied.
 func TestOperatorsRace(t *testing.T) {
 	base := map[string]int{"booking": 1, "portal": 1}
 	for _, tc := range []struct {
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestRebaseIsChecked: one operator removes a service while another adds a
-// route to it. Each is right alone; together they would leave a dangling
-// route, so the second is refused.
+// TestRebaseIsChecked: one operator removes a service while another adds a route to it. Each
+// change is valid by itself; merged they would leave a dangling route, so the second submission
+// is rejected.
 func TestRebaseIsChecked(t *testing.T) {
 	kv := stand.New().Store()
 	sv := []decl.Service{{Name: "booking", Port: 1, Slots: 1}, {Name: "portal", Port: 1, Slots: 1}}
@@ -143,8 +143,8 @@
 	}
 }
 
-// TestLostAnswers: the platform does what it is asked and its answer is lost,
-// at any of the writes of a submission. It is accepted exactly once.
+// TestLostAnswers: the first 0 to 5 writes of a submission take effect, but their responses are
+// lost. The submission must be accepted exactly once.
 func TestLostAnswers(t *testing.T) {
 	for lost := range 6 {
 		synctest.Test(t, func(t *testing.T) {
@@ -153,15 +153,15 @@
 			st.SetFaults(stand.Faults{LoseAnswers: lost})
 			res := submit(t, st.Store(), Submission{ID: "1", Base: 1, Content: meshContent(t, map[string]int{"booking": 2})})
 			if res.Entry.Version != 2 {
-				t.Errorf("%d answers lost: version %d, want 2", lost, res.Entry.Version)
+				t.Errorf("%d responses lost: version %d, want 2", lost, res.Entry.Version)
 			}
 		})
 	}
 }
 
-// TestUnknownOutcome: the platform takes the commit, its answer is lost, and it
-// goes down. The operator is told that it is not known, and the same submission
-// given again later is found, although other versions came after it.
+// TestUnknownOutcome: the platform commits the submission, its response is lost, and it goes
+// down. Submit returns an UnknownError, and submitting the same ID again later finds the version,
+// although another one followed it.
 func TestUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := stand.New()
@@ -186,15 +186,14 @@
 		st.SetFaults(stand.Faults{})
 		submit(t, st.Store(), Submission{ID: "y", Base: 1, Content: meshContent(t, map[string]int{"booking": 2})})
 		if res := submit(t, st.Store(), sub); res.Status != AlreadyAccepted || res.Entry.Version != 1 {
-			t.Errorf("given again: %s as version %d", res.Status, res.Entry.Version)
+			t.Errorf("submitted again: %s as version %d", res.Status, res.Entry.Version)
 		}
 	})
 }
 
-// TestRaceProperty: operators submit at once, each a change of a service of its
-// own, while answers get lost and the platform is slow or down. Every
-// submission is accepted exactly once, versions follow one another without a
-// gap, and the last one holds all changes.
+// TestRaceProperty: operators submit concurrently, each changing a different service, while
+// responses are lost and the platform is slow or down. Every submission must be accepted exactly
+// once, versions must have no gaps, and the last one must contain all changes.
 func TestRaceProperty(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		operators := rapid.IntRange(2, 6).Draw(rt, "operators")
@@ -258,11 +257,12 @@
 		slots[fmt.Sprint("s", i)] = 100 + i
 	}
 	if want := meshContent(t, slots).Digest.String(); hd.Last.Digest != want {
-		t.Errorf("the last version does not hold all changes")
+		t.Errorf("the last version does not contain all changes")
 	}
 }
 
-// TestContentRetention: what the platform keeps of old versions is bounded.
+// TestContentRetention: the platform's store keeps the contents of the newest RetainedContents
+// versions only.
 func TestContentRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := stand.New().Store()
--- a/internal/conf/accept/doc.go
+++ b/internal/conf/accept/doc.go
@@ -1,7 +1,7 @@
-// Package accept commits configurations to the platform: one compare-and-swap
-// of one small record is the commit point, so there is one history.
+// Package accept commits configurations to the platform's store. The commit point is one
+// compare-and-swap of a single small record, so the history is linear.
 //
-// Contents lie beside that record, written before it. A submission bears an
-// id that the record keeps, so that a commit whose answer was lost is found
-// again and not made twice.
+// Contents are stored under keys of their own and written before that record. The record lists
+// the IDs of recent submissions, so that a commit whose response was lost is recognized and not
+// made twice.
 package accept
--- a/internal/conf/accept/head.go
+++ b/internal/conf/accept/head.go
@@ -11,28 +11,27 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// HeadKey is the key of the record that is the commit point.
+// HeadKey is the key of the head record, whose compare-and-swap is the commit point.
 const HeadKey = "head"
 
-// maxRecent is how many submissions the head remembers. A submission is
-// recognised when repeated for as long as it is remembered.
+// maxRecent is how many submissions the head record lists. A repeated submission is recognized
+// only while it is listed.
 const maxRecent = 64
 
-// RetainedContents is how many versions have their contents kept in the platform.
+// RetainedContents is how many versions keep their contents in the platform's store.
 const RetainedContents = 512
 
-// partSize is the most bytes of content in one value, half of the platform's
-// limit.
+// partSize is the maximum number of content bytes in one value, half of the store's limit.
 const partSize = store.MaxValue / 2
 
 // Entry describes one accepted version.
 type Entry struct {
 	Version uint64 `json:"version"`
 	Digest  string `json:"digest"`
-	// Content is the prefix of the keys that hold the content, in Parts parts.
+	// Content is the prefix of the keys that hold the content, which is split into Parts parts.
 	Content string `json:"content"`
 	Parts   int    `json:"parts"`
-	// Parent is the version it follows; Base the one it was made from.
+	// Parent is the preceding version, Base the version that the submission was made from.
 	Parent     uint64    `json:"parent"`
 	Base       uint64    `json:"base"`
 	Submission string    `json:"submission"`
@@ -43,14 +42,14 @@
 
 // Head is the record at HeadKey.
 type Head struct {
-	// Last is the newest entry, zero before the first version. The entries
-	// before it are kept under their own keys.
+	// Last is the newest entry, zero before the first version. Earlier entries are stored under
+	// keys of their own.
 	Last Entry `json:"last"`
-	// Recent lists the newest submissions, the last one at the end.
+	// Recent lists the newest submissions, oldest first.
 	Recent []Ref `json:"recent"`
 }
 
-// Ref says which version a submission became.
+// Ref maps a submission to the version that it became.
 type Ref struct {
 	Version    uint64 `json:"version"`
 	Submission string `json:"submission"`
@@ -64,19 +63,19 @@
 	return hd.Recent[i].Version, true
 }
 
-// ParseHead reads the value of HeadKey; an empty one is the empty head.
+// ParseHead decodes the value of HeadKey; an empty value gives an empty Head.
 func ParseHead(value []byte) (*Head, error) {
 	var hd Head
 	if len(value) == 0 {
 		return &hd, nil
 	}
 	if err := json.Unmarshal(value, &hd); err != nil {
-		return nil, fmt.Errorf("accept: the head record: %w", err)
+		return nil, fmt.Errorf("accept: decoding the head record: %w", err)
 	}
 	return &hd, nil
 }
 
-// Load reads the head and its revision.
+// Load reads the head record and its revision.
 func Load(ctx context.Context, kv store.Store) (*Head, store.Revision, error) {
 	ent, err := kv.Get(ctx, HeadKey)
 	if err != nil {
@@ -86,7 +85,7 @@
 	return hd, ent.Revision, err
 }
 
-// Find returns the entry of a version, from the head or from its own key.
+// Find returns the entry of a version, from the head record or from the version's own key.
 func Find(ctx context.Context, kv store.Store, hd *Head, version uint64) (Entry, error) {
 	if hd.Last.Version == version {
 		return hd.Last, nil
@@ -100,17 +99,17 @@
 	}
 	var en Entry
 	if err := json.Unmarshal(ent.Value, &en); err != nil {
-		return Entry{}, fmt.Errorf("accept: the record of version %d: %w", version, err)
+		return Entry{}, fmt.Errorf("accept: decoding the record of version %d: %w", version, err)
 	}
 	return en, nil
 }
 
-// MissingError says that the platform keeps no record of a version.
+// MissingError reports that the platform's store does not hold a version, or not its content.
 type MissingError struct {
 	Version, Newest uint64
 }
 
-// Error names the version and the newest one.
+// Error returns the missing version and the newest one.
 func (er *MissingError) Error() string {
 	return fmt.Sprintf("version %d is not kept; the newest is %d", er.Version, er.Newest)
 }
@@ -119,13 +118,12 @@
 
 func partKey(prefix string, part int) string { return fmt.Sprintf("%s/%d", prefix, part) }
 
-// DeltaKey is the key of the delta that leads from the content base to the
-// content of en.
+// DeltaKey returns the key of the delta from the content base to the content of en.
 func DeltaKey(en Entry, base pack.Digest) string {
 	return fmt.Sprintf("delta/%s/%s", en.Content, base)
 }
 
-// Content reads the whole content of an entry and compares its digest.
+// Content reads the full content of an entry and verifies its digest.
 func Content(ctx context.Context, kv store.Store, en Entry) (*pack.Content, error) {
 	var body []byte
 	for part := range en.Parts {
@@ -141,8 +139,8 @@
 	return decodeContent(nil, body, en)
 }
 
-// Step reads the content of an entry as a delta from base where the platform
-// keeps one, else whole.
+// Step reads the content of an entry as a delta from base if the store holds one, and in full
+// otherwise.
 func Step(ctx context.Context, kv store.Store, base *pack.Content, en Entry) (*pack.Content, error) {
 	if base == nil {
 		return Content(ctx, kv, en)
--- a/internal/conf/accept/submit.go
+++ b/internal/conf/accept/submit.go
@@ -15,63 +15,63 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// Submission is a configuration that an operator wants to be in force.
+// Submission is a configuration that an operator submits as the next version.
 type Submission struct {
-	// ID names the submission; the same one given again is not made twice.
+	// ID identifies the submission; submitting it again does not make a second version.
 	ID string
 	// Base is the version that Content was made from.
 	Base    uint64
 	Content *pack.Content
 	Author  string
 	Commit  string
-	// Whole makes Content replace all that is in force at Base, and conflict
-	// with any version that was accepted since.
+	// NoRebase makes Content replace everything in force at Base and conflict with any version
+	// accepted since.
 	Whole bool
 	// Floor is the highest version that the fleet is known to hold.
 	Floor uint64
-	// Resume lets the next version follow Floor when the platform has lost
-	// versions that the fleet holds.
+	// Resume lets the next version follow Floor if the platform has lost versions that the fleet
+	// holds.
 	Resume bool
-	// Kept, if set, is told of an old key that could not be removed. It stays until the
-	// platform's owner removes it, and harms nothing.
+	// OnRemoveError, if set, is called for each old key that could not be removed. The key takes
+	// up space until the platform's owner removes it, and has no other effect.
 	Kept func(key string, err error)
 }
 
-// Status is how a submission ended.
+// Status is the outcome of a submission.
 type Status int
 
-// The ways in which a submission ends without an error.
+// The outcomes of a submission without an error.
 const (
 	// Accepted means that this call made a new version.
 	Accepted Status = iota + 1
-	// AlreadyAccepted means that an earlier call with the same ID made it.
+	// AlreadyAccepted means that an earlier call with the same ID made the version.
 	AlreadyAccepted
-	// Unchanged means that the version in force says the same.
+	// Unchanged means that the version in force has the same content.
 	Unchanged
 )
 
-// String returns the status in words.
+// String returns the status as it is shown to operators.
 func (st Status) String() string {
 	return [...]string{"", "accepted", "already-accepted", "unchanged"}[st]
 }
 
-// Result tells what became of a submission.
+// Result is the result of a submission that ended without an error.
 type Result struct {
 	Status Status
 	Entry  Entry
-	// Rebased says that other submissions came in between and that the content
-	// holds their changes too.
+	// Rebased reports that other versions were accepted since Base and that the content includes
+	// their changes.
 	Rebased bool
 }
 
-// ConflictError says that another submission changed the same resources.
+// ConflictError reports that another submission changed the same resources.
 type ConflictError struct {
 	Keys   []pack.Key
 	Base   uint64
 	Theirs Entry
 }
 
-// Error names the resources, both versions and the other author.
+// Error returns the resources, both versions, the other author and how to continue.
 func (er *ConflictError) Error() string {
 	names := make([]string, len(er.Keys))
 	for i, ky := range er.Keys {
@@ -81,39 +81,39 @@
 		strings.Join(names, ", "), er.Base, er.Theirs.Version, er.Theirs.Author, er.Theirs.Commit, er.Theirs.Version)
 }
 
-// BehindError says that the platform has lost versions that the fleet holds.
+// BehindError reports that the platform has lost versions that the fleet holds.
 type BehindError struct {
 	Head, Floor uint64
 }
 
-// Error says how to go on.
+// Error returns both versions and how to continue.
 func (er *BehindError) Error() string {
 	return fmt.Sprintf("the platform is at version %d and the fleet holds version %d: the platform was set back; check the declarations, then use --resume to go on with version %d",
 		er.Head, er.Floor, er.Floor+1)
 }
 
-// UnknownError says that the submission may or may not have been accepted.
+// UnknownError reports that the submission may or may not have been accepted.
 type UnknownError struct {
 	ID  string
 	Err error
 }
 
-// Error says how to find out.
+// Error returns the cause and how to find out the outcome.
 func (er *UnknownError) Error() string {
-	return fmt.Sprintf("it is not known whether the submission was accepted (%v); submit again with --submission %s, it will not be made twice", er.Err, er.ID)
+	return fmt.Sprintf("it is not known whether the submission was accepted (%v); submit again with --submission %s, which makes no second version", er.Err, er.ID)
 }
 
 // Unwrap returns the cause.
 func (er *UnknownError) Unwrap() error { return er.Err }
 
-// The waits between attempts while the platform does not answer.
+// The bounds of the randomized backoff between attempts.
 const (
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = time.Second
 )
 
-// Submit makes the content of sub the newest version, or says why not. It goes
-// on through outages of the platform until ctx ends.
+// Submit commits the content of sub as the newest version, or returns why it cannot. It retries
+// through outages of the platform until ctx is done.
 func Submit(ctx context.Context, kv store.Store, sub Submission) (Result, error) {
 	sm := &submitter{kv: kv, sub: sub}
 	for backoff := minBackoff; ; backoff = min(2*backoff, maxBackoff) {
@@ -135,20 +135,19 @@
 type submitter struct {
 	kv  store.Store
 	sub Submission
-	// outcomeUnknown is set once a swap was sent whose outcome is unknown.
+	// outcomeUnknown is set once a swap of the head record ended with an unknown outcome.
 	outcomeUnknown bool
 }
 
-// attempt tries once. It is not done when another attempt may succeed.
+// attempt tries once to commit. done is false if another attempt may succeed.
 func (sm *submitter) attempt(ctx context.Context) (res Result, done bool, err error) {
 	hd, rev, err := Load(ctx, sm.kv)
 	if err != nil {
 		return Result{}, false, err
 	}
-	// The record is read before each swap. Where an earlier swap took effect
-	// and its answer was lost, the id stands in the record, also when other
-	// versions came after it. A swap still on its way bears the same revision
-	// as the next one, so only one of the two takes effect.
+	// The head record is read before each swap. If an earlier swap took effect but its response
+	// was lost, the record lists the ID, even after other versions followed. A swap still in
+	// flight expects the same revision as the next one, so only one of the two takes effect.
 	if version, ok := hd.findSubmission(sm.sub.ID); ok {
 		en, err := Find(ctx, sm.kv, hd, version)
 		return Result{Status: AlreadyAccepted, Entry: en, Rebased: en.Base != en.Parent}, err == nil, err
@@ -189,7 +188,7 @@
 	}
 }
 
-// rebase returns the content to commit on top of the head, and the head's own.
+// rebase returns the content to commit on top of the head, and the content of the head itself.
 func (sm *submitter) rebase(ctx context.Context, hd *Head) (next, old *pack.Content, err error) {
 	last := hd.Last
 	if last.Version == 0 {
@@ -220,9 +219,9 @@
 	return next, old, err
 }
 
-// Rebase returns theirs with the changes that lead from base to mine. Changes
-// of one resource on both sides, unless they are equal, are a ConflictError;
-// the whole is checked again, since changes of different resources may clash.
+// Rebase is a three-way merge: it returns theirs with the changes from base to mine applied.
+// Different changes to the same resource on both sides are a ConflictError. The result is checked
+// again, since changes to different resources may be inconsistent with each other.
 func Rebase(base, mine, theirs *pack.Content) (*pack.Content, error) {
 	myDelta := pack.Diff(base, mine)
 	changed := map[pack.Key]bool{}
@@ -259,20 +258,20 @@
 	return next, nil
 }
 
-// CheckError says that a submission and the ones before it fail the check when
-// taken together.
+// CheckError reports that a submission, merged with the versions accepted since its base, fails
+// the check.
 type CheckError struct {
 	Problems strict.Problems
 }
 
 // Error lists the problems.
 func (er *CheckError) Error() string {
-	return "together with the versions accepted since its base the submission fails the check:\n" + er.Problems.Error()
+	return "merged with the versions accepted since its base, the submission fails the check:\n" + er.Problems.Error()
 }
 
-// writeContent stores the content, whole and as a delta, ahead of the commit. It also
-// stores the entry that the commit takes out of the head, so that none is ever
-// lost, whenever the process may die.
+// writeContent stores the content, in full and as a delta, before the commit. It also stores the
+// entry that the commit replaces in the head record, so that no entry is lost if the process dies
+// at any point.
 func (sm *submitter) writeContent(ctx context.Context, en *Entry, last Entry, old, co *pack.Content) error {
 	if last.Version > 0 {
 		value, err := json.Marshal(last)
@@ -300,8 +299,8 @@
 	return sm.put(ctx, DeltaKey(*en, old.Digest), body)
 }
 
-// put writes a value that is the same whenever it is written, so that a key
-// which exists already is as good as written.
+// put writes a value that is the same on every write, so a key that already exists counts as
+// written.
 func (sm *submitter) put(ctx context.Context, key string, value []byte) error {
 	_, _, err := sm.kv.Swap(ctx, store.Change{Key: key, Value: value})
 	return err
@@ -328,8 +327,8 @@
 	return Result{Status: Accepted, Entry: en, Rebased: en.Base != en.Parent}, true, nil
 }
 
-// prune removes the content that is no longer kept. Should the process die
-// before, what is left over costs space only.
+// prune removes the content of the version that is no longer retained. If the process dies before
+// that, the content left behind only takes up space.
 func (sm *submitter) prune(ctx context.Context, en Entry) {
 	if en.Version <= RetainedContents {
 		return
@@ -358,9 +357,9 @@
 	}
 }
 
-// Restore makes a version that the platform has lost its newest one again, with the
-// content that daemons hold. It does so once, whoever else restores the same version, and
-// leaves a platform alone that has gone on to it or a later one.
+// Restore commits a version that the platform has lost as its newest one, with the content that
+// daemons hold. Concurrent restores of the same version commit it once. If the platform is
+// already at this version or a later one, Restore does nothing.
 func Restore(ctx context.Context, kv store.Store, version uint64, co *pack.Content) error {
 	hd, _, err := Load(ctx, kv)
 	if err != nil || hd.Last.Version >= version {
--- a/internal/conf/decl/check.go
+++ b/internal/conf/decl/check.go
@@ -11,7 +11,7 @@
 	"github.com/flamingomast/flamingomast/internal/conf/strict"
 )
 
-// The limits of what may be declared.
+// Upper limits of declared values.
 const (
 	maxSlots       = 10_000
 	maxConnections = 100_000
@@ -22,16 +22,16 @@
 	maxAttempts    = 100
 )
 
-// The longest names, in bytes: a label and a whole name of RFC 1035.
+// Maximum lengths in bytes. Names have the limit of a label in RFC 1035, hosts that of a full domain
+// name.
 const (
 	maxNameLen   = 63
 	maxHostLen   = 253
 	maxMethodLen = 20
 )
 
-// isName reports whether a text is 1 to most of a-z, 0-9, "-" and ".", with a letter or
-// digit at both ends. It stands in place of a regular expression, since a version has
-// thousands of names.
+// isName reports whether s is 1 to maxLen of a-z, 0-9, "-" and ".", with a letter or digit at both
+// ends. A regular expression would be too slow, since a version has thousands of names.
 func isName(s string, maxLen int) bool {
 	if s == "" || len(s) > maxLen {
 		return false
@@ -47,7 +47,7 @@
 	return true
 }
 
-// isMethod reports whether a text is 1 to 20 capital letters.
+// isMethod reports whether s is 1 to maxMethodLen capital letters.
 func isMethod(s string) bool {
 	if s == "" || len(s) > maxMethodLen {
 		return false
@@ -60,8 +60,8 @@
 	return true
 }
 
-// Check returns all that is wrong with ms as a whole. What it lets pass has no
-// dangling reference, no impossible share and no route that can never match.
+// Check returns all problems of ms. A mesh without problems has no dangling reference, no impossible
+// shares or weights and no route that can never match.
 func Check(ms *Mesh) strict.Problems {
 	ck := &checker{ms: ms}
 	ck.regions = indexNames(ck, "region", ms.Regions, func(rg *Region) (string, strict.Pos) { return rg.Name, rg.Pos })
@@ -82,7 +82,7 @@
 	return ck.prs
 }
 
-// The least that callers are given; below it no request could be sent.
+// Lower limits of CallerLimits; with less, callers could send no request.
 const (
 	minHeadBytes = 256
 	minTimeout   = 10 * time.Millisecond
@@ -92,7 +92,7 @@
 	for i, cl := range ck.ms.CallerLimits {
 		subject := fmt.Sprintf("caller limits %q", cl.Name)
 		if i > 0 {
-			ck.add(cl.Pos, "put them together in one entry", "%s are a second entry", subject)
+			ck.add(cl.Pos, "merge them into one entry", "%s are declared in a second entry", subject)
 		}
 		if cl.HeadBytes != 0 && cl.HeadBytes < minHeadBytes || cl.BodyBytes < 0 {
 			ck.add(cl.Pos, fmt.Sprintf("set head-bytes to %d or more and body-bytes to 0 or more", minHeadBytes), "%s have head-bytes %d and body-bytes %d", subject, cl.HeadBytes, cl.BodyBytes)
@@ -111,7 +111,7 @@
 	prs                                 strict.Problems
 }
 
-// indexNames returns the names of a list and reports bad and repeated ones.
+// indexNames returns the set of names in a list and reports invalid and duplicate names.
 func indexNames[T any](ck *checker, kind string, list []T, name func(*T) (string, strict.Pos)) map[string]bool {
 	seen := make(map[string]strict.Pos, len(list))
 	names := make(map[string]bool, len(list))
@@ -162,7 +162,7 @@
 	for _, dm := range ck.ms.Domains {
 		ck.checkRef(dm.Pos, "region", dm.Region, ck.regions, fmt.Sprintf("failure domain %q", dm.Name))
 		if slices.Contains([]string{OrderOwn, OrderRegion, OrderAny}, dm.Name) {
-			ck.add(dm.Pos, "rename it", "failure domain %q has a name that placements use as a word", dm.Name)
+			ck.add(dm.Pos, "rename it", "failure domain %q has a name that is a keyword of placement orders", dm.Name)
 		}
 	}
 }
@@ -190,8 +190,8 @@
 	}
 }
 
-// checkAnnounced reports what an announced service declares besides what its
-// backend servers say themselves: of two sources one would be wrong.
+// checkAnnounced reports a port or slots declared for an announced service. Its backend servers
+// announce both, and one of two sources would be wrong.
 func (ck *checker) checkAnnounced(sv *Service, subject string) {
 	if sv.Port != 0 || sv.Slots != 0 {
 		ck.add(sv.Pos, "leave out port and slots, or announced", "%s is announced and has port %d and slots %d", subject, sv.Port, sv.Slots)
@@ -243,14 +243,14 @@
 		pos = rt.Pos
 	}
 	if !isName(mt.Host, maxHostLen) {
-		ck.add(pos, "set match.host to the host name that callers use, in small letters and without a port", "%s matches the host %q", subject, mt.Host)
+		ck.add(pos, "set match.host to the host name that callers use, in lower case and without a port", "%s matches the host %q", subject, mt.Host)
 	}
 	if mt.PathPrefix != "" && !strings.HasPrefix(mt.PathPrefix, "/") {
 		ck.add(pos, "begin it with \"/\"", "%s has the path prefix %q", subject, mt.PathPrefix)
 	}
 	for i, m := range mt.Methods {
 		if !isMethod(m) || m == http.MethodConnect {
-			ck.add(pos, "write methods in capital letters, as GET or POST; CONNECT is not carried", "%s matches the method %q", subject, m)
+			ck.add(pos, "write methods in upper case, such as GET or POST; CONNECT is not supported", "%s matches the method %q", subject, m)
 		}
 		if slices.Contains(mt.Methods[:i], m) {
 			ck.add(pos, "remove one of the two", "%s names the method %q twice", subject, m)
@@ -265,7 +265,7 @@
 
 func (ck *checker) checkTargets(rt *Route, subject string) {
 	if len(rt.To) == 0 {
-		ck.add(rt.Pos, "give \"to\" one service or more", "%s leads nowhere", subject)
+		ck.add(rt.Pos, "list one service or more in \"to\"", "%s has no targets", subject)
 		return
 	}
 	sum := 0
@@ -273,7 +273,7 @@
 		ck.checkRef(tg.Pos, "service", tg.Service, ck.services, subject)
 		ck.checkRange(tg.Pos, subject, "weight", tg.Weight, 0, maxWeight)
 		if slices.ContainsFunc(rt.To[:i], func(other Target) bool { return other.Service == tg.Service }) {
-			ck.add(tg.Pos, "add the two weights up", "%s names the service %q twice", subject, tg.Service)
+			ck.add(tg.Pos, "merge the two targets and add their weights", "%s names the service %q twice", subject, tg.Service)
 		}
 		sum += tg.Weight
 	}
@@ -282,16 +282,16 @@
 	}
 }
 
-// checkOverlaps reports routes of one specificity that take the same requests:
-// the later of the two would never match, or match only in part.
+// checkOverlaps reports routes of equal specificity that match the same requests: the later of the
+// two would match none of them, or only some.
 func (ck *checker) checkOverlaps() {
 	first := make(map[string]*Route, len(ck.ms.Routes))
 	for i := range ck.ms.Routes {
 		rt := &ck.ms.Routes[i]
 		for _, key := range overlapKeys(&rt.Match) {
 			if prior, ok := first[key]; ok && prior.Name != rt.Name {
-				ck.add(rt.Pos, "remove one of the two, or let them differ in path-prefix, methods or headers",
-					"route %q can never match all it names: route %q at %s takes the same requests", rt.Name, prior.Name, prior.Pos)
+				ck.add(rt.Pos, "remove one of the two, or make them differ in path-prefix, methods or headers",
+					"route %q is shadowed in whole or in part: route %q at %s matches the same requests", rt.Name, prior.Name, prior.Pos)
 				break
 			}
 			first[key] = rt
@@ -333,7 +333,7 @@
 		}
 		seen[pl.Service] = pl.Pos
 		if len(pl.Order) == 0 {
-			ck.add(pl.Pos, "list failure domains, or the words own, region and any", "%s has no order", subject)
+			ck.add(pl.Pos, "list failure domains, or the keywords own, region and any", "%s has no order", subject)
 		}
 		for i, o := range pl.Order {
 			if o != OrderOwn && o != OrderRegion && o != OrderAny {
--- a/internal/conf/decl/decl.go
+++ b/internal/conf/decl/decl.go
@@ -7,9 +7,8 @@
 	"github.com/flamingomast/flamingomast/internal/conf/strict"
 )
 
-// Mesh is everything that operators declare. It is the reference for the YAML
-// files: each file holds any of these lists, and the files of a directory are
-// read as one.
+// Mesh is everything that operators declare. It is the reference for the YAML files: each file may
+// contain any of these lists, and the files of a directory are merged.
 type Mesh struct {
 	Regions    []Region    `json:"regions,omitempty"`
 	Domains    []Domain    `json:"failure-domains,omitempty"`
@@ -18,59 +17,56 @@
 	Classes    []Class     `json:"classes,omitempty"`
 	Routes     []Route     `json:"routes,omitempty"`
 	Placements []Placement `json:"placements,omitempty"`
-	// CallerLimits has one entry at most.
+	// CallerLimits has at most one entry.
 	CallerLimits []CallerLimits `json:"caller-limits,omitempty"`
 }
 
-// CallerLimits bounds what callers may send to an outlet, and how long they may
-// take.
+// CallerLimits limits the size of the requests that callers send to an outlet, and the time that
+// callers may take.
 type CallerLimits struct {
 	Name string `json:"name"`
-	// HeadBytes and BodyBytes bound a request; 0 stands for the daemon's own
-	// bound.
+	// HeadBytes and BodyBytes limit the size of a request; 0 stands for the daemon's own limit.
 	HeadBytes int `json:"head-bytes,omitempty"`
 	BodyBytes int `json:"body-bytes,omitempty"`
-	// Head is how long the head of a request may take, Idle how long a
-	// connection may be kept without one.
+	// Head limits the time to receive the header section of a request, Idle the time that a
+	// connection is kept open without a request.
 	Head Duration   `json:"head,omitempty"`
 	Idle Duration   `json:"idle,omitempty"`
 	Pos  strict.Pos `json:"-"`
 }
 
-// Region is a group of failure domains that are near each other.
+// Region is a group of failure domains that are close to each other.
 type Region struct {
 	Name string     `json:"name"`
 	Pos  strict.Pos `json:"-"`
 }
 
-// Domain is a failure domain: VMs that may fail or be cut off together.
+// Domain is a failure domain: a set of VMs that may fail or be disconnected together.
 type Domain struct {
 	Name   string     `json:"name"`
 	Region string     `json:"region"`
 	Pos    strict.Pos `json:"-"`
 }
 
-// Service is what callers ask for and backend servers serve.
+// Service is what callers request and backend servers provide.
 type Service struct {
 	Name string `json:"name"`
-	// Announced says that no inventory lists its backend servers: each names
-	// its own address and slots when it announces itself, wherever it runs.
-	// Port and Slots are left out then.
+	// Announced means that no inventory lists the backend servers: each one announces its own
+	// address and slots, wherever it runs. Port and Slots are then omitted.
 	Announced bool `json:"announced,omitempty"`
-	// Port is where its backend servers listen on their VM.
+	// Port is the port on which backend servers listen on their VM.
 	Port int `json:"port"`
-	// Slots is how many requests one backend server runs at once.
+	// Slots is how many requests one backend server runs concurrently.
 	Slots int `json:"slots"`
-	// Connections is the most connections kept to one backend server.
+	// Connections is the maximum number of connections to one backend server.
 	Connections int `json:"connections,omitempty"`
-	// Health is the path at which a backend server says whether it serves; empty for
-	// none.
+	// Health is the path of the health check of a backend server; empty for none.
 	Health string `json:"health,omitempty"`
-	// Class is taken for requests whose route names none.
+	// Class is the class of requests whose route declares none.
 	Class string `json:"class,omitempty"`
-	// Deadline is taken for requests whose route and caller give none.
+	// Deadline applies to requests whose route and caller set none.
 	Deadline Duration `json:"deadline,omitempty"`
-	// SlowStart is how long a new backend server gets a growing share.
+	// SlowStart is the time over which the share of a new backend server ramps up.
 	SlowStart Duration   `json:"slow-start,omitempty"`
 	Pos       strict.Pos `json:"-"`
 }
@@ -83,97 +79,95 @@
 	Pos     strict.Pos `json:"-"`
 }
 
-// Class is a kind of request with its own share of the slots.
+// Class is a class of requests with its own share of the slots.
 type Class struct {
 	Name string `json:"name"`
-	// Share is the percentage of a backend server's slots that the class may
-	// always have; what it leaves idle, others may use.
+	// Share is the percentage of a backend server's slots that is reserved for the class. Other
+	// classes may use what it leaves idle.
 	Share int `json:"share"`
 	// Queue is how many of its requests may wait at one backend server.
 	Queue int        `json:"queue,omitempty"`
 	Pos   strict.Pos `json:"-"`
 }
 
-// Repeat says which requests may be sent again after they may have run.
+// Repeat says which requests may be retried even if an earlier attempt may have run.
 type Repeat string
 
 // The values of Repeat. The zero value stands for RepeatSafe.
 const (
-	// RepeatSafe lets only requests with safe methods be repeated.
+	// RepeatSafe allows retries of requests with safe methods only.
 	RepeatSafe Repeat = "safe"
-	// RepeatNever lets none be repeated, whatever its method or headers.
+	// RepeatNever allows no retries, whatever the method or headers.
 	RepeatNever Repeat = "never"
-	// RepeatAlways declares that the requests are idempotent.
+	// RepeatAlways declares that all requests are idempotent.
 	RepeatAlways Repeat = "always"
 )
 
-// Route is a rule: which requests go to which services, and how.
+// Route is a rule that says which requests are sent to which services, and how.
 type Route struct {
 	Name  string   `json:"name"`
 	Match Match    `json:"match"`
 	To    []Target `json:"to"`
 	Class string   `json:"class,omitempty"`
-	// Deadline bounds a request with all its attempts.
+	// Deadline limits the total time of a request with all its attempts.
 	Deadline Duration `json:"deadline,omitempty"`
-	// Objective is the time within which an answer has its full worth.
+	// Objective is the time within which a response has its full value.
 	Objective Duration `json:"objective,omitempty"`
-	// Priority ranks requests that wait for a slot: 0 goes first.
+	// Priority ranks requests that wait for a slot; 0 goes first.
 	Priority int    `json:"priority,omitempty"`
 	Repeat   Repeat `json:"repeat,omitempty"`
-	// Attempts is the most backend servers that a request is sent to; 0 stands
-	// for the daemon's own bound.
+	// Attempts is the maximum number of backend servers that a request is sent to; 0 stands for
+	// the daemon's own limit.
 	Attempts int        `json:"attempts,omitempty"`
 	Pos      strict.Pos `json:"-"`
 }
 
-// Match says which requests a route takes. Of several routes the one with the
-// longest path prefix wins, then the one with more headers, then the one that
-// names methods, then the first by name.
+// Match selects the requests of a route. Of several matching routes the one with the longest path
+// prefix wins, then the one with more headers, then one that lists methods, then the first by name.
 type Match struct {
 	Host       string `json:"host"`
 	PathPrefix string `json:"path-prefix,omitempty"`
-	// Literal compares the prefix byte by byte: /visits/ does not take /visits.
-	// Otherwise a prefix takes whole segments, with or without a slash at its
-	// end.
+	// Literal compares the prefix byte by byte: /visits/ does not match /visits. Otherwise a
+	// prefix matches whole segments, with or without a trailing slash.
 	Literal bool              `json:"literal,omitempty"`
 	Methods []string          `json:"methods,omitempty"`
 	Headers map[string]string `json:"headers,omitempty"`
 	Pos     strict.Pos        `json:"-"`
 }
 
-// Target is a service that gets a share of a route's requests.
+// Target is a service that receives a share of a route's requests.
 type Target struct {
 	Service string     `json:"service"`
 	Weight  int        `json:"weight"`
 	Pos     strict.Pos `json:"-"`
 }
 
-// The words that stand for failure domains in the order of a placement.
+// The keywords for failure domains in the order of a placement.
 const (
-	// OrderOwn is the failure domain of the daemon that picks.
+	// OrderOwn is the failure domain of the daemon that selects the backend server.
 	OrderOwn = "own"
-	// OrderRegion is all failure domains of its region.
+	// OrderRegion is all failure domains in the region of that daemon.
 	OrderRegion = "region"
 	// OrderAny is all failure domains.
 	OrderAny = "any"
 )
 
-// Placement is a rule: where a service's requests may go.
+// Placement is a rule that says where the requests of a service may be sent.
 type Placement struct {
 	Service string `json:"service"`
-	// Order lists failure domains, or the words own, region and any; no
-	// request goes elsewhere.
+	// Order lists failure domains or the keywords own, region and any. No request is sent
+	// elsewhere.
 	Order []string `json:"order"`
-	// Spill lets requests go on to the next of the order when the backend
-	// servers of the first are full or out of reach.
+	// Spill lets requests be sent to the next entry of the order if the backend servers of the
+	// earlier ones are full or unreachable.
 	Spill bool       `json:"spill"`
 	Pos   strict.Pos `json:"-"`
 }
 
-// Duration is a time.Duration written as in "1.5s".
+// Duration is a time.Duration with a text form such as "1.5s".
 type Duration time.Duration
 
-// UnmarshalText reads what time.ParseDuration reads.
+// UnmarshalText parses the format of time.ParseDuration and rejects negative durations.
 func (du *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil || d < 0 {
@@ -183,7 +177,7 @@
 	return nil
 }
 
-// MarshalText returns the form that UnmarshalText reads.
+// MarshalText returns the format that UnmarshalText parses.
 func (du Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(du).String()), nil
 }
--- a/internal/conf/decl/decl_test.go
+++ b/internal/conf/decl/decl_test.go
@@ -14,7 +14,7 @@
 	"github.com/flamingomast/flamingomast/internal/conf/strict"
 )
 
-// validBase declares one of each, without a fault.
+// validBase declares one region, failure domain, class, service and VM, and is valid.
 const validBase = `regions: [{name: vale-sul}]
 failure-domains: [{name: centro, region: vale-sul}]
 classes: [{name: lookup, share: 60}]
@@ -27,12 +27,12 @@
 		name, text string
 		want       []string
 	}{
-		{"no YAML", "regions: [", []string{`m.yaml:1: not YAML: did not find expected node content; mend the syntax on that line`}},
+		{"invalid YAML", "regions: [", []string{`m.yaml:1: not YAML: did not find expected node content; mend the syntax on that line`}},
 		{"unknown key", "servics: []", []string{`m.yaml:1:1: unknown key "servics"; did you mean "services"?`}},
 		{"unknown inner key", "regions: [{name: a, zone: b}]", []string{`m.yaml:1:21: unknown key "zone"; known are name`}},
 		{"repeated key", "regions: []\nregions: []", []string{`m.yaml:2:1: key "regions" is already on line 1; remove one of the two`}},
 		{"not a list", "regions: x", []string{`m.yaml:1:10: regions must be a list, not "x"; start each entry with "- "`}},
-		{"not a number", validBase + "#\nservices: []", []string{`m.yaml:7:1: key "services" is already on line 4; remove one of the two`}},
+		{"repeated list", validBase + "#\nservices: []", []string{`m.yaml:7:1: key "services" is already on line 4; remove one of the two`}},
 		{"number as text", strings.Replace(validBase, "slots: 10", "slots: ten", 1), []string{
 			`m.yaml:4:47: slots must be a whole number, not "ten"`,
 			`m.yaml:4:12: service "booking" has slots 0; set it from 1 to 10000`,
@@ -63,18 +63,18 @@
 		{"no weight", validBase + "routes: [{name: r, match: {host: h}, to: [{service: booking, weight: 0}]}]", []string{
 			`m.yaml:6:10: route "r" has weights that add up to 0; give one target a weight of 1 or more`,
 		}},
-		{"leads nowhere", validBase + "routes: [{name: r, match: {host: h}, to: []}]", []string{
-			`m.yaml:6:10: route "r" leads nowhere; give "to" one service or more`,
+		{"no targets", validBase + "routes: [{name: r, match: {host: h}, to: []}]", []string{
+			`m.yaml:6:10: route "r" has no targets; list one service or more in "to"`,
 		}},
-		{"never matches", validBase + `routes:
+		{"shadowed route", validBase + `routes:
 - {name: a, match: {host: h, path-prefix: /x, methods: [GET, POST]}, to: [{service: booking, weight: 1}]}
 - {name: b, match: {host: h, path-prefix: /x, methods: [POST]}, to: [{service: booking, weight: 1}]}`, []string{
-			`m.yaml:8:3: route "b" can never match all it names: route "a" at m.yaml:7:3 takes the same requests; remove one of the two, or let them differ in path-prefix, methods or headers`,
+			`m.yaml:8:3: route "b" is shadowed in whole or in part: route "a" at m.yaml:7:3 matches the same requests; remove one of the two, or make them differ in path-prefix, methods or headers`,
 		}},
 		{"bad match", validBase + "routes: [{name: r, match: {host: \"H:80\", path-prefix: x, methods: [get], headers: {Host: y}}, to: [{service: booking, weight: 1}]}]", []string{
-			`m.yaml:6:27: route "r" matches the host "H:80"; set match.host to the host name that callers use, in small letters and without a port`,
+			`m.yaml:6:27: route "r" matches the host "H:80"; set match.host to the host name that callers use, in lower case and without a port`,
 			`m.yaml:6:27: route "r" has the path prefix "x"; begin it with "/"`,
-			`m.yaml:6:27: route "r" matches the method "get"; write methods in capital letters, as GET or POST; CONNECT is not carried`,
+			`m.yaml:6:27: route "r" matches the method "get"; write methods in upper case, such as GET or POST; CONNECT is not supported`,
 			`m.yaml:6:27: route "r" matches the header "Host"; name a header other than Host, without spaces`,
 		}},
 		{"bad repeat", validBase + "routes: [{name: r, match: {host: h}, repeat: maybe, to: [{service: booking, weight: 1}]}]", []string{
@@ -94,7 +94,7 @@
 			`m.yaml:6:14: the placement of "booking" names "own" twice; remove one of the two`,
 		}},
 		{"reserved name", strings.Replace(validBase, "{name: centro,", "{name: own, region: vale-sul}, {name: centro,", 1), []string{
-			`m.yaml:2:19: failure domain "own" has a name that placements use as a word; rename it`,
+			`m.yaml:2:19: failure domain "own" has a name that is a keyword of placement orders; rename it`,
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestLargeFile: a file above the limit is refused before it is read, and the
-// others are still checked.
+// TestLargeFile: a file above the size limit is rejected before it is read, and the others are
+// still checked.
 func TestLargeFile(t *testing.T) {
 	dir := t.TempDir()
 	large, small := filepath.Join(dir, "large.yaml"), filepath.Join(dir, "small.yaml")
@@ -129,7 +129,7 @@
 	}
 }
 
-// TestExamples reads both deployments of the brief.
+// TestExamples reads the declarations of both example deployments.
 func TestExamples(t *testing.T) {
 	for _, dir := range []string{"vale-sul", "apuseni"} {
 		ms, err := Read(filepath.Join("..", "..", "..", "examples", dir))
@@ -162,8 +162,8 @@
 	return ms
 }
 
-// TestCanonicalForm: what Print writes reads back as the same mesh, and prints
-// the same again.
+// TestCanonicalForm: the output of Print is parsed as the same mesh, and printing that mesh gives
+// the same output.
 func TestCanonicalForm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := drawMesh(t)
@@ -185,8 +185,7 @@
 	})
 }
 
-// FuzzParse: whatever the bytes, parsing ends with a mesh that passes the
-// check or with problems, and never with a panic.
+// FuzzParse: for any input, Parse returns problems or a mesh that passes Check, and never panics.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validBase))
 	f.Add([]byte("vms: [{name: [}]"))
@@ -194,7 +193,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		ms, prs := Parse(map[string][]byte{"f.yaml": data})
 		if len(prs) == 0 && len(Check(ms)) > 0 {
-			t.Error("parsed without a problem, and does not pass the check")
+			t.Error("parsed without a problem, but fails the check")
 		}
 	})
 }
--- a/internal/conf/decl/doc.go
+++ b/internal/conf/decl/doc.go
@@ -1,4 +1,3 @@
-// Package decl holds what operators declare, an inventory and a few rules,
-// reads it from YAML files, checks it as a whole and prints it in one
-// canonical form.
+// Package decl defines the declarations of operators, an inventory and a few rules. It reads them
+// from YAML files, checks them as a whole and prints them in a canonical form.
 package decl
--- a/internal/conf/decl/named_test.go
+++ b/internal/conf/decl/named_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestNameForms compares the forms of names with what they are documented to be.
+// TestNameForms compares isName and isMethod with regular expressions of the documented forms.
 func TestNameForms(t *testing.T) {
 	name := regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 	host := regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,251}[a-z0-9])?$`)
--- a/internal/conf/decl/read.go
+++ b/internal/conf/decl/read.go
@@ -13,11 +13,11 @@
 	"github.com/flamingomast/flamingomast/internal/conf/strict"
 )
 
-// MaxFileSize is the size in bytes above which a file of declarations is refused.
+// MaxFileSize is the maximum size in bytes of a file of declarations.
 const MaxFileSize = 1 << 20
 
-// Read reads all .yaml files of dir as one Mesh and checks it. The error is a
-// strict.Problems that lists all that is wrong.
+// Read reads all .yaml and .yml files in dir as one Mesh and checks it. The error is a
+// strict.Problems that lists every problem.
 func Read(dir string) (*Mesh, error) {
 	ents, err := os.ReadDir(dir)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return os.ReadFile(path)
 }
 
-// Parse reads files, given by name, as one Mesh and checks it.
+// Parse decodes files, given by name, as one Mesh and checks it.
 func Parse(files map[string][]byte) (*Mesh, strict.Problems) {
 	var ms Mesh
 	var prs strict.Problems
@@ -78,8 +78,8 @@
 		ms.CallerLimits = append(ms.CallerLimits, fileMesh.CallerLimits...)
 	}
 	for _, pr := range Check(&ms) {
-		// What has no place comes from an entry that could not be read, which
-		// is a problem of its own.
+		// A problem without a position comes from an entry that could not be decoded, which
+		// has been reported already.
 		if pr.Pos.Line > 0 {
 			prs = append(prs, pr)
 		}
@@ -87,7 +87,7 @@
 	return &ms, prs
 }
 
-// Sort puts each list into its canonical order, by name.
+// Sort sorts each list by name, which is its canonical order.
 func (ms *Mesh) Sort() {
 	sortByName(ms.Regions, func(rg Region) string { return rg.Name })
 	sortByName(ms.Domains, func(dm Domain) string { return dm.Name })
@@ -103,8 +103,8 @@
 	slices.SortFunc(list, func(a, b T) int { return strings.Compare(name(a), name(b)) })
 }
 
-// Print returns ms as YAML in its canonical form: lists sorted by name, keys
-// in the order of the types, nothing that equals its default.
+// Print returns ms as YAML in its canonical form: lists sorted by name, keys in the order of the
+// struct fields, default values omitted.
 func Print(ms *Mesh) ([]byte, error) {
 	cp := *ms
 	cp.Regions = slices.Clone(ms.Regions)
@@ -129,8 +129,8 @@
 	return yaml.Marshal(&doc)
 }
 
-// clearStyle takes the flow style and the quotes of JSON off a node where they are
-// not needed.
+// clearStyle removes the flow style and quotes of JSON from a node and its children. The encoder
+// adds quotes where they are needed.
 func clearStyle(n *yaml.Node) {
 	n.Style = 0
 	for _, c := range n.Content {
--- a/internal/conf/decl/seed_test.go
+++ b/internal/conf/decl/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// The fixed seed makes the properties the same in each run.
+// A fixed seed makes the property tests draw the same cases in each run.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/internal/conf/pack/decode.go
+++ b/internal/conf/pack/decode.go
@@ -9,24 +9,24 @@
 	"github.com/flamingomast/flamingomast/internal/conf/strict"
 )
 
-// Decode returns the mesh of a content. A kind or field that this release does
-// not know is an error: a version is taken whole or not at all.
+// Decode returns the mesh of a content. A kind or field that this release does not know is an
+// error: a version is applied entirely or not at all.
 func Decode(co *Content) (*decl.Mesh, error) {
 	var de Decoder
 	return de.Decode(co)
 }
 
-// Decoder decodes contents that follow each other. What is the same in the next one is not
-// decoded again: of thousands of routes a version changes a few. The zero value is ready
+// Decoder decodes successive contents. It reuses the declarations that have not changed since the
+// previous one, since a version changes only a few of thousands of routes. The zero value is ready
 // for use; it is not safe for concurrent use.
 type Decoder struct {
-	// last was decoded to mesh, whose lists have its resources in their order.
+	// last is the previous content and mesh its decoded form, with lists in the order of last.
 	last *Content
 	mesh *decl.Mesh
 }
 
-// Decode returns the mesh of a content. The caller must not change it, since parts of it
-// may be shared with others.
+// Decode returns the mesh of a content. The caller must not modify it, since other meshes may
+// share parts of it.
 func (de *Decoder) Decode(co *Content) (*decl.Mesh, error) {
 	ms := &decl.Mesh{}
 	old := cursor{}
@@ -46,21 +46,21 @@
 	return ms, nil
 }
 
-// Reset drops what was decoded last.
+// Reset discards the previous content.
 func (de *Decoder) Reset() { de.last, de.mesh = nil, nil }
 
-// cursor walks through sorted resources.
+// cursor iterates over sorted resources.
 type cursor struct {
 	resources []Resource
 	pos       int
-	// kind is that of the resource at the cursor, index its place among those of its
+	// kind is the kind of the resource at pos, index its position among the resources of that
 	// kind.
 	kind  Kind
 	index int
 }
 
-// seek moves on to the first resource that is not before a key, and reports whether it is
-// the one of the key, and its place among those of its kind.
+// seek advances to the first resource whose key is not less than ky. It returns the position of
+// that resource among those of its kind, and whether its key is ky.
 func (cu *cursor) seek(ky Key) (index int, found bool) {
 	for cu.pos < len(cu.resources) {
 		cur := cu.resources[cu.pos].Key
@@ -77,7 +77,8 @@
 	return 0, false
 }
 
-// appendReused appends the declaration at a place of a list of old to the same list of ms.
+// appendReused appends declaration i of a kind in old to the list of that kind in ms. It reports
+// whether there is one.
 func appendReused(ms, old *decl.Mesh, kind Kind, i int) bool {
 	switch kind {
 	case KindRegion:
@@ -141,7 +142,7 @@
 	return fmt.Errorf("this release does not know the kind %q", rs.Key.Kind)
 }
 
-// decodeInto appends one decoded resource; its key stands for its position.
+// decodeInto decodes one resource and appends it to list. The key takes the place of the position.
 func decodeInto[T any](list *[]T, body []byte, pos func(*T) *strict.Pos, ky Key) error {
 	var v T
 	dec := json.NewDecoder(bytes.NewReader(body))
--- a/internal/conf/pack/delta.go
+++ b/internal/conf/pack/delta.go
@@ -11,17 +11,17 @@
 	"github.com/flamingomast/flamingomast/internal/mesh/wirepb"
 )
 
-// Delta leads from one content to another.
+// Delta holds the changes from one content to another.
 type Delta struct {
-	// Base is the digest of the content it starts from, zero for a whole one.
+	// Base is the digest of the content it applies to, zero if it holds a full content.
 	Base Digest
-	// Digest is that of the content it leads to.
+	// Digest is the digest of the resulting content.
 	Digest  Digest
 	Set     []Resource
 	Removed []Key
 }
 
-// Diff returns the delta from base to next; a nil base gives all of next.
+// Diff returns the delta from base to next. With a nil base it holds all of next.
 func Diff(base, next *Content) *Delta {
 	if base == nil {
 		return &Delta{Digest: next.Digest, Set: next.Resources}
@@ -46,7 +46,7 @@
 	return dt
 }
 
-// compareAt compares the keys at i and j; the end of a list is the highest.
+// compareAt compares the keys at i and j; the end of a list sorts last.
 func compareAt(a []Resource, i int, b []Resource, j int) int {
 	switch {
 	case i == len(a):
@@ -57,7 +57,7 @@
 	return a[i].Key.Compare(b[j].Key)
 }
 
-// Keys returns the keys that the delta changes, sorted.
+// Keys returns the sorted keys of the resources that the delta changes.
 func (dt *Delta) Keys() []Key {
 	kys := slices.Clone(dt.Removed)
 	for _, rs := range dt.Set {
@@ -67,20 +67,19 @@
 	return kys
 }
 
-// MismatchError says that a delta does not lead where it should: it was
-// damaged, or applied to another content than its base.
+// MismatchError reports that a digest is not the expected one: a delta was corrupted, or applied to
+// another content than its base.
 type MismatchError struct {
 	Want, Got Digest
 }
 
-// Error names both digests.
+// Error returns both digests.
 func (er *MismatchError) Error() string {
-	return fmt.Sprintf("pack: digest %s where %s was expected", er.Got, er.Want)
+	return fmt.Sprintf("pack: digest mismatch: got %s, want %s", er.Got, er.Want)
 }
 
-// Apply returns the content that dt leads to from base. The result is compared
-// with the digest it must have, so damage in transit or a wrong base shows as
-// a MismatchError and never as a wrong content.
+// Apply returns the content that results from applying dt to base. It verifies the digest of the
+// result, so corruption in transit or a wrong base gives a MismatchError and never a wrong content.
 func Apply(base *Content, dt *Delta) (*Content, error) {
 	var old []Resource
 	if !dt.Base.IsZero() {
@@ -96,9 +95,9 @@
 	return next, nil
 }
 
-// Advance returns the content want that an encoded delta leads to from base. A
-// damaged delta, one for another base, or one that leads elsewhere is an error,
-// and base stays as it is.
+// Advance decodes a delta, applies it to base and returns the result, whose digest must be want. A
+// corrupted delta, one for another base or one with another result is an error. base is not
+// modified.
 func Advance(base *Content, body []byte, want Digest) (*Content, error) {
 	dt, err := Unmarshal(body)
 	if err != nil {
@@ -114,7 +113,7 @@
 	return co, nil
 }
 
-// merge returns the resources of old with those of dt set and removed.
+// merge applies the changes of dt to the resources old. The result is not sorted.
 func merge(old []Resource, dt *Delta) []Resource {
 	changed := make(map[Key]bool, len(dt.Set)+len(dt.Removed))
 	for _, ky := range dt.Removed {
@@ -135,10 +134,10 @@
 	return res
 }
 
-// MaxDecompressedSize is the size in bytes above which a decompressed delta is refused.
+// MaxDecompressedSize is the maximum size in bytes of a decompressed delta.
 const MaxDecompressedSize = 16 << 20
 
-// windowSize bounds the memory of the coders; contents are far below a megabyte.
+// windowSize limits the memory of the encoder and decoder; contents are far below a megabyte.
 const windowSize = 128 << 10
 
 var (
@@ -148,8 +147,8 @@
 		zstd.WithDecoderMaxMemory(MaxDecompressedSize)))
 )
 
-// The encoder makes its channels at first use. They are made here, so that no
-// test with its own clock owns them.
+// The encoder creates its channels on first use. Using it here keeps them from being created in,
+// and tied to, the synctest bubble of a test.
 var _ = encoder.EncodeAll(nil, nil)
 
 func must[T any](v T, err error) T {
@@ -174,11 +173,11 @@
 	return Compress(must(proto.MarshalOptions{Deterministic: true}.Marshal(pb)))
 }
 
-// Compress returns raw compressed. One coder serves the whole process: coders
-// of their own for each stream would take more memory than all else.
+// Compress compresses raw. One encoder serves the whole process: an encoder for each stream would
+// take more memory than everything else.
 func Compress(raw []byte) []byte { return encoder.EncodeAll(raw, nil) }
 
-// Decompress returns what Compress was given, of at most MaxDecompressedSize bytes.
+// Decompress reverses Compress. A result of more than MaxDecompressedSize bytes is an error.
 func Decompress(body []byte) ([]byte, error) {
 	raw, err := decoder.DecodeAll(body, nil)
 	if err != nil {
@@ -187,7 +186,7 @@
 	return raw, nil
 }
 
-// Unmarshal reads what Marshal returns.
+// Unmarshal decodes the output of Marshal.
 func Unmarshal(body []byte) (*Delta, error) {
 	raw, err := Decompress(body)
 	if err != nil {
@@ -218,7 +217,7 @@
 		return Digest{}, nil
 	}
 	if len(b) != len(Digest{}) {
-		return Digest{}, fmt.Errorf("pack: a digest of %d bytes", len(b))
+		return Digest{}, fmt.Errorf("pack: digest has %d bytes, want 32", len(b))
 	}
 	return Digest(b), nil
 }
--- a/internal/conf/pack/doc.go
+++ b/internal/conf/pack/doc.go
@@ -1,3 +1,3 @@
-// Package pack turns declarations into content that is addressed by its
-// digest, and computes, encodes and applies the deltas between contents.
+// Package pack encodes declarations as contents that are addressed by their digest, and computes,
+// encodes and applies deltas between contents.
 package pack
--- a/internal/conf/pack/history.go
+++ b/internal/conf/pack/history.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// maxBases is how many contents a History keeps as bases of deltas. Who is
-// farther behind gets the whole, which is not much larger than many deltas. Contents
-// share the bodies of equal resources, so each costs little.
+// maxBases is how many contents a History keeps as bases of deltas. Peers that are further behind
+// get the full content, which is not much larger than many deltas. Contents share the bodies of
+// equal resources, so each takes little memory.
 const maxBases = 8
 
-// History keeps the newest contents and encodes deltas between them, each once
-// however many peers ask for it.
+// History keeps the newest contents and encodes deltas from them to the newest one, each once
+// however many peers request it.
 type History struct {
 	mu       sync.Mutex
 	contents []*Content
@@ -28,8 +28,8 @@
 	}
 }
 
-// Body returns the encoded delta from the content base to the content next, if
-// both are known and next is the newest.
+// Body returns the encoded delta from the content base to the content next, if base is kept and
+// next is the newest content.
 func (hi *History) Body(base, next Digest) ([]byte, bool) {
 	hi.mu.Lock()
 	defer hi.mu.Unlock()
@@ -49,7 +49,7 @@
 	return nil, false
 }
 
-// Whole returns the encoding of the newest content, if it is next.
+// Whole returns the newest content encoded in full, if its digest is next.
 func (hi *History) Whole(next Digest) ([]byte, bool) {
 	hi.mu.Lock()
 	defer hi.mu.Unlock()
--- a/internal/conf/pack/pack.go
+++ b/internal/conf/pack/pack.go
@@ -13,7 +13,7 @@
 	"github.com/flamingomast/flamingomast/internal/conf/decl"
 )
 
-// Kind names a list of declarations.
+// Kind is the kind of a resource.
 type Kind string
 
 // The kinds of resources, one for each list of decl.Mesh.
@@ -28,7 +28,7 @@
 	KindLimits    Kind = "caller-limits"
 )
 
-// Key names a resource.
+// Key identifies a resource.
 type Key struct {
 	Kind Kind
 	Name string
@@ -47,14 +47,13 @@
 	return cmp.Or(cmp.Compare(ky.Kind, other.Kind), cmp.Compare(ky.Name, other.Name))
 }
 
-// Resource is one declared thing with its canonical encoding, which is never
-// changed once made.
+// Resource is one declaration in its canonical encoding. Body is immutable.
 type Resource struct {
 	Key  Key
 	Body []byte
 }
 
-// Digest is the SHA-256 sum of a content.
+// Digest is the SHA-256 digest of a content.
 type Digest [sha256.Size]byte
 
 // String returns the digest in hexadecimal.
@@ -63,23 +62,23 @@
 // IsZero reports whether the digest is unset.
 func (dg Digest) IsZero() bool { return dg == Digest{} }
 
-// ParseDigest reads what String returns.
+// ParseDigest parses the form that String returns.
 func ParseDigest(s string) (Digest, error) {
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != sha256.Size {
-		return Digest{}, fmt.Errorf("pack: %q is not a digest", s)
+		return Digest{}, fmt.Errorf("pack: %q is not a SHA-256 digest in hexadecimal", s)
 	}
 	return Digest(b), nil
 }
 
-// Content is a whole configuration: resources sorted by key, and their digest.
-// It is immutable, and contents share the bodies of equal resources.
+// Content is a full configuration: resources sorted by key, and their digest. It is immutable, and
+// contents share the bodies of equal resources.
 type Content struct {
 	Resources []Resource
 	Digest    Digest
 }
 
-// New returns the content of the given resources, which it sorts.
+// New returns the content of the given resources. It sorts res in place.
 func New(res []Resource) *Content {
 	slices.SortFunc(res, func(a, b Resource) int { return a.Key.Compare(b.Key) })
 	return &Content{Resources: res, Digest: computeDigest(res)}
@@ -101,7 +100,7 @@
 	return Digest(hs.Sum(nil))
 }
 
-// Get returns the body of the resource ky, or nil.
+// Get returns the body of the resource with the key ky, or nil if there is none.
 func (co *Content) Get(ky Key) []byte {
 	i, ok := slices.BinarySearchFunc(co.Resources, ky, func(rs Resource, ky Key) int { return rs.Key.Compare(ky) })
 	if !ok {
@@ -110,7 +109,7 @@
 	return co.Resources[i].Body
 }
 
-// Encode returns the content of a mesh.
+// Encode encodes a mesh as a content.
 func Encode(ms *decl.Mesh) (*Content, error) {
 	var res []Resource
 	err := cmp.Or(
--- a/internal/conf/pack/pack_test.go
+++ b/internal/conf/pack/pack_test.go
@@ -23,8 +23,8 @@
 	return New(res)
 }
 
-// TestDelta: the delta between any two contents, sent over the wire, leads from
-// the one to the other, and from no third content to anything.
+// TestDelta: the delta between any two contents, encoded and decoded, must turn the first into the
+// second, and must be rejected for any other base.
 func TestDelta(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawContent(t, "a"), drawContent(t, "b"), drawContent(t, "c")
@@ -53,9 +53,8 @@
 	})
 }
 
-// TestDamage: an encoded delta is damaged or cut short at any place. It is an
-// error, or the damage is such that the content comes out right all the same;
-// never does another content come out.
+// TestDamage: an encoded delta that is corrupted or truncated at any position must give an error or
+// the right content, never another one.
 func TestDamage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawContent(t, "a"), drawContent(t, "b")
@@ -75,13 +74,13 @@
 			return
 		}
 		if diff := cmp.Diff(b, got, cmpopts.EquateEmpty()); diff != "" {
-			t.Fatalf("another content came out (-want +got):\n%s", diff)
+			t.Fatalf("corrupted delta gave another content (-want +got):\n%s", diff)
 		}
 	})
 }
 
-// TestWrongContent: a delta that decodes well, and whose content is not the one
-// that it names, is refused: the checksum of the transfer does not see that.
+// TestWrongContent: a delta that can be decoded but does not give the content of its digest must be
+// rejected. The checksum of the transfer does not detect that.
 func TestWrongContent(t *testing.T) {
 	a := New([]Resource{{Key: Key{Kind: KindVM, Name: "a"}, Body: []byte("1")}})
 	b := New([]Resource{{Key: Key{Kind: KindVM, Name: "a"}, Body: []byte("2")}})
@@ -89,7 +88,7 @@
 	dt.Set[0].Body = []byte("3")
 	var me *MismatchError
 	if co, err := Apply(a, dt); !errors.As(err, &me) {
-		t.Errorf("a wrong content was taken: %v, %v", co, err)
+		t.Errorf("wrong content accepted: %v, %v", co, err)
 	}
 }
 
@@ -101,13 +100,13 @@
 			return
 		}
 		if co, err := Apply(nil, dt); err == nil && co.Digest != computeDigest(co.Resources) {
-			t.Error("a content with a wrong digest")
+			t.Error("content with a wrong digest")
 		}
 	})
 }
 
-// TestUnknownField: a newer release's field is not dropped in silence, since a
-// version is taken whole or not at all.
+// TestUnknownField: a kind or field of a newer release must be an error and not be ignored, since a
+// version is applied entirely or not at all.
 func TestUnknownField(t *testing.T) {
 	for _, rs := range []Resource{
 		{Key: Key{Kind: KindService, Name: "a"}, Body: []byte(`{"name":"a","port":1,"slots":1,"mirror":"b"}`)},
@@ -131,8 +130,8 @@
 	// vm/b
 }
 
-// TestSizes bounds the bytes of a whole content and of one changed rule at the
-// target size.
+// TestSizes limits the encoded size of a full content, and of a delta that changes one route, at the
+// target scale of 790 VMs in 5 failure domains with 73 services.
 func TestSizes(t *testing.T) {
 	ms := sample.Mesh(790, 5, 73)
 	a, err := Encode(ms)
@@ -145,9 +144,9 @@
 		t.Fatal(err)
 	}
 	whole, delta := len(Marshal(Diff(nil, a))), len(Marshal(Diff(a, b)))
-	t.Logf("whole %d B, one rule %d B", whole, delta)
+	t.Logf("full content %d B, one changed route %d B", whole, delta)
 	if whole > 5_200 || delta > 290 {
-		t.Errorf("whole %d B, bound 5200; one rule %d B, bound 290", whole, delta)
+		t.Errorf("full content %d B, want at most 5200; one changed route %d B, want at most 290", whole, delta)
 	}
 }
 
--- a/internal/conf/sample/doc.go
+++ b/internal/conf/sample/doc.go
@@ -1,3 +1,2 @@
-// Package sample makes declarations of any size, for tests, measurements and
-// trials.
+// Package sample generates declarations of any size for tests, benchmarks and trials.
 package sample
--- a/internal/conf/sample/sample.go
+++ b/internal/conf/sample/sample.go
@@ -8,27 +8,27 @@
 	"github.com/flamingomast/flamingomast/internal/conf/decl"
 )
 
-// What each service of a sample has, as in the brief, and its port; services
-// have ports of their own, from this one on.
+// The slots and connections of each service of a sample, as in the requirements, and the port of
+// the first service. Each further service has the next port.
 const (
 	slots       = 10
 	connections = 120
 	firstPort   = 9000
 )
 
-// The classes of a sample and their shares.
+// The classes of a sample and their shares of the slots in percent.
 const (
 	lookup, lookupShare   = "lookup", 40
 	confirm, confirmShare = "confirm", 50
 )
 
-// maxDomainsPerRegion is how many failure domains fit into one region; a sample with more
-// has two regions.
+// maxDomainsPerRegion is the number of failure domains up to which a sample has one region; a
+// sample with more has two.
 const maxDomainsPerRegion = 3
 
-// Mesh declares vms VMs in so many failure domains (d0, d1, …), each running one
-// of so many services (service-0, service-1, …) in turn. Each service has a
-// route for what may not be repeated and a placement.
+// Mesh declares the given numbers of VMs, failure domains (d0, d1, …) and services (service-0,
+// service-1, …). VMs are assigned to failure domains and services in rotation. Each service has a
+// placement and a route for requests that must not be retried.
 func Mesh(vms, domains, services int) *decl.Mesh {
 	ms := &decl.Mesh{Regions: []decl.Region{{Name: "r0"}}}
 	if domains > maxDomainsPerRegion {
@@ -59,7 +59,8 @@
 	ms.Placements = append(ms.Placements, decl.Placement{Service: name, Order: []string{decl.OrderOwn, decl.OrderRegion}, Spill: true})
 }
 
-// Change returns ms with one rule changed, another one for each n.
+// Change returns a copy of ms in which the deadline of one route is changed; n selects the route
+// and the deadline.
 func Change(ms *decl.Mesh, n int) *decl.Mesh {
 	next := *ms
 	next.Routes = slices.Clone(ms.Routes)
--- a/internal/conf/snap/doc.go
+++ b/internal/conf/snap/doc.go
@@ -1,3 +1,3 @@
-// Package snap compiles a configuration into the immutable form in which a
-// daemon holds it, and matches requests against its routes.
+// Package snap compiles a configuration into the immutable snapshot that a daemon holds, and
+// matches requests against its routes.
 package snap
--- a/internal/conf/snap/many_test.go
+++ b/internal/conf/snap/many_test.go
@@ -13,8 +13,9 @@
 	"github.com/flamingomast/flamingomast/internal/conf/sample"
 )
 
-// manyRoutes declares a configuration as the users' largest: most of its routes are never
-// asked for, and a version changes one of them.
+// manyRoutes declares as many routes as the users' largest configuration, where most routes
+// receive no requests and a version changes one of them. The first changed routes have another
+// deadline.
 func manyRoutes(tb testing.TB, changed int) *pack.Content {
 	tb.Helper()
 	const routes = 1600
@@ -40,7 +41,7 @@
 	return co
 }
 
-// BenchmarkManyRoutes compiles versions of 1,600 routes that differ in one of them.
+// BenchmarkManyRoutes compiles two versions with 1,600 routes that differ in one route.
 func BenchmarkManyRoutes(b *testing.B) {
 	one := manyRoutes(b, 0)
 	two, err := pack.Advance(one, pack.Marshal(pack.Diff(one, manyRoutes(b, 1))), manyRoutes(b, 1).Digest)
@@ -65,9 +66,9 @@
 	}
 }
 
-// TestInTurn: versions compiled one after the other by one compiler are the same as each
-// compiled by itself, whatever is added, changed and removed between them, and one that
-// cannot be compiled changes nothing for the next.
+// TestInTurn: one Compiler must return the same snapshots for successive versions as separate
+// calls of Compile, whatever is added, changed or removed between them, also after a version that
+// cannot be compiled.
 func TestInTurn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var cp Compiler
@@ -87,14 +88,14 @@
 				t.Fatalf("version %d: error %v, want %v", v, gerr, werr)
 			}
 			if diff := cmp.Diff(want, got, cmp.AllowUnexported(Snapshot{}, Service{}, Route{}, header{})); diff != "" {
-				t.Fatalf("version %d (-alone +in turn):\n%s", v, diff)
+				t.Fatalf("version %d (-separate +successive):\n%s", v, diff)
 			}
 		}
 	})
 }
 
-// TestCompileAllocates: a version that changes one of 1,600 routes. All were decoded again,
-// 4.6 MB of garbage at every daemon for each of 25 versions in five seconds.
+// TestCompileAllocates: a version that changes one of 1,600 routes must not decode all of them
+// again. Doing so made 4.6 MB of garbage at every daemon for each of 25 versions in five seconds.
 func TestCompileAllocates(t *testing.T) {
 	one, two := manyRoutes(t, 0), manyRoutes(t, 1)
 	var cp Compiler
@@ -107,6 +108,6 @@
 	})
 	const maxAllocs = 2 * 1600 * 4
 	if n > maxAllocs {
-		t.Errorf("%v allocations for two versions, bound %d", n, maxAllocs)
+		t.Errorf("%v allocations for two versions, want at most %d", n, maxAllocs)
 	}
 }
--- a/internal/conf/snap/match.go
+++ b/internal/conf/snap/match.go
@@ -6,9 +6,8 @@
 	"strings"
 )
 
-// Match returns the route of a request, or nil when none takes it. The host
-// may bear a port. Requests that no declared route of their host takes go to
-// the service that has the host as its name.
+// Match returns the route for a request, or nil if there is none. The host may include a port.
+// Requests that match no declared route of their host go to the service whose name is the host.
 func (sn *Snapshot) Match(method, host, path string, hdr http.Header) *Route {
 	host = hostName(host)
 	for _, rt := range sn.routesByHost[host] {
@@ -44,7 +43,7 @@
 	return true
 }
 
-// underPrefix reports whether path is prefix or below it, by whole segments.
+// underPrefix reports whether path equals prefix or is below it, comparing whole segments.
 func underPrefix(path, prefix string) bool {
 	return strings.HasPrefix(path, prefix) && (len(path) == len(prefix) || path[len(prefix)] == '/')
 }
--- a/internal/conf/snap/snap.go
+++ b/internal/conf/snap/snap.go
@@ -11,11 +11,11 @@
 	"github.com/flamingomast/flamingomast/internal/conf/pack"
 )
 
-// DefaultDeadline bounds requests for which nothing else is declared.
+// DefaultDeadline is the deadline of requests for which no other is declared.
 const DefaultDeadline = 10 * time.Second
 
-// Snapshot is one version of the configuration, compiled for one failure
-// domain. It never changes, and every pointer in it leads to a part of itself.
+// Snapshot is one version of the configuration, compiled for one failure domain. It is immutable,
+// and its pointers refer only to parts of itself.
 type Snapshot struct {
 	Version uint64
 	Digest  pack.Digest
@@ -23,15 +23,15 @@
 	Domain   string
 	Domains  []string
 	Services map[string]*Service
-	// ServiceList has the services in the order of their Index.
+	// ServiceList lists the services in the order of their Index.
 	ServiceList []*Service
 	VMs         map[string]VM
-	// Limits bounds callers; its zero fields stand for the daemon's own bounds.
+	// Limits holds the limits for callers; a zero field stands for the daemon's own limit.
 	Limits decl.CallerLimits
-	// Classes has the classes in the order of their Index; the first one is
-	// for requests without a class.
+	// Classes lists the classes in the order of their Index; the first one is for requests
+	// without a class.
 	Classes []*Class
-	// RouteList has all routes in the order of their Index.
+	// RouteList lists all routes in the order of their Index.
 	RouteList    []*Route
 	routesByHost map[string][]*Route
 }
@@ -40,15 +40,14 @@
 type Service struct {
 	decl.Service
 	Index int
-	// Tiers are the failure domains that its requests may go to, the preferred
-	// ones first.
+	// Tiers are the failure domains to which requests may be sent, in order of preference.
 	Tiers [][]string
 	Spill bool
-	// defaultRoute takes requests whose host is the service's own name.
+	// defaultRoute is for requests whose host is the name of the service.
 	defaultRoute *Route
 }
 
-// VM is where a declared VM is and what it runs.
+// VM holds the failure domain and the service of a declared VM.
 type VM struct {
 	Domain, Service string
 }
@@ -62,19 +61,18 @@
 // Route is a declared route.
 type Route struct {
 	Name string
-	// Index counts the routes, those of services included.
+	// Index numbers the routes, including the default routes of services.
 	Index    int
 	Targets  []Target
 	Class    *Class
 	Deadline time.Duration
-	// Objective is the time within which an answer has its full worth, 0 where
-	// none is declared.
+	// Objective is the time within which a response has its full value, 0 if none is declared.
 	Objective time.Duration
-	// Priority ranks requests that wait: 0 goes first.
+	// Priority ranks waiting requests; 0 goes first.
 	Priority int
 	Repeat   decl.Repeat
-	// Attempts is the most backend servers that a request is sent to, 0 for
-	// the daemon's own bound.
+	// Attempts is the maximum number of backend servers that a request is sent to, 0 for the
+	// daemon's own limit.
 	Attempts int
 	prefix   string
 	literal  bool
@@ -82,17 +80,17 @@
 	headers  []header
 }
 
-// Target is a service with the part of the requests up to which it takes them,
-// in units of 1/Total.
+// Target is a service of a route and the sum of the weights of the targets up to and including
+// this one.
 type Target struct {
 	Service *Service
 	UpTo    int
 }
 
-// Total returns the sum of the weights of a route's targets.
+// Total returns the sum of the weights of the route's targets.
 func (rt *Route) Total() int { return rt.Targets[len(rt.Targets)-1].UpTo }
 
-// Target returns the service for a draw from 0 to Total-1.
+// Target returns the service for a random draw from 0 to TotalWeight-1.
 func (rt *Route) Target(draw int) *Service {
 	for i := range rt.Targets {
 		if draw < rt.Targets[i].UpTo {
@@ -106,20 +104,20 @@
 	name, value string
 }
 
-// DefaultClass names the class of requests that have none.
+// DefaultClass is the name of the class of requests that declare none.
 const DefaultClass = "default"
 
-// defaultQueue is how many requests of a class without a declared queue may
-// wait at one backend server.
+// defaultQueue is how many requests of a class may wait at one backend server if the class
+// declares no queue.
 const defaultQueue = 16
 
-// CompileError says why this release cannot hold a version.
+// CompileError reports why this release cannot compile a version.
 type CompileError struct {
 	Version uint64
 	Err     error
 }
 
-// Error names the version and the reason.
+// Error returns the version and the cause.
 func (er *CompileError) Error() string {
 	return fmt.Sprintf("version %d cannot be compiled: %v", er.Version, er.Err)
 }
@@ -127,24 +125,24 @@
 // Unwrap returns the cause.
 func (er *CompileError) Unwrap() error { return er.Err }
 
-// Compile returns the snapshot of a whole content for a failure domain, or a
-// *CompileError. It runs the operators' check again: a content that a newer
-// release accepted may not pass this one's.
+// Compile returns the snapshot of a content for a failure domain, or a *CompileError. It repeats
+// the check that operators run: a content that a newer release accepted may fail the check of
+// this one.
 func Compile(version uint64, co *pack.Content, domain string) (*Snapshot, error) {
 	var cp Compiler
 	return cp.Compile(version, co, domain)
 }
 
-// Compiler compiles versions that follow each other, which takes less than to compile each
-// by itself. The zero value is ready for use; it is not safe for concurrent use.
+// Compiler compiles successive versions. It reuses what has not changed, which is cheaper than
+// separate calls of Compile. The zero value is ready for use; it is not safe for concurrent use.
 type Compiler struct {
 	de pack.Decoder
 }
 
-// Forget drops what the compiler keeps of the last version.
+// Forget discards what the compiler keeps of the last version.
 func (cp *Compiler) Forget() { cp.de.Reset() }
 
-// Compile does what the function of that name does.
+// Compile is like the function Compile.
 func (cp *Compiler) Compile(version uint64, co *pack.Content, domain string) (*Snapshot, error) {
 	ms, err := cp.de.Decode(co)
 	if err != nil {
@@ -239,7 +237,7 @@
 	return DefaultDeadline
 }
 
-// tiers resolves the words of an order; each failure domain is in one tier.
+// tiers resolves the keywords of a placement order; each failure domain is in one tier at most.
 func (sn *Snapshot) tiers(order []string, regions map[string]string) [][]string {
 	used := map[string]bool{}
 	var tiers [][]string
@@ -286,7 +284,7 @@
 		for h, v := range drt.Match.Headers {
 			rt.headers = append(rt.headers, header{name: http.CanonicalHeaderKey(h), value: v})
 		}
-		// The targets of all routes stand in few arrays, as most have one.
+		// Most routes have one target, so the targets of all routes share few backing arrays.
 		sum, from := 0, len(targets)
 		for _, tg := range drt.To {
 			sum += tg.Weight
@@ -306,7 +304,7 @@
 	}
 }
 
-// compareSpecificity orders routes as decl.Match says.
+// compareSpecificity orders routes by the precedence that decl.Match documents.
 func compareSpecificity(a, b *Route) int {
 	switch {
 	case len(a.prefix) != len(b.prefix):
--- a/internal/conf/snap/snap_test.go
+++ b/internal/conf/snap/snap_test.go
@@ -98,12 +98,12 @@
 		t.Errorf("shares (-want +got):\n%s", diff)
 	}
 	if rt.Class.Name != "lookup" || rt.Deadline.String() != "3s" || rt.Repeat != decl.RepeatSafe {
-		t.Errorf("route %+v does not take the defaults of its service", rt)
+		t.Errorf("route %+v does not inherit the defaults of its service", rt)
 	}
 }
 
-// TestRefusedWhole: a version with a dangling route must not be compiled, even
-// if some other release accepted it.
+// TestRefusedWhole: a version with a dangling route must be rejected entirely, even if another
+// release accepted it.
 func TestRefusedWhole(t *testing.T) {
 	ms := &decl.Mesh{Routes: []decl.Route{{Name: "r", Match: decl.Match{Host: "h"}, To: []decl.Target{{Service: "gone", Weight: 1}}}}}
 	co, err := pack.Encode(ms)
@@ -116,7 +116,7 @@
 	}
 }
 
-// compileSample compiles a sample.
+// compileSample compiles a sample of the given size.
 func compileSample(t testing.TB, vms, services int) *Snapshot {
 	t.Helper()
 	co, err := pack.Encode(sample.Mesh(vms, 5, services))
@@ -130,12 +130,12 @@
 	return sn
 }
 
-// TestMatchAllocations: matching is on the path of each request.
+// TestMatchAllocations: Match runs for each request, so it must not allocate.
 func TestMatchAllocations(t *testing.T) {
 	sn := compileSample(t, 10, 73)
 	hdr := http.Header{}
 	if n := testing.AllocsPerRun(100, func() { sn.Match("POST", "service-7.example:80", "/confirm/1", hdr) }); n > 0 {
-		t.Errorf("%v allocations a match", n)
+		t.Errorf("%v allocations per match, want 0", n)
 	}
 }
 
--- a/internal/conf/strict/doc.go
+++ b/internal/conf/strict/doc.go
@@ -1,4 +1,3 @@
-// Package strict reads YAML into plain structs and reports every problem with
-// its file, line, column and remedy, where a YAML library stops at the first
-// or drops what it does not know.
+// Package strict decodes YAML into plain structs. It reports every problem with its file, line,
+// column and remedy, where a YAML library stops at the first one or ignores unknown keys.
 package strict
--- a/internal/conf/strict/problem.go
+++ b/internal/conf/strict/problem.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Pos is a place in a file; line and column count from 1.
+// Pos is a position in a file; line and column count from 1.
 type Pos struct {
 	File   string
 	Line   int
 	Column int
 }
 
-// String returns the position as file:line:column, leaving out what is unset.
+// String returns the position as file:line:column without the parts that are unset.
 func (pos Pos) String() string {
 	switch {
 	case pos.Line == 0:
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("%s:%d:%d", pos.File, pos.Line, pos.Column)
 }
 
-// Problem is one thing that is wrong with an input, and how to mend it.
+// Problem is one error in an input, and how to fix it.
 type Problem struct {
 	Pos    Pos
 	What   string
@@ -39,10 +39,10 @@
 	return fmt.Sprintf("%s: %s; %s", pr.Pos, pr.What, pr.Remedy)
 }
 
-// Problems lists all that is wrong with an input.
+// Problems lists the problems of an input.
 type Problems []Problem
 
-// Error returns the problems, a line each.
+// Error returns the problems, one per line.
 func (prs Problems) Error() string {
 	lines := make([]string, len(prs))
 	for i, pr := range prs {
@@ -56,7 +56,7 @@
 	*prs = append(*prs, Problem{Pos: pos, What: message, Remedy: remedy})
 }
 
-// Err returns the problems sorted by position, or nil when there are none.
+// Err returns the problems sorted by position, or nil if there are none.
 func (prs Problems) Err() error {
 	if len(prs) == 0 {
 		return nil
--- a/internal/conf/strict/strict.go
+++ b/internal/conf/strict/strict.go
@@ -15,12 +15,11 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Decode reads the YAML document in data into the struct that dst points to.
+// Decode decodes the YAML document in data into the struct that dst points to.
 //
-// Keys are matched by the json tag of the fields. A field named Pos of type
-// Pos receives the place of its struct. Unknown and repeated keys, values of
-// the wrong type, anchors and further documents are problems; all of them are
-// returned, and dst then holds what could be read.
+// Keys are matched with the json tags of the fields. A field of type Pos receives the position of
+// its struct. Unknown and duplicate keys, values of the wrong type, anchors and further documents
+// are problems. All problems are returned, and dst holds what could be decoded.
 func Decode(file string, data []byte, dst any) Problems {
 	de := &decoder{file: file}
 	dec := yaml.NewDecoder(bytes.NewReader(data))
@@ -142,7 +141,7 @@
 		}
 		v.SetInt(i)
 	default:
-		panic("strict: no reader for " + v.Type().String())
+		panic("strict: unsupported type " + v.Type().String())
 	}
 }
 
@@ -153,7 +152,7 @@
 	case reflect.Int:
 		return "a whole number"
 	}
-	return "a text"
+	return "a string"
 }
 
 func (de *decoder) decodeList(n *yaml.Node, v reflect.Value, subject string) {
@@ -207,7 +206,7 @@
 	})
 }
 
-// eachPair calls fn for each key of the mapping n and reports repeated keys.
+// eachPair calls fn for each key of the mapping n and reports duplicate keys.
 func (de *decoder) eachPair(n *yaml.Node, fn func(key string, k, val *yaml.Node)) {
 	lines := map[string]int{}
 	for i := 0; i+1 < len(n.Content); i += 2 {
@@ -221,7 +220,8 @@
 	}
 }
 
-// Suggest returns a remedy for an unknown name: the nearest known one, or all.
+// Suggest returns a remedy for an unknown name: the most similar known name, or else a list of the
+// known names.
 func Suggest(name string, known []string) string {
 	best, dist := "", 3
 	for _, k := range known {
@@ -243,7 +243,7 @@
 	return "known are " + strings.Join(sorted, ", ")
 }
 
-// editDistance is the Levenshtein distance of two short names.
+// editDistance returns the Levenshtein distance of two short names.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
