--- a/internal/conf/pack/pack_test.go
+++ b/internal/conf/pack/pack_test.go
@@ -43,11 +43,11 @@
 		if got, err := Apply(c, dt); c.Digest != a.Digest && !errors.As(err, &me) {
 			t.Fatalf("applied to another base: %v, %v", got, err)
 		}
-		whole, err := Unmarshal(Marshal(Diff(nil, b)))
+		full, err := Unmarshal(Marshal(Diff(nil, b)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Apply(nil, whole); err != nil || got.Digest != b.Digest {
+		if got, err := Apply(nil, full); err != nil || got.Digest != b.Digest {
 			t.Fatalf("whole: %v, %v", got, err)
 		}
 	})
@@ -143,10 +143,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole, delta := len(Marshal(Diff(nil, a))), len(Marshal(Diff(a, b)))
-	t.Logf("full content %d B, one changed route %d B", whole, delta)
-	if whole > 5_200 || delta > 290 {
-		t.Errorf("full content %d B, want at most 5200; one changed route %d B, want at most 290", whole, delta)
+	full, delta := len(Marshal(Diff(nil, a))), len(Marshal(Diff(a, b)))
+	t.Logf("full content %d B, one changed route %d B", full, delta)
+	if full > 5_200 || delta > 290 {
+		t.Errorf("full content %d B, want at most 5200; one changed route %d B, want at most 290", full, delta)
 	}
 }
 
--- a/internal/conf/sample/sample.go
+++ b/internal/conf/sample/sample.go
@@ -22,16 +22,16 @@
 	confirm, confirmShare = "confirm", 50
 )
 
-// maxDomainsPerRegion is the number of failure domains up to which a sample has one region; a
+// singleRegionDomains is the number of failure domains up to which a sample has one region; a
 // sample with more has two.
-const maxDomainsPerRegion = 3
+const singleRegionDomains = 3
 
 // Mesh declares the given numbers of VMs, failure domains (d0, d1, …) and services (service-0,
 // service-1, …). VMs are assigned to failure domains and services in rotation. Each service has a
 // placement and a route for requests that must not be retried.
 func Mesh(vms, domains, services int) *decl.Mesh {
 	ms := &decl.Mesh{Regions: []decl.Region{{Name: "r0"}}}
-	if domains > maxDomainsPerRegion {
+	if domains > singleRegionDomains {
 		ms.Regions = append(ms.Regions, decl.Region{Name: "r1"})
 	}
 	for i := range domains {
