--- a/internal/conf/decl/read.go
+++ b/internal/conf/decl/read.go
@@ -13,11 +13,11 @@
 	"github.com/flamingomast/flamingomast/internal/conf/strict"
 )
 
-// MaxFile is the size in bytes above which a file of declarations is refused.
-const MaxFile = 1 << 20
+// MaxFileSize is the maximum size in bytes of a file of declarations.
+const MaxFileSize = 1 << 20
 
-// Read reads all .yaml files of dir as one Mesh and checks it. The error is a
-// strict.Problems that lists all that is wrong.
+// Read reads all .yaml and .yml files in dir as one Mesh and checks it. The error is a
+// strict.Problems that lists every problem.
 func Read(dir string) (*Mesh, error) {
 	ents, err := os.ReadDir(dir)
 	if err != nil {
@@ -41,8 +41,8 @@
 	if len(files) == 0 && len(prs) == 0 {
 		prs.Add(strict.Pos{File: dir}, "no .yaml file in it", "name a directory that holds the declarations")
 	}
-	ms, more := Parse(files)
-	return ms, append(prs, more...).Err()
+	ms, parseProblems := Parse(files)
+	return ms, append(prs, parseProblems...).Err()
 }
 
 func readFile(path string) ([]byte, error) {
@@ -50,13 +50,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if fi.Size() > MaxFile {
-		return nil, fmt.Errorf("the file has %d bytes, more than %d", fi.Size(), MaxFile)
+	if fi.Size() > MaxFileSize {
+		return nil, fmt.Errorf("the file has %d bytes, more than %d", fi.Size(), MaxFileSize)
 	}
 	return os.ReadFile(path)
 }
 
-// Parse reads files, given by name, as one Mesh and checks it.
+// Parse decodes files, given by name, as one Mesh and checks it.
 func Parse(files map[string][]byte) (*Mesh, strict.Problems) {
 	var ms Mesh
 	var prs strict.Problems
@@ -66,20 +66,20 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		var one Mesh
-		prs = append(prs, strict.Decode(name, files[name], &one)...)
-		ms.Regions = append(ms.Regions, one.Regions...)
-		ms.Domains = append(ms.Domains, one.Domains...)
-		ms.Services = append(ms.Services, one.Services...)
-		ms.VMs = append(ms.VMs, one.VMs...)
-		ms.Classes = append(ms.Classes, one.Classes...)
-		ms.Routes = append(ms.Routes, one.Routes...)
-		ms.Placements = append(ms.Placements, one.Placements...)
-		ms.CallerLimits = append(ms.CallerLimits, one.CallerLimits...)
+		var fileMesh Mesh
+		prs = append(prs, strict.Decode(name, files[name], &fileMesh)...)
+		ms.Regions = append(ms.Regions, fileMesh.Regions...)
+		ms.Domains = append(ms.Domains, fileMesh.Domains...)
+		ms.Services = append(ms.Services, fileMesh.Services...)
+		ms.VMs = append(ms.VMs, fileMesh.VMs...)
+		ms.Classes = append(ms.Classes, fileMesh.Classes...)
+		ms.Routes = append(ms.Routes, fileMesh.Routes...)
+		ms.Placements = append(ms.Placements, fileMesh.Placements...)
+		ms.CallerLimits = append(ms.CallerLimits, fileMesh.CallerLimits...)
 	}
 	for _, pr := range Check(&ms) {
-		// What has no place comes from an entry that could not be read, which
-		// is a problem of its own.
+		// A problem without a position comes from an entry that could not be decoded, which
+		// has been reported already.
 		if pr.Pos.Line > 0 {
 			prs = append(prs, pr)
 		}
@@ -87,24 +87,24 @@
 	return &ms, prs
 }
 
-// Sort puts each list into its canonical order, by name.
+// Sort sorts each list by name, which is its canonical order.
 func (ms *Mesh) Sort() {
-	byName(ms.Regions, func(rg Region) string { return rg.Name })
-	byName(ms.Domains, func(dm Domain) string { return dm.Name })
-	byName(ms.Services, func(sv Service) string { return sv.Name })
-	byName(ms.VMs, func(vm VM) string { return vm.Name })
-	byName(ms.Classes, func(cl Class) string { return cl.Name })
-	byName(ms.Routes, func(rt Route) string { return rt.Name })
-	byName(ms.Placements, func(pl Placement) string { return pl.Service })
-	byName(ms.CallerLimits, func(cl CallerLimits) string { return cl.Name })
+	sortByName(ms.Regions, func(rg Region) string { return rg.Name })
+	sortByName(ms.Domains, func(dm Domain) string { return dm.Name })
+	sortByName(ms.Services, func(sv Service) string { return sv.Name })
+	sortByName(ms.VMs, func(vm VM) string { return vm.Name })
+	sortByName(ms.Classes, func(cl Class) string { return cl.Name })
+	sortByName(ms.Routes, func(rt Route) string { return rt.Name })
+	sortByName(ms.Placements, func(pl Placement) string { return pl.Service })
+	sortByName(ms.CallerLimits, func(cl CallerLimits) string { return cl.Name })
 }
 
-func byName[T any](list []T, name func(T) string) {
+func sortByName[T any](list []T, name func(T) string) {
 	slices.SortFunc(list, func(a, b T) int { return strings.Compare(name(a), name(b)) })
 }
 
-// Print returns ms as YAML in its canonical form: lists sorted by name, keys
-// in the order of the types, nothing that equals its default.
+// Print returns ms as YAML in its canonical form: lists sorted by name, keys in the order of the
+// struct fields, default values omitted.
 func Print(ms *Mesh) ([]byte, error) {
 	cp := *ms
 	cp.Regions = slices.Clone(ms.Regions)
@@ -125,15 +125,15 @@
 	if err := yaml.Unmarshal(js, &doc); err != nil {
 		return nil, err
 	}
-	plain(&doc)
+	clearStyle(&doc)
 	return yaml.Marshal(&doc)
 }
 
-// plain takes the flow style and the quotes of JSON off a node where they are
-// not needed.
-func plain(n *yaml.Node) {
+// clearStyle removes the flow style and quotes of JSON from a node and its children. The encoder
+// adds quotes where they are needed.
+func clearStyle(n *yaml.Node) {
 	n.Style = 0
 	for _, c := range n.Content {
-		plain(c)
+		clearStyle(c)
 	}
 }
