--- a/internal/conf/accept/head.go
+++ b/internal/conf/accept/head.go
@@ -139,9 +139,9 @@
 	return decodeContent(nil, body, en)
 }
 
-// Step reads the content of an entry as a delta from base if the store holds one, and in full
+// ContentFrom reads the content of an entry as a delta from base if the store holds one, and in full
 // otherwise.
-func Step(ctx context.Context, kv store.Store, base *pack.Content, en Entry) (*pack.Content, error) {
+func ContentFrom(ctx context.Context, kv store.Store, base *pack.Content, en Entry) (*pack.Content, error) {
 	if base == nil {
 		return Content(ctx, kv, en)
 	}
@@ -160,7 +160,7 @@
 	if err != nil {
 		return nil, err
 	}
-	co, err := pack.Advance(base, body, want)
+	co, err := pack.ApplyEncoded(base, body, want)
 	if err != nil {
 		return nil, fmt.Errorf("accept: version %d: %w", en.Version, err)
 	}
--- a/internal/conf/accept/submit.go
+++ b/internal/conf/accept/submit.go
@@ -26,7 +26,7 @@
 	Commit  string
 	// NoRebase makes Content replace everything in force at Base and conflict with any version
 	// accepted since.
-	Whole bool
+	NoRebase bool
 	// Floor is the highest version that the fleet is known to hold.
 	Floor uint64
 	// Resume lets the next version follow Floor if the platform has lost versions that the fleet
@@ -34,7 +34,7 @@
 	Resume bool
 	// OnRemoveError, if set, is called for each old key that could not be removed. The key takes
 	// up space until the platform's owner removes it, and has no other effect.
-	Kept func(key string, err error)
+	OnRemoveError func(key string, err error)
 }
 
 // Status is the outcome of a submission.
@@ -201,7 +201,7 @@
 	if sm.sub.Base == last.Version {
 		return sm.sub.Content, old, nil
 	}
-	if sm.sub.Whole {
+	if sm.sub.NoRebase {
 		return nil, nil, &ConflictError{Keys: []pack.Key{{Kind: "version", Name: fmt.Sprint(last.Version)}}, Base: sm.sub.Base, Theirs: last}
 	}
 	en, err := Find(ctx, sm.kv, hd, sm.sub.Base)
@@ -352,8 +352,8 @@
 	if err == nil && ent.Revision.Exists() {
 		_, _, err = sm.kv.Swap(ctx, store.Change{Key: key, Revision: ent.Revision, Remove: true})
 	}
-	if err != nil && sm.sub.Kept != nil {
-		sm.sub.Kept(key, err)
+	if err != nil && sm.sub.OnRemoveError != nil {
+		sm.sub.OnRemoveError(key, err)
 	}
 }
 
@@ -367,7 +367,7 @@
 	}
 	_, err = Submit(ctx, kv, Submission{
 		ID: fmt.Sprintf("restore-%d-%.12s", version, co.Digest), Base: hd.Last.Version, Content: co, Author: "flamingomast",
-		Whole: true, Floor: version - 1, Resume: true,
+		NoRebase: true, Floor: version - 1, Resume: true,
 	})
 	return err
 }
--- a/internal/conf/snap/snap.go
+++ b/internal/conf/snap/snap.go
@@ -83,17 +83,17 @@
 // Target is a service of a route and the sum of the weights of the targets up to and including
 // this one.
 type Target struct {
-	Service *Service
-	UpTo    int
+	Service          *Service
+	CumulativeWeight int
 }
 
-// Total returns the sum of the weights of the route's targets.
-func (rt *Route) Total() int { return rt.Targets[len(rt.Targets)-1].UpTo }
+// TotalWeight returns the sum of the weights of the route's targets.
+func (rt *Route) TotalWeight() int { return rt.Targets[len(rt.Targets)-1].CumulativeWeight }
 
 // Target returns the service for a random draw from 0 to TotalWeight-1.
 func (rt *Route) Target(draw int) *Service {
 	for i := range rt.Targets {
-		if draw < rt.Targets[i].UpTo {
+		if draw < rt.Targets[i].CumulativeWeight {
 			return rt.Targets[i].Service
 		}
 	}
@@ -139,8 +139,8 @@
 	de pack.Decoder
 }
 
-// Forget discards what the compiler keeps of the last version.
-func (cp *Compiler) Forget() { cp.de.Reset() }
+// Reset discards what the compiler keeps of the last version.
+func (cp *Compiler) Reset() { cp.de.Reset() }
 
 // Compile is like the function Compile.
 func (cp *Compiler) Compile(version uint64, co *pack.Content, domain string) (*Snapshot, error) {
@@ -211,7 +211,7 @@
 		sv := &Service{Service: dsv, Index: len(sn.ServiceList), Spill: pl.Spill, Tiers: sn.tiers(pl.Order, regions)}
 		sv.defaultRoute = &Route{
 			Name:     "service " + sv.Name,
-			Targets:  []Target{{Service: sv, UpTo: 1}},
+			Targets:  []Target{{Service: sv, CumulativeWeight: 1}},
 			Class:    classes[sv.Class],
 			Deadline: effectiveDeadline(0, sv),
 			Repeat:   decl.RepeatSafe,
@@ -288,7 +288,7 @@
 		sum, from := 0, len(targets)
 		for _, tg := range drt.To {
 			sum += tg.Weight
-			targets = append(targets, Target{Service: sn.Services[tg.Service], UpTo: sum})
+			targets = append(targets, Target{Service: sn.Services[tg.Service], CumulativeWeight: sum})
 		}
 		rt.Targets = targets[from:len(targets):len(targets)]
 		rt.Class = classes[drt.Class]
--- a/internal/conf/strict/problem.go
+++ b/internal/conf/strict/problem.go
@@ -26,17 +26,17 @@
 
 // Problem is one error in an input, and how to fix it.
 type Problem struct {
-	Pos    Pos
-	What   string
-	Remedy string
+	Pos     Pos
+	Message string
+	Remedy  string
 }
 
 // Error returns the problem on one line.
 func (pr Problem) Error() string {
 	if pr.Remedy == "" {
-		return fmt.Sprintf("%s: %s", pr.Pos, pr.What)
+		return fmt.Sprintf("%s: %s", pr.Pos, pr.Message)
 	}
-	return fmt.Sprintf("%s: %s; %s", pr.Pos, pr.What, pr.Remedy)
+	return fmt.Sprintf("%s: %s; %s", pr.Pos, pr.Message, pr.Remedy)
 }
 
 // Problems lists the problems of an input.
@@ -53,7 +53,7 @@
 
 // Add appends a problem.
 func (prs *Problems) Add(pos Pos, message, remedy string) {
-	*prs = append(*prs, Problem{Pos: pos, What: message, Remedy: remedy})
+	*prs = append(*prs, Problem{Pos: pos, Message: message, Remedy: remedy})
 }
 
 // Err returns the problems sorted by position, or nil if there are none.
--- a/internal/mesh/ctrl/node.go
+++ b/internal/mesh/ctrl/node.go
@@ -93,7 +93,7 @@
 			}
 			base = known.Content
 		}
-		co, err := accept.Step(ctx, kv, base, hd.Last)
+		co, err := accept.ContentFrom(ctx, kv, base, hd.Last)
 		return hd.Last.Version, co, err
 	}
 	restore := func(ctx context.Context, kv store.Store, cfg *board.Config) error {
--- a/internal/mesh/ctrl/peers.go
+++ b/internal/mesh/ctrl/peers.go
@@ -28,7 +28,7 @@
 	}
 	dg := cfg.Content.Digest
 	vn := &wirepb.Version{Number: cfg.Version, Digest: dg[:]}
-	if body, ok := nd.history.Body(base, dg); ok && !base.IsZero() && len(body) <= maxInline {
+	if body, ok := nd.history.EncodedDelta(base, dg); ok && !base.IsZero() && len(body) <= maxInline {
 		vn.Base, vn.Body = base[:], body
 	}
 	return vn
@@ -404,7 +404,7 @@
 		return
 	}
 	if cur != nil && len(vn.Body) > 0 {
-		if co, err := pack.Advance(cur.Content, vn.Body, dg); err == nil {
+		if co, err := pack.ApplyEncoded(cur.Content, vn.Body, dg); err == nil {
 			nd.adoptVersion(vn.Number, co)
 			return
 		}
@@ -483,7 +483,7 @@
 	if len(ms.Digest) != len(pack.Digest{}) {
 		return 0, &pack.MismatchError{}
 	}
-	co, err := pack.Advance(base, ms.Body, pack.Digest(ms.Digest))
+	co, err := pack.ApplyEncoded(base, ms.Body, pack.Digest(ms.Digest))
 	if err != nil {
 		return 0, err
 	}
--- a/internal/mesh/ctrl/serve.go
+++ b/internal/mesh/ctrl/serve.go
@@ -181,7 +181,7 @@
 	dg := cfg.Content.Digest
 	res := &wirepb.FetchResponse{Number: cfg.Version, Digest: dg[:]}
 	if len(req.Msg.Have) == len(dg) {
-		if body, ok := nd.history.Body(pack.Digest(req.Msg.Have), dg); ok {
+		if body, ok := nd.history.EncodedDelta(pack.Digest(req.Msg.Have), dg); ok {
 			res.Base, res.Body = req.Msg.Have, body
 			nd.Traffic.Add("fetch/deltas", int64(len(body)))
 			return connect.NewResponse(res), nil
@@ -196,7 +196,7 @@
 	if !nd.fullLimiter.Allow() {
 		return connect.NewResponse(&wirepb.FetchResponse{LaterMs: retryDelayMs()}), nil
 	}
-	body, ok := nd.history.Whole(dg)
+	body, ok := nd.history.EncodedContent(dg)
 	if !ok {
 		return connect.NewResponse(&wirepb.FetchResponse{LaterMs: retryDelayMs()}), nil
 	}
--- a/internal/mesh/ctrl/watcher.go
+++ b/internal/mesh/ctrl/watcher.go
@@ -225,7 +225,7 @@
 		case <-newer:
 		case <-raised:
 		case <-time.After(compilerCacheTTL):
-			nd.compiler.Forget()
+			nd.compiler.Reset()
 			select {
 			case <-ctx.Done():
 				return
--- a/internal/node/soak/world.go
+++ b/internal/node/soak/world.go
@@ -163,7 +163,7 @@
 		return err
 	}
 	res, err := accept.Submit(ctx, wo.kv, accept.Submission{
-		ID: fmt.Sprintf("soak-%d-%d", floor, rand.Uint32()), Base: hd.Last.Version, Content: co, Whole: true, Floor: floor, Resume: true,
+		ID: fmt.Sprintf("soak-%d-%d", floor, rand.Uint32()), Base: hd.Last.Version, Content: co, NoRebase: true, Floor: floor, Resume: true,
 	})
 	for err == nil {
 		newest := wo.version.Load()
--- a/internal/path/outlet/outlet.go
+++ b/internal/path/outlet/outlet.go
@@ -224,7 +224,7 @@
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), start.Add(limit))
 	defer cancel()
-	sv := route.Target(rand.IntN(route.Total()))
+	sv := route.Target(rand.IntN(route.TotalWeight()))
 	rq := &request{
 		ou: ou, route: route, sv: sv, base: rt.tb.Group(sv), gp: rt.tb.Group(sv).ForRequest(start, rand.Float64()), bu: rt.budgets[sv.Index],
 		version: rt.tb.Snap.Version, rs: rs, th: rt.throttles[sv.Index][route.Class.Index], w: w, r: r, ctx: ctx, start: start, queued: time.Since(start), limit: limit, elapsed: elapsed, final: final, priority: priority, parentRetry: parentRetry, callerRetry: callerRetry, callerTry: callerTry,
