--- a/internal/mesh/ctrl/epoch_test.go
+++ b/internal/mesh/ctrl/epoch_test.go
@@ -16,35 +16,35 @@
 )
 
 const (
-	// seenLimit is how long after the store's return nobody may have seen its epoch: calls
+	// epochSeenLimit is how long after the store's return nobody may have seen its epoch: calls
 	// are held back for a time once many have failed.
-	seenLimit = 2500 * time.Millisecond
-	// registeredLimit is how long leases may be missing then.
-	registeredLimit = 2 * time.Second
-	// rewriteAfter is when the operators write again what the store lost.
-	rewriteAfter = 1500 * time.Millisecond
-	// poisonLimit is how long a request that is not run may be missing in the store.
-	poisonLimit = 3 * time.Second
+	epochSeenLimit = 2500 * time.Millisecond
+	// reregisterLimit is how long leases may be missing then.
+	reregisterLimit = 2 * time.Second
+	// operatorRestoreDelay is when the operators write again what the store lost.
+	operatorRestoreDelay = 1500 * time.Millisecond
+	// poisonRestoreLimit is how long a request that is not run may be missing in the store.
+	poisonRestoreLimit = 3 * time.Second
 )
 
-// registered reports whether the directory has a key that was written after a copy of the
+// relaysRegistered reports whether the directory has a key that was written after a copy of the
 // store was taken, at the write given, for each relay.
-func (fl *fleet) registered(since int64) bool {
+func (fl *fleet) relaysRegistered(since int64) bool {
 	items, err := fl.st.Store().List(context.Background(), directoryPrefix)
 	if err != nil {
 		return false
 	}
 	for _, name := range fl.relays() {
-		again := func(it store.Item) bool { return strings.HasSuffix(it.Key, "/"+name) && it.Revision.Number > since }
-		if !slices.ContainsFunc(items, again) {
+		rewritten := func(it store.Item) bool { return strings.HasSuffix(it.Key, "/"+name) && it.Revision.Number > since }
+		if !slices.ContainsFunc(items, rewritten) {
 			return false
 		}
 	}
 	return true
 }
 
-// calls returns how many calls to the store the daemons have made.
-func (fl *fleet) calls() (n int64) {
+// storeCalls returns how many calls to the store the daemons have made.
+func (fl *fleet) storeCalls() (n int64) {
 	for _, tn := range fl.nodes {
 		n += tn.guard.Calls.Load()
 	}
@@ -81,23 +81,23 @@
 		fl.st.SetFaults(stand.Faults{Delay: toPlatform})
 	}},
 	{name: "a member is replaced", before: func(fl *fleet, _ stand.Backup) {
-		fl.kill(fl.domain("d1")[5])
+		fl.kill(fl.domainVMs("d1")[5])
 	}, after: func(fl *fleet, _ stand.Backup) {
-		fl.restart(fl.domain("d1")[5])
+		fl.restart(fl.domainVMs("d1")[5])
 	}},
 	{name: "relays are replaced", before: func(fl *fleet, _ stand.Backup) {
 		fl.kill(fl.relaysOf("d0")...)
 	}, after: func(fl *fleet, _ stand.Backup) {
-		for _, name := range fl.domain("d0") {
+		for _, name := range fl.domainVMs("d0") {
 			if fl.nodes[name] == nil {
 				fl.restart(name)
 			}
 		}
 	}},
 	{name: "a failure domain is replaced", before: func(fl *fleet, _ stand.Backup) {
-		fl.kill(fl.domain("d2")...)
+		fl.kill(fl.domainVMs("d2")...)
 	}, after: func(fl *fleet, _ stand.Backup) {
-		for _, name := range fl.domain("d2") {
+		for _, name := range fl.domainVMs("d2") {
 			fl.restart(name)
 		}
 	}},
@@ -109,33 +109,33 @@
 	}},
 }
 
-// TestStoreComesBackOlder guards against what a store loses that comes back from an older
+// TestStoreRestoredFromOlderCopy guards against what a store loses that comes back from an older
 // copy: leases, versions, requests that are not run, and the order of revisions.
-func TestStoreComesBackOlder(t *testing.T) {
-	for _, newest := range []bool{false, true} {
+func TestStoreRestoredFromOlderCopy(t *testing.T) {
+	for _, linearizable := range []bool{false, true} {
 		for _, tc := range epochCases {
 			name := "daemons restore versions/" + tc.name
-			if newest {
+			if linearizable {
 				name = "operators restore versions/" + tc.name
 			}
 			t.Run(name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					fl := newFleet(t, sample.Mesh(24, 3, 4))
-					fl.newest = newest
+					fl.linearizable = linearizable
 					defer fl.stopAll()
 					fl.apply(fl.ms, 0)
 					fl.startAll()
 					fl.waitHeld(1, 20*time.Second)
 					fl.waitMembers(20 * time.Second)
 					time.Sleep(settleTime)
-					playEpoch(fl, tc.before, tc.after)
+					runEpochCase(fl, tc.before, tc.after)
 				})
 			})
 		}
 	}
 }
 
-func playEpoch(fl *fleet, before, after func(*fleet, stand.Backup)) {
+func runEpochCase(fl *fleet, before, after func(*fleet, stand.Backup)) {
 	fl.t.Helper()
 	bk, since := fl.st.Backup(), fl.st.Newest()
 	v := fl.apply(sample.Change(fl.ms, 1), 1)
@@ -150,49 +150,49 @@
 	if before != nil {
 		before(fl, bk)
 	}
-	calls := fl.calls()
+	calls := fl.storeCalls()
 	fl.st.ComeBack(bk)
-	back := time.Now()
+	restored := time.Now()
 	if after != nil {
 		after(fl, bk)
 	}
 	epoch := fl.st.Epoch()
-	fl.waitFor("a relay has seen the epoch", seenLimit, func() bool {
+	fl.waitFor("a relay has seen the epoch", epochSeenLimit, func() bool {
 		return slices.ContainsFunc(fl.relays(), func(name string) bool { return fl.nodes[name].Board.KnownEpoch() == epoch })
 	})
-	fl.waitFor("the relays are registered again", registeredLimit, func() bool { return fl.registered(since) })
-	time.Sleep(rewriteAfter - min(rewriteAfter, time.Since(back)))
-	if fl.newest {
+	fl.waitFor("the relays are registered again", reregisterLimit, func() bool { return fl.relaysRegistered(since) })
+	time.Sleep(operatorRestoreDelay - min(operatorRestoreDelay, time.Since(restored)))
+	if fl.linearizable {
 		if err := accept.Restore(fl.t.Context(), fl.st.Store(), v, content); err != nil {
 			fl.t.Fatal(err)
 		}
 	}
 	fl.waitFor("the store has the version again", convergeLimit, func() bool { return fl.head().Last.Version >= v })
-	fl.waitFor("the store has the requests that are not run again", poisonLimit, func() bool {
+	fl.waitFor("the store has the requests that are not run again", poisonRestoreLimit, func() bool {
 		ent, err := fl.st.Store().Get(fl.t.Context(), poisonKey)
-		list, bad := poison.Decode(ent.Value, time.Now())
-		return err == nil && bad == nil && len(list) == len(reports)
+		list, decodeErr := poison.Decode(ent.Value, time.Now())
+		return err == nil && decodeErr == nil && len(list) == len(reports)
 	})
 	hd := fl.head()
 	if hd.Last.Version != v || len(hd.Recent) != 2 {
 		fl.t.Errorf("the head has version %d and the submissions %+v, want %d, restored once", hd.Last.Version, hd.Recent, v)
 	}
-	fl.t.Logf("%d calls to the store until then, of %d daemons", fl.calls()-calls, len(fl.nodes))
+	fl.t.Logf("%d calls to the store until then, of %d daemons", fl.storeCalls()-calls, len(fl.nodes))
 	fl.st.SetFaults(stand.Faults{Delay: toPlatform})
 	fl.waitHeld(v, convergeLimit)
 	next := fl.apply(sample.Change(fl.ms, 2), v)
 	if next != v+1 {
 		fl.t.Errorf("the next version is %d, want %d", next, v+1)
 	}
-	fl.allKnown(next)
+	fl.waitConverged(next)
 }
 
-// TestEpochAtStart guards against a new process that takes the older version of a store
+// TestProcessStartInNewEpoch guards against a new process that takes the older version of a store
 // that has come back, as its peers cannot be reached.
-func TestEpochAtStart(t *testing.T) {
+func TestProcessStartInNewEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, sample.Mesh(24, 3, 4))
-		fl.newest = true
+		fl.linearizable = true
 		defer fl.stopAll()
 		fl.apply(fl.ms, 0)
 		fl.startAll()
@@ -201,11 +201,11 @@
 		bk := fl.st.Backup()
 		v := fl.apply(sample.Change(fl.ms, 1), 1)
 		fl.waitHeld(v, convergeLimit)
-		name := fl.domain("d2")[0]
+		name := fl.domainVMs("d2")[0]
 		fl.kill(name)
 		fl.st.ComeBack(bk)
 		fl.cutDomain("d2")
-		fl.kill(fl.domain("d2")[1:]...)
+		fl.kill(fl.domainVMs("d2")[1:]...)
 		fl.restart(name)
 		time.Sleep(3 * time.Second)
 		if got := fl.nodes[name].Board.HeldVersion(); got != 0 && got < v {
@@ -216,9 +216,9 @@
 	})
 }
 
-// TestEpochEmptyDirectory guards against a process that takes itself for the first one of
+// TestEmptyDirectoryInNewEpoch guards against a process that takes itself for the first one of
 // the mesh, as the store lost the entries of the others.
-func TestEpochEmptyDirectory(t *testing.T) {
+func TestEmptyDirectoryInNewEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, sample.Mesh(3, 3, 1))
 		defer fl.stopAll()
@@ -230,7 +230,7 @@
 		bk := fl.st.Backup()
 		v := fl.apply(sample.Change(fl.ms, 1), 1)
 		fl.waitHeld(v, convergeLimit)
-		name := fl.domain("d2")[0]
+		name := fl.domainVMs("d2")[0]
 		fl.kill(name)
 		fl.setPlatformCut("d0", "d1")
 		fl.cutDomain("d2")
@@ -239,6 +239,6 @@
 		time.Sleep(3 * time.Second)
 		fl.setPlatformCut()
 		fl.nw.SetCut(nil)
-		fl.allKnown(v)
+		fl.waitConverged(v)
 	})
 }
--- a/internal/mesh/ctrl/fault_test.go
+++ b/internal/mesh/ctrl/fault_test.go
@@ -26,10 +26,10 @@
 	settleTime    = 12 * time.Second
 )
 
-// scenario starts a fleet of 24 VMs in three failure domains, lets it settle on
+// withFleet starts a fleet of 24 VMs in three failure domains, lets it settle on
 // version 1, and ends it after fn. Throughout, watchVersion fails the test when
 // any VM goes back.
-func scenario(t *testing.T, fn func(fl *fleet)) {
+func withFleet(t *testing.T, fn func(fl *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, sample.Mesh(24, 3, 4))
@@ -43,8 +43,8 @@
 	})
 }
 
-// domain returns the names of a failure domain's VMs.
-func (fl *fleet) domain(name string) []string {
+// domainVMs returns the names of a failure domain's VMs.
+func (fl *fleet) domainVMs(name string) []string {
 	var list []string
 	for _, vm := range fl.ms.VMs {
 		if vm.Domain == name {
@@ -67,11 +67,11 @@
 }
 
 func (fl *fleet) setPlatformCut(domains ...string) {
-	set := map[string]bool{}
+	cut := map[string]bool{}
 	for _, dm := range domains {
-		set[dm] = true
+		cut[dm] = true
 	}
-	fl.noPlatform.Store(&set)
+	fl.platformCut.Store(&cut)
 }
 
 // cutDomain cuts a failure domain off from all others.
@@ -79,8 +79,8 @@
 	fl.nw.SetCut(func(a, b *memnet.Host) bool { return (a.Domain == domain) != (b.Domain == domain) })
 }
 
-// allKnown waits until the fleet is whole again: all VMs current and known.
-func (fl *fleet) allKnown(version uint64) {
+// waitConverged waits until the fleet is whole again: all VMs current and known.
+func (fl *fleet) waitConverged(version uint64) {
 	fl.t.Helper()
 	took := fl.waitHeld(version, convergeLimit)
 	members := fl.waitMembers(20 * time.Second)
@@ -92,10 +92,10 @@
 	return fl.ms.VMs[i]
 }
 
-// TestRelayDiesInTransfer: the relays of a failure domain die at the moment at
+// TestRelaysKilledDuringTransfer: the relays of a failure domain die at the moment at
 // which they have a new version. Their members must find others and hold it.
-func TestRelayDiesInTransfer(t *testing.T) {
-	scenario(t, func(fl *fleet) {
+func TestRelaysKilledDuringTransfer(t *testing.T) {
+	withFleet(t, func(fl *fleet) {
 		relays := fl.relaysOf("d2")
 		v := fl.apply(sample.Change(fl.ms, 3), 1)
 		fl.waitFor("a relay of d2 has the version", convergeLimit, func() bool {
@@ -104,21 +104,21 @@
 		fl.kill(relays...)
 		fl.t.Logf("held by the rest after %s", fl.waitHeld(v, convergeLimit))
 		fl.restart(relays...)
-		fl.allKnown(v)
+		fl.waitConverged(v)
 	})
 }
 
-// TestCuts: a failure domain is cut off from the platform, from the other
+// TestPartitions: a failure domain is cut off from the platform, from the other
 // failure domains, or from both, while a version is accepted. Cut off from one
 // of them it still follows through the other; cut off from both it goes on
 // with what it holds, and is named as cut off; once healed it follows.
-func TestCuts(t *testing.T) {
+func TestPartitions(t *testing.T) {
 	for _, tc := range []struct {
 		name              string
 		platform, domains bool
 	}{{"platform", true, false}, {"domains", false, true}, {"both", true, true}} {
 		t.Run(tc.name, func(t *testing.T) {
-			scenario(t, func(fl *fleet) {
+			withFleet(t, func(fl *fleet) {
 				if tc.platform {
 					fl.setPlatformCut("d1")
 				}
@@ -129,7 +129,7 @@
 				v := fl.apply(sample.Change(fl.ms, 4), 1)
 				if tc.platform && tc.domains {
 					time.Sleep(convergeLimit)
-					if got := fl.behind(v); !slices.Equal(got, fl.domain("d1")) {
+					if got := fl.behind(v); !slices.Equal(got, fl.domainVMs("d1")) {
 						fl.t.Errorf("behind during the cut: %v", got)
 					}
 					if res := fl.nodes["vm-000"].Status(context.Background(), false); !slices.Equal(res.Cut, []string{"d1"}) {
@@ -138,7 +138,7 @@
 				} else {
 					fl.waitHeld(v, convergeLimit)
 				}
-				for _, name := range fl.domain("d1") {
+				for _, name := range fl.domainVMs("d1") {
 					for rc := range fl.nodes[name].Board.Members.Get().All {
 						if rc.Domain == "d1" && !rc.Serving() {
 							fl.t.Errorf("%s does not use %s of its own failure domain during the cut", name, rc.VM)
@@ -147,7 +147,7 @@
 				}
 				fl.setPlatformCut()
 				fl.nw.SetCut(nil)
-				fl.allKnown(v)
+				fl.waitConverged(v)
 			})
 		})
 	}
@@ -157,7 +157,7 @@
 // or an answer is lost after the write. Daemons keep what they hold, and an
 // operator's submission is in force within seconds of the platform's return.
 func TestPlatformOutage(t *testing.T) {
-	scenario(t, func(fl *fleet) {
+	withFleet(t, func(fl *fleet) {
 		fl.st.SetFaults(stand.Faults{Down: true})
 		time.Sleep(time.Minute)
 		if got := fl.behind(1); got != nil {
@@ -174,11 +174,11 @@
 	})
 }
 
-// TestPlatformSetBack: the platform comes back from a backup with an older
+// TestPlatformRestoredFromBackup: the platform comes back from a backup with an older
 // head. No daemon follows it back; it is reported; submissions are refused
 // until an operator says to go on, and then the version rises above all.
-func TestPlatformSetBack(t *testing.T) {
-	scenario(t, func(fl *fleet) {
+func TestPlatformRestoredFromBackup(t *testing.T) {
+	withFleet(t, func(fl *fleet) {
 		bk := fl.st.Backup()
 		v := fl.apply(sample.Change(fl.ms, 6), 1)
 		fl.waitHeld(v, convergeLimit)
@@ -186,7 +186,7 @@
 		relay := fl.nodes[fl.relays()[0]]
 		fl.waitFor("a relay reports the platform", convergeLimit, func() bool { return relay.Board.Platform.Get().Behind })
 		// A daemon that starts now must not take the old version.
-		name := fl.domain("d0")[3]
+		name := fl.domainVMs("d0")[3]
 		fl.kill(name)
 		fl.restart(name)
 		fl.waitHeld(v, convergeLimit)
@@ -205,20 +205,20 @@
 		if err != nil || res.Entry.Version != v+1 {
 			fl.t.Fatalf("resumed with version %d, error %v", res.Entry.Version, err)
 		}
-		fl.allKnown(v + 1)
+		fl.waitConverged(v + 1)
 	})
 }
 
-// TestLeaseLapses: all leases end while their holders know nothing of it. The
+// TestLeasesExpire: all leases end while their holders know nothing of it. The
 // directory is empty for a moment; daemons that start must still find relays.
-func TestLeaseLapses(t *testing.T) {
-	scenario(t, func(fl *fleet) {
+func TestLeasesExpire(t *testing.T) {
+	withFleet(t, func(fl *fleet) {
 		fl.st.LapseLeases()
 		v := fl.apply(sample.Change(fl.ms, 8), 1)
-		name := fl.domain("d1")[4]
+		name := fl.domainVMs("d1")[4]
 		fl.kill(name)
 		fl.restart(name)
-		fl.allKnown(v)
+		fl.waitConverged(v)
 		fl.waitFor("the relays are registered again", convergeLimit, func() bool {
 			items, err := fl.st.Store().List(context.Background(), directoryPrefix+"d0/")
 			return err == nil && len(items) > 0
@@ -230,13 +230,13 @@
 // not know, as during a rolling replacement. It is refused whole, the one held
 // stays, status says so, and the next version that compiles is taken.
 func TestUnknownKind(t *testing.T) {
-	scenario(t, func(fl *fleet) {
+	withFleet(t, func(fl *fleet) {
 		co, err := pack.Encode(fl.ms)
 		if err != nil {
 			fl.t.Fatal(err)
 		}
-		odd := pack.New(append(slices.Clone(co.Resources), pack.Resource{Key: pack.Key{Kind: "mirror", Name: "x"}, Body: []byte(`{}`)}))
-		if _, err := accept.Submit(fl.t.Context(), fl.st.Store(), accept.Submission{ID: "odd", Base: 1, Content: odd}); err != nil {
+		extended := pack.New(append(slices.Clone(co.Resources), pack.Resource{Key: pack.Key{Kind: "mirror", Name: "x"}, Body: []byte(`{}`)}))
+		if _, err := accept.Submit(fl.t.Context(), fl.st.Store(), accept.Submission{ID: "odd", Base: 1, Content: extended}); err != nil {
 			fl.t.Fatal(err)
 		}
 		fl.waitFor("all refuse version 2", convergeLimit, func() bool {
@@ -254,7 +254,7 @@
 				fl.t.Errorf("status of %s: refused %v", su.Domain, su.Refused)
 			}
 		}
-		fl.allKnown(fl.apply(sample.Change(fl.ms, 9), 2))
+		fl.waitConverged(fl.apply(sample.Change(fl.ms, 9), 2))
 	})
 }
 
@@ -263,7 +263,7 @@
 // older ones refuse the version and keep theirs, relays among them pass it on
 // all the same, and every newer one holds it.
 func TestTwoReleases(t *testing.T) {
-	scenario(t, func(fl *fleet) {
+	withFleet(t, func(fl *fleet) {
 		newer := func(name string) bool {
 			return strings.HasSuffix(name, "1") || strings.HasSuffix(name, "4") || strings.HasSuffix(name, "7")
 		}
@@ -279,8 +279,8 @@
 		if err != nil {
 			fl.t.Fatal(err)
 		}
-		odd := pack.New(append(slices.Clone(co.Resources), pack.Resource{Key: pack.Key{Kind: "mirror", Name: "x"}, Body: []byte(`{}`)}))
-		if _, err := accept.Submit(fl.t.Context(), fl.st.Store(), accept.Submission{ID: "odd", Base: 1, Content: odd}); err != nil {
+		extended := pack.New(append(slices.Clone(co.Resources), pack.Resource{Key: pack.Key{Kind: "mirror", Name: "x"}, Body: []byte(`{}`)}))
+		if _, err := accept.Submit(fl.t.Context(), fl.st.Store(), accept.Submission{ID: "odd", Base: 1, Content: extended}); err != nil {
 			fl.t.Fatal(err)
 		}
 		time.Sleep(convergeLimit)
@@ -296,22 +296,22 @@
 	})
 }
 
-// TestDamagedDelta: a relay's delta is damaged on its way, in each of its
+// TestCorruptDelta: a relay's delta is damaged on its way, in each of its
 // bytes' values. It must not be applied, and the version must come by another
 // transfer.
-func TestDamagedDelta(t *testing.T) {
-	scenario(t, func(fl *fleet) {
-		var damaged atomic.Int64
+func TestCorruptDelta(t *testing.T) {
+	withFleet(t, func(fl *fleet) {
+		var corrupted atomic.Int64
 		fl.nw.SetCorrupt(func(_, _ *memnet.Host, p []byte) []byte {
 			// zstd frames begin with this number; what follows is content.
-			if i := bytes.Index(p, []byte{0x28, 0xb5, 0x2f, 0xfd}); i >= 0 && i+12 < len(p) && damaged.Load() < 10 {
-				p[i+8+int(damaged.Add(1)%4)] ^= 0x55
+			if i := bytes.Index(p, []byte{0x28, 0xb5, 0x2f, 0xfd}); i >= 0 && i+12 < len(p) && corrupted.Load() < 10 {
+				p[i+8+int(corrupted.Add(1)%4)] ^= 0x55
 			}
 			return p
 		})
 		v := fl.apply(sample.Change(fl.ms, 10), 1)
-		fl.allKnown(v)
-		if damaged.Load() == 0 {
+		fl.waitConverged(v)
+		if corrupted.Load() == 0 {
 			fl.t.Error("nothing was damaged")
 		}
 		want := fl.nodes["vm-000"].Board.Held.Get().Digest
@@ -327,7 +327,7 @@
 // connections stay open, as frozen processes do, for longer than every
 // timeout. The others must end those links and go on; nobody is lost for good.
 func TestFrozenHosts(t *testing.T) {
-	scenario(t, func(fl *fleet) {
+	withFleet(t, func(fl *fleet) {
 		frozen := fl.relaysOf("d0")
 		fl.nw.SetCut(func(a, b *memnet.Host) bool {
 			return slices.Contains(frozen, strings.TrimSuffix(a.Addr, ":7000")) != slices.Contains(frozen, strings.TrimSuffix(b.Addr, ":7000"))
@@ -338,6 +338,6 @@
 		})
 		time.Sleep(30 * time.Second)
 		fl.nw.SetCut(nil)
-		fl.allKnown(v)
+		fl.waitConverged(v)
 	})
 }
--- a/internal/mesh/ctrl/fleet_test.go
+++ b/internal/mesh/ctrl/fleet_test.go
@@ -30,26 +30,26 @@
 	st    *stand.Stand
 	ms    *decl.Mesh
 	nodes map[string]*testNode
-	// noPlatform names the failure domains that are cut off from the platform.
-	noPlatform atomic.Pointer[map[string]bool]
-	// spoilt says what the platform does to single VMs.
-	spoilt atomic.Pointer[map[string]spoil]
-	// newest says that a read of the platform shows every version that was ever accepted,
+	// platformCut names the failure domains that are cut off from the platform.
+	platformCut atomic.Pointer[map[string]bool]
+	// vmFaults says what the platform does to single VMs.
+	vmFaults atomic.Pointer[map[string]vmFault]
+	// linearizable says that a read of the platform shows every version that was ever accepted,
 	// and that daemons know no seeds, as on the users\' platform.
-	newest    bool
-	versions  map[string]*uint64
-	submitted int
+	linearizable bool
+	highestHeld  map[string]*uint64
+	submitted    int
 	// counts returns what the backend server of a VM did; nil for nothing.
 	counts func(vm string) Counts
 }
 
-// spoil is what the platform does to a VM.
-type spoil int
+// vmFault is what the platform does to a VM.
+type vmFault int
 
 const (
-	// refuses answers each call with an error, hangs answers none.
-	refuses spoil = iota + 1
-	hangs
+	// faultReject answers each call with an error, hangs answers none.
+	faultReject vmFault = iota + 1
+	faultHang
 )
 
 // testNode is one process of a VM.
@@ -71,7 +71,7 @@
 )
 
 func newFleet(t *testing.T, ms *decl.Mesh) *fleet {
-	fl := &fleet{t: t, nw: memnet.New(), st: stand.New(), ms: ms, nodes: map[string]*testNode{}, versions: map[string]*uint64{}}
+	fl := &fleet{t: t, nw: memnet.New(), st: stand.New(), ms: ms, nodes: map[string]*testNode{}, highestHeld: map[string]*uint64{}}
 	regions := map[string]string{}
 	for _, dm := range ms.Domains {
 		regions[dm.Name] = dm.Region
@@ -85,8 +85,8 @@
 		}
 		return betweenRegions
 	}
-	fl.noPlatform.Store(&map[string]bool{})
-	fl.spoilt.Store(&map[string]spoil{})
+	fl.platformCut.Store(&map[string]bool{})
+	fl.vmFaults.Store(&map[string]vmFault{})
 	fl.st.SetFaults(stand.Faults{Delay: toPlatform})
 	return fl
 }
@@ -94,39 +94,39 @@
 // store returns the platform as a VM sees it.
 func (fl *fleet) store(vm decl.VM) store.Store {
 	return store.Wrap(fl.st.Store(), func(ctx context.Context, op, key string, call func() error) error {
-		cut := &store.Error{Kind: store.Unavailable, Op: op, Key: key}
-		bad := func() bool {
-			switch (*fl.spoilt.Load())[vm.Name] {
-			case hangs:
+		unavailable := &store.Error{Kind: store.Unavailable, Op: op, Key: key}
+		failing := func() bool {
+			switch (*fl.vmFaults.Load())[vm.Name] {
+			case faultHang:
 				// The client of the platform gives up after the wait and some slack.
-				_ = pause(ctx, hangTime)
+				_ = pause(ctx, hangDuration)
 				return true
-			case refuses:
+			case faultReject:
 				return true
 			}
-			return (*fl.noPlatform.Load())[vm.Domain]
+			return (*fl.platformCut.Load())[vm.Domain]
 		}
-		if bad() {
-			return cut
+		if failing() {
+			return unavailable
 		}
 		err := call()
-		if bad() {
-			return cut
+		if failing() {
+			return unavailable
 		}
 		return err
 	})
 }
 
-// hangTime is how long a call to a platform that does not answer takes.
-const hangTime = 1500 * time.Millisecond
+// hangDuration is how long a call to a platform that does not answer takes.
+const hangDuration = 1500 * time.Millisecond
 
 // seeds are the first three VMs of each failure domain: the own ones first.
 func (fl *fleet) seeds(vm decl.VM) []string {
 	var list []string
-	per := map[string]int{}
+	count := map[string]int{}
 	for _, v := range fl.ms.VMs {
-		if v.Domain == vm.Domain && v.Name != vm.Name && per[v.Domain] < 3 {
-			per[v.Domain]++
+		if v.Domain == vm.Domain && v.Name != vm.Name && count[v.Domain] < 3 {
+			count[v.Domain]++
 			list = append(list, v.Name+":7000")
 		}
 	}
@@ -140,7 +140,7 @@
 	gd := guard.New(fl.store(vm))
 	tn := &testNode{vm: vm, ho: ho, guard: gd, done: make(chan struct{})}
 	src, seeds := defaultSource(), fl.seeds(vm)
-	if fl.newest {
+	if fl.linearizable {
 		src.Newest, src.Restore, seeds = true, nil, nil
 	}
 	var counts func() Counts
@@ -183,17 +183,17 @@
 // watchVersion fails the test when a VM holds an older version than before,
 // also across its processes.
 func (fl *fleet) watchVersion(tn *testNode) {
-	last := fl.versions[tn.vm.Name]
+	last := fl.highestHeld[tn.vm.Name]
 	if last == nil {
 		last = new(uint64)
-		fl.versions[tn.vm.Name] = last
+		fl.highestHeld[tn.vm.Name] = last
 	}
 	go func() {
 		for {
 			sn, changed := tn.Board.Held.Watch()
 			if sn != nil {
-				if was := atomic.SwapUint64(last, sn.Version); was > sn.Version {
-					fl.t.Errorf("%s holds version %d after version %d", tn.vm.Name, sn.Version, was)
+				if prev := atomic.SwapUint64(last, sn.Version); prev > sn.Version {
+					fl.t.Errorf("%s holds version %d after version %d", tn.vm.Name, sn.Version, prev)
 				}
 			}
 			select {
@@ -261,20 +261,20 @@
 }
 
 // waitFor waits in virtual time for a condition and returns how long it took.
-func (fl *fleet) waitFor(what string, limit time.Duration, ok func() bool) time.Duration {
+func (fl *fleet) waitFor(condition string, limit time.Duration, ok func() bool) time.Duration {
 	fl.t.Helper()
 	began := time.Now()
 	for !ok() {
 		if time.Since(began) > limit {
-			fl.t.Fatalf("not in %s: %s; %s; holding %v; relays %v", limit, what, fl.unknown(), fl.held(), fl.relays())
+			fl.t.Fatalf("not in %s: %s; %s; holding %v; relays %v", limit, condition, fl.missingMember(), fl.heldCounts(), fl.relays())
 		}
 		time.Sleep(time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-// held counts the nodes by the version that they hold.
-func (fl *fleet) held() map[uint64]int {
+// heldCounts counts the nodes by the version that they hold.
+func (fl *fleet) heldCounts() map[uint64]int {
 	m := map[uint64]int{}
 	for _, tn := range fl.nodes {
 		m[tn.Board.HeldVersion()]++
@@ -290,11 +290,11 @@
 // waitMembers waits until every node knows all serving VMs.
 func (fl *fleet) waitMembers(limit time.Duration) time.Duration {
 	fl.t.Helper()
-	return fl.waitFor("all members known everywhere", limit, func() bool { return fl.unknown() == "" })
+	return fl.waitFor("all members known everywhere", limit, func() bool { return fl.missingMember() == "" })
 }
 
-// unknown names the first node that does not know another one as serving.
-func (fl *fleet) unknown() string {
+// missingMember names the first node that does not know another one as serving.
+func (fl *fleet) missingMember() string {
 	for name, tn := range fl.nodes {
 		vw := tn.Board.Members.Get()
 		for other := range fl.nodes {
--- a/internal/mesh/ctrl/follow_test.go
+++ b/internal/mesh/ctrl/follow_test.go
@@ -40,62 +40,62 @@
 	return list
 }
 
-// TestFollowersGone: two relays follow the store for the whole mesh. At the moment at
+// TestFollowersFail: two relays follow the store for the whole mesh. At the moment at
 // which a version is accepted both are killed, turned away by the store, or no longer
 // answered by it. Others stand in for them, soon enough for the version to be in force
 // within its bound, and only two do afterwards.
-func TestFollowersGone(t *testing.T) {
+func TestFollowersFail(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		fn   func(fl *fleet, both []string)
+		name  string
+		fault func(fl *fleet, initial []string)
 		// late says that it may take a call's time more to notice.
-		late time.Duration
+		extra time.Duration
 	}{
-		{"killed", func(fl *fleet, both []string) { fl.kill(both...) }, 0},
-		{"turned away", func(fl *fleet, both []string) {
-			fl.spoilt.Store(&map[string]spoil{both[0]: refuses, both[1]: refuses})
+		{"killed", func(fl *fleet, initial []string) { fl.kill(initial...) }, 0},
+		{"turned away", func(fl *fleet, initial []string) {
+			fl.vmFaults.Store(&map[string]vmFault{initial[0]: faultReject, initial[1]: faultReject})
 		}, 0},
-		{"not answered", func(fl *fleet, both []string) {
-			fl.spoilt.Store(&map[string]spoil{both[0]: hangs, both[1]: hangs})
-		}, hangTime},
+		{"not answered", func(fl *fleet, initial []string) {
+			fl.vmFaults.Store(&map[string]vmFault{initial[0]: faultHang, initial[1]: faultHang})
+		}, hangDuration},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			scenario(t, func(fl *fleet) {
+			withFleet(t, func(fl *fleet) {
 				// Links come and go for some seconds after a start, and relays stand
 				// in for those that they lost sight of.
 				time.Sleep(churnTime)
-				both := fl.followers(5 * time.Second)
-				if len(both) != 2 || fl.nodes[both[0]].vm.Domain == fl.nodes[both[1]].vm.Domain {
-					fl.t.Fatalf("%v follow the store", both)
+				initial := fl.followers(5 * time.Second)
+				if len(initial) != 2 || fl.nodes[initial[0]].vm.Domain == fl.nodes[initial[1]].vm.Domain {
+					fl.t.Fatalf("%v follow the store", initial)
 				}
 				time.Sleep(300 * time.Millisecond)
-				tc.fn(fl, both)
+				tc.fault(fl, initial)
 				v := fl.apply(sample.Change(fl.ms, 3), 1)
-				fl.t.Logf("held after %s", fl.waitHeld(v, followLimit+tc.late))
+				fl.t.Logf("held after %s", fl.waitHeld(v, followLimit+tc.extra))
 				time.Sleep(churnTime)
 				after := fl.followers(5 * time.Second)
-				served := slices.DeleteFunc(slices.Clone(after), func(vm string) bool { return slices.Contains(both, vm) })
-				if len(served) != 2 {
+				replacements := slices.DeleteFunc(slices.Clone(after), func(vm string) bool { return slices.Contains(initial, vm) })
+				if len(replacements) != 2 {
 					fl.t.Errorf("%v follow the store afterwards", after)
 				}
-				fl.spoilt.Store(&map[string]spoil{})
-				fl.restart(slices.DeleteFunc(slices.Clone(both), func(vm string) bool { return fl.nodes[vm] != nil })...)
+				fl.vmFaults.Store(&map[string]vmFault{})
+				fl.restart(slices.DeleteFunc(slices.Clone(initial), func(vm string) bool { return fl.nodes[vm] != nil })...)
 				time.Sleep(churnTime)
-				if again := fl.followers(5 * time.Second); !slices.Equal(again, both) {
-					fl.t.Errorf("%v follow the store once all is well, before it was %v", again, both)
+				if final := fl.followers(5 * time.Second); !slices.Equal(final, initial) {
+					fl.t.Errorf("%v follow the store once all is well, before it was %v", final, initial)
 				}
 			})
 		})
 	}
 }
 
-// TestFollowersBehindCut: a failure domain with one of those who follow the store is cut
+// TestFollowerPartitioned: a failure domain with one of those who follow the store is cut
 // off from the others, but not from the store. It follows by itself, and so do the others
 // without it.
-func TestFollowersBehindCut(t *testing.T) {
-	scenario(t, func(fl *fleet) {
-		both := fl.followers(5 * time.Second)
-		dm := fl.nodes[both[0]].vm.Domain
+func TestFollowerPartitioned(t *testing.T) {
+	withFleet(t, func(fl *fleet) {
+		followers := fl.followers(5 * time.Second)
+		dm := fl.nodes[followers[0]].vm.Domain
 		fl.cutDomain(dm)
 		v := fl.apply(sample.Change(fl.ms, 3), 1)
 		fl.waitHeld(v, followLimit)
@@ -103,14 +103,14 @@
 		v = fl.apply(sample.Change(fl.ms, 4), v)
 		fl.waitHeld(v, followLimit)
 		fl.nw.SetCut(nil)
-		fl.allKnown(v)
+		fl.waitConverged(v)
 	})
 }
 
-// TestHerdReadsOnce: all daemons start at once. Each read the whole configuration from
+// TestMassStartStoreReads: all daemons start at once. Each read the whole configuration from
 // the store by itself, which for hundreds takes the store seconds; now the first ones of
 // each failure domain do, and the others get it from them.
-func TestHerdReadsOnce(t *testing.T) {
+func TestMassStartStoreReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, sample.Mesh(90, 3, 4))
 		defer fl.stopAll()
@@ -130,16 +130,16 @@
 	})
 }
 
-// TestProof: a process starts and is told the newest version by a peer that read the
+// TestFreshRead: a process starts and is told the newest version by a peer that read the
 // store. A read from before the process started proves nothing, since a former process
 // of its VM may have held a newer version by then; one from after it does, and is told
 // once on each link.
-func TestProof(t *testing.T) {
+func TestFreshRead(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		read time.Duration // how long before now the peer read the store
-		age  time.Duration // how long the process has run
-		want bool
+		name       string
+		readAge    time.Duration // how long before now the peer read the store
+		processAge time.Duration // how long the process has run
+		want       bool
 	}{
 		{"read before the start", 3 * time.Second, time.Second, false},
 		{"read after the start", time.Second, 3 * time.Second, true},
@@ -150,7 +150,7 @@
 				time.Sleep(time.Minute)
 				nd := New(Config{VM: "vm-p", Domain: "d0", Control: "p:1", Source: Source{Newest: true, Read: defaultSource().Read}})
 				defer nd.cancel()
-				nd.recordFreshRead(time.Now().Add(-tc.read), 7)
+				nd.recordFreshRead(time.Now().Add(-tc.readAge), 7)
 				sent := make(chan *wirepb.Packet, 9)
 				pr := link.New(link.Stream{
 					Send:    func(pk *wirepb.Packet) error { sent <- pk; return nil },
@@ -158,11 +158,11 @@
 					Abort:   func() {},
 				}, nd.offer)
 				go func() { _ = pr.Run(nd.ctx, nd.handlePacket) }()
-				hello := &wirepb.Hello{Protocol: Protocol, AgeMs: uint64(tc.age.Milliseconds()), Record: (&member.Record{VM: "vm-x", Domain: "d0", Incarnation: 1}).ToWire()}
+				hello := &wirepb.Hello{Protocol: Protocol, AgeMs: uint64(tc.processAge.Milliseconds()), Record: (&member.Record{VM: "vm-x", Domain: "d0", Incarnation: 1}).ToWire()}
 				told := 0
 				for range 2 {
 					nd.handlePacket(pr, &wirepb.Packet{Hello: hello})
-					nd.recordFreshRead(time.Now().Add(-tc.read), 7)
+					nd.recordFreshRead(time.Now().Add(-tc.readAge), 7)
 					time.Sleep(100 * time.Millisecond)
 				}
 				for len(sent) > 0 {
@@ -185,10 +185,10 @@
 	}
 }
 
-// TestHerdPackets: all daemons start at once, and each states itself several times within
+// TestMassStartPackets: all daemons start at once, and each states itself several times within
 // a second. Each statement went out by itself, 130,000 packets over the borders of 87
 // daemons in ten seconds. Now statements that come together go together.
-func TestHerdPackets(t *testing.T) {
+func TestMassStartPackets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const daemons = 90
 		fl := newFleet(t, sample.Mesh(daemons, 3, 4))
@@ -203,8 +203,8 @@
 			across += tn.sentCount("across/packets")
 		}
 		t.Logf("%d packets within failure domains, %d between them", within, across)
-		if most := int64(120 * daemons); within+across > most {
-			t.Errorf("%d packets, bound %d", within+across, most)
+		if limit := int64(120 * daemons); within+across > limit {
+			t.Errorf("%d packets, bound %d", within+across, limit)
 		}
 	})
 }
--- a/internal/mesh/ctrl/linker_test.go
+++ b/internal/mesh/ctrl/linker_test.go
@@ -9,11 +9,11 @@
 	"github.com/flamingomast/flamingomast/internal/mesh/member"
 )
 
-// TestChoiceAfterFailures: a daemon starts a moment before the relays of its failure
+// TestRelayChoiceAfterFailures: a daemon starts a moment before the relays of its failure
 // domain and cannot reach them. It chooses others, and the relays again once the failures
 // are forgotten. It kept to the others until some member changed: linked to a plain
 // member, it heard no relay and followed the store by itself.
-func TestChoiceAfterFailures(t *testing.T) {
+func TestRelayChoiceAfterFailures(t *testing.T) {
 	nd := New(Config{VM: "vm-x", Domain: "d0", Control: "x:1"})
 	defer nd.cancel()
 	var recs []*member.Record
@@ -24,33 +24,33 @@
 	}
 	nd.merge(recs)
 	lk := nd.linker
-	names := func() (list []string) {
+	chosen := func() (list []string) {
 		for _, rc := range lk.ownRelays() {
 			list = append(list, rc.VM)
 		}
 		return list
 	}
-	first := names()
+	first := chosen()
 	now := time.Now()
 	for _, rc := range lk.ownRelays() {
 		lk.backoff[rc.Control] = &backoff{bound: minBackoff, until: now, failed: true}
 	}
-	for _, vm := range names() {
+	for _, vm := range chosen() {
 		if slices.Contains(first, vm) {
 			t.Errorf("%s is chosen though it cannot be reached", vm)
 		}
 	}
 	lk.pruneBackoff(now.Add(2 * failureTTL))
-	if got := names(); !slices.Equal(got, first) {
+	if got := chosen(); !slices.Equal(got, first) {
 		t.Errorf("%v are chosen once the failures are forgotten, want %v", got, first)
 	}
 }
 
-// TestFewStrangers: daemons that start together find thirty addresses in the directory.
+// TestUndiscoveredLinksBounded: daemons that start together find thirty addresses in the directory.
 // Each opened a link to every one, and each link carried every record: 35 MB in ten
 // seconds among 87. Now each opens a few, and only one that stands for its failure domain
 // opens any to another; as the first become known, the next ones are tried.
-func TestFewStrangers(t *testing.T) {
+func TestUndiscoveredLinksBounded(t *testing.T) {
 	nd := New(Config{VM: "vm-x", Domain: "d0", Control: "x:1"})
 	defer nd.cancel()
 	found := map[string][]string{}
@@ -60,12 +60,12 @@
 		}
 	}
 	nd.linker.directory.set(found)
-	tried := func() (list []string) {
+	undiscovered := func() (list []string) {
 		nd.linker.addUndiscovered(func(addr string) { list = append(list, addr) })
 		slices.Sort(list)
 		return list
 	}
-	first := tried()
+	first := undiscovered()
 	if len(first) != maxUndiscoveredLocal {
 		t.Errorf("a plain member opens links to %v", first)
 	}
@@ -74,13 +74,13 @@
 		recs = append(recs, &member.Record{VM: fmt.Sprint("vm-", i), Domain: "d0", Incarnation: 1, State: member.StateServing, Control: addr})
 	}
 	nd.merge(recs)
-	for _, addr := range tried() {
+	for _, addr := range undiscovered() {
 		if slices.Contains(first, addr) {
 			t.Errorf("%s is known and still taken for a stranger", addr)
 		}
 	}
 	nd.registered.Store(true)
-	if got := tried(); len(got) != maxUndiscoveredLocal+2*maxUndiscoveredRemote {
+	if got := undiscovered(); len(got) != maxUndiscoveredLocal+2*maxUndiscoveredRemote {
 		t.Errorf("one that stands for its failure domain opens links to %v", got)
 	}
 }
--- a/internal/mesh/ctrl/message_test.go
+++ b/internal/mesh/ctrl/message_test.go
@@ -16,8 +16,8 @@
 	"github.com/flamingomast/flamingomast/internal/mesh/wirepb"
 )
 
-// machine is one node that is handed packets of a relay in any order.
-type machine struct {
+// stateMachine is one node that is handed packets of a relay in any order.
+type stateMachine struct {
 	nd       *Node
 	pr       *link.Peer
 	contents []*pack.Content // by version, from 1
@@ -25,82 +25,82 @@
 	records  map[string]member.Record
 }
 
-func newMachine(t *rapid.T) *machine {
-	ma := &machine{nd: New(Config{VM: "vm-x", Domain: "d0", Control: "x:1"}), records: map[string]member.Record{}}
+func newStateMachine(t *rapid.T) *stateMachine {
+	sm := &stateMachine{nd: New(Config{VM: "vm-x", Domain: "d0", Control: "x:1"}), records: map[string]member.Record{}}
 	ms := sample.Mesh(4, 1, 2)
 	for v := range 6 {
 		co, err := pack.Encode(sample.Change(ms, v))
 		if err != nil {
 			t.Fatal(err)
 		}
-		ma.contents = append(ma.contents, co)
+		sm.contents = append(sm.contents, co)
 	}
-	ma.pr = link.New(link.Stream{Abort: func() {}}, ma.nd.offer)
-	ma.pr.Outgoing, ma.pr.Addr = true, "nobody:1"
-	ma.nd.handlePacket(ma.pr, &wirepb.Packet{
+	sm.pr = link.New(link.Stream{Abort: func() {}}, sm.nd.offer)
+	sm.pr.Outgoing, sm.pr.Addr = true, "nobody:1"
+	sm.nd.handlePacket(sm.pr, &wirepb.Packet{
 		Hello:   &wirepb.Hello{Protocol: Protocol, Relay: true, Record: (&member.Record{VM: "vm-r", Domain: "d0", Incarnation: 1}).ToWire()},
 		Welcome: &wirepb.Welcome{},
 	})
-	return ma
+	return sm
 }
 
-// version is the packet that offers a version as a delta from another.
-func (ma *machine) version(base, next int) *wirepb.Packet {
-	dg := ma.contents[next].Digest
+// versionPacket is the packet that offers a version as a delta from another.
+func (sm *stateMachine) versionPacket(base, next int) *wirepb.Packet {
+	dg := sm.contents[next].Digest
 	vn := &wirepb.Version{Number: uint64(next + 1), Digest: dg[:]}
-	old := (*pack.Content)(nil)
+	from := (*pack.Content)(nil)
 	if base >= 0 {
-		old = ma.contents[base]
-		vn.Base = old.Digest[:]
+		from = sm.contents[base]
+		vn.Base = from.Digest[:]
 	}
-	vn.Body = pack.Marshal(pack.Diff(old, ma.contents[next]))
+	vn.Body = pack.Marshal(pack.Diff(from, sm.contents[next]))
 	return &wirepb.Packet{Version: vn}
 }
 
 // deliver hands a packet over and brings up to date what the compiler would.
-func (ma *machine) deliver(pk *wirepb.Packet) {
-	ma.nd.handlePacket(ma.pr, proto.Clone(pk).(*wirepb.Packet))
-	if cfg := ma.nd.Board.Latest.Get(); cfg != nil {
-		ma.nd.compile(cfg)
+func (sm *stateMachine) deliver(pk *wirepb.Packet) {
+	sm.nd.handlePacket(sm.pr, proto.Clone(pk).(*wirepb.Packet))
+	if cfg := sm.nd.Board.Latest.Get(); cfg != nil {
+		sm.nd.compile(cfg)
 	}
 }
 
 // check states what must hold after every step.
-func (ma *machine) check(t *rapid.T) {
-	sn := ma.nd.Board.Held.Get()
+func (sm *stateMachine) check(t *rapid.T) {
+	sn := sm.nd.Board.Held.Get()
 	if sn == nil {
 		return
 	}
-	if sn.Version < ma.held {
-		t.Fatalf("version %d is held after version %d", sn.Version, ma.held)
+	if sn.Version < sm.held {
+		t.Fatalf("version %d is held after version %d", sn.Version, sm.held)
 	}
-	ma.held = sn.Version
-	if want := ma.contents[sn.Version-1].Digest; sn.Digest != want {
+	sm.held = sn.Version
+	if want := sm.contents[sn.Version-1].Digest; sn.Digest != want {
 		t.Fatalf("version %d is held with digest %s, want %s", sn.Version, sn.Digest, want)
 	}
-	for rc := range ma.nd.Board.Members.Get().All {
-		if was, ok := ma.records[rc.VM]; ok && rc.Compare(&was) < 0 {
-			t.Fatalf("record %+v came after %+v", rc, was)
+	for rc := range sm.nd.Board.Members.Get().All {
+		if prev, ok := sm.records[rc.VM]; ok && rc.Compare(&prev) < 0 {
+			t.Fatalf("record %+v came after %+v", rc, prev)
 		}
-		ma.records[rc.VM] = *rc
+		sm.records[rc.VM] = *rc
 	}
 }
 
-// TestMessages: packets are lost, doubled, late, crossed and damaged. After
+// TestPacketFaults: packets are lost, doubled, late, crossed and damaged. After
 // each one the version held is whole and no older than before, and no record
 // goes back; once all have come in order, the last version is held.
-func TestMessages(t *testing.T) {
+func TestPacketFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ma := newMachine(t)
-		defer ma.nd.cancel()
+		sm := newStateMachine(t)
+		defer sm.nd.cancel()
 		var sent []*wirepb.Packet
 		t.Repeat(map[string]func(*rapid.T){
-			"": ma.check,
+			"": sm.check,
 			"version": func(t *rapid.T) {
-				next := rapid.IntRange(0, len(ma.contents)-1).Draw(t, "next")
-				pk := ma.version(rapid.IntRange(-1, len(ma.contents)-1).Draw(t, "base"), next)
+				next := rapid.IntRange(0, len(sm.contents)-1).Draw(t, "next")
+				pk := sm.versionPacket(rapid.IntRange(-1, len(sm.contents)-1).Draw(t, "base"), next)
 				sent = append(sent, pk)
-				ma.deliver(pk)
+				sm.deliver(pk)
 			},
 			"record": func(t *rapid.T) {
 				pk := &wirepb.Packet{Records: []*wirepb.Record{(&member.Record{
@@ -109,42 +109,42 @@
 					Mark: member.Mark(rapid.IntRange(0, 2).Draw(t, "mark")),
 				}).ToWire()}}
 				sent = append(sent, pk)
-				ma.deliver(pk)
+				sm.deliver(pk)
 			},
 			"again": func(t *rapid.T) {
 				if len(sent) == 0 {
 					t.Skip("nothing sent yet")
 				}
-				ma.deliver(rapid.SampledFrom(sent).Draw(t, "packet"))
+				sm.deliver(rapid.SampledFrom(sent).Draw(t, "packet"))
 			},
 			"damaged": func(t *rapid.T) {
-				pk := ma.version(rapid.IntRange(-1, 5).Draw(t, "base"), rapid.IntRange(0, 5).Draw(t, "next"))
+				pk := sm.versionPacket(rapid.IntRange(-1, 5).Draw(t, "base"), rapid.IntRange(0, 5).Draw(t, "next"))
 				i := rapid.IntRange(0, len(pk.Version.Body)-1).Draw(t, "at")
 				if rapid.Bool().Draw(t, "cut") {
 					pk.Version.Body = pk.Version.Body[:i]
 				} else {
 					pk.Version.Body[i] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 				}
-				ma.deliver(pk)
+				sm.deliver(pk)
 			},
 			"odd": func(t *rapid.T) {
-				ma.deliver(rapid.SampledFrom([]*wirepb.Packet{
+				sm.deliver(rapid.SampledFrom([]*wirepb.Packet{
 					{}, {Version: &wirepb.Version{}}, {Version: &wirepb.Version{Number: 9, Digest: []byte("short")}},
 					{Records: []*wirepb.Record{{}}}, {Held: []*wirepb.Held{{}}}, {Summaries: []*wirepb.Summary{{}}},
 					{Reach: []*wirepb.Reach{{}}}, {Hashes: []*wirepb.DomainHash{{}}}, {Heard: []string{""}}, {Welcome: &wirepb.Welcome{}},
 				}).Draw(t, "packet"))
 			},
 		})
-		last := len(ma.contents) - 1
+		last := len(sm.contents) - 1
 		for v := -1; v < last; v++ {
-			ma.deliver(ma.version(v, v+1))
-			ma.check(t)
+			sm.deliver(sm.versionPacket(v, v+1))
+			sm.check(t)
 		}
-		if ma.held == 0 {
+		if sm.held == 0 {
 			return // The first one needs a fetch, which nobody answers here.
 		}
-		if ma.held != uint64(last+1) {
-			t.Fatalf("version %d is held at the end, want %d", ma.held, last+1)
+		if sm.held != uint64(last+1) {
+			t.Fatalf("version %d is held at the end, want %d", sm.held, last+1)
 		}
 	})
 }
@@ -167,10 +167,10 @@
 // know, beside a version that it does. The version is taken all the same.
 func TestNewerPeer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ma := newMachine(t)
-		defer ma.nd.cancel()
-		ma.nd.adoptVersion(1, ma.contents[0])
-		pk := ma.version(0, 1)
+		sm := newStateMachine(t)
+		defer sm.nd.cancel()
+		sm.nd.adoptVersion(1, sm.contents[0])
+		pk := sm.versionPacket(0, 1)
 		// Field 200, a text.
 		pk.ProtoReflect().SetUnknown([]byte{0xc2, 0x0c, 2, 'h', 'i'})
 		pk.Version.ProtoReflect().SetUnknown([]byte{0xc2, 0x0c, 2, 'h', 'i'})
@@ -178,21 +178,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var back wirepb.Packet
-		if err := proto.Unmarshal(raw, &back); err != nil {
+		var decoded wirepb.Packet
+		if err := proto.Unmarshal(raw, &decoded); err != nil {
 			t.Fatal(err)
 		}
-		ma.deliver(&back)
-		if got := ma.nd.Board.HeldVersion(); got != 2 {
+		sm.deliver(&decoded)
+		if got := sm.nd.Board.HeldVersion(); got != 2 {
 			t.Fatalf("version %d is held, want 2", got)
 		}
 	})
 }
 
-// TestFloorSettles: a new process is welcomed by a plain member, which keeps
+// TestOnlyRelaySettlesFloor: a new process is welcomed by a plain member, which keeps
 // nobody's floor, and by a relay that knows what the VM held. Only the relay's
 // word may let it take a version, and none below the floor.
-func TestFloorSettles(t *testing.T) {
+func TestOnlyRelaySettlesFloor(t *testing.T) {
 	nd := New(Config{VM: "vm-x", Domain: "d0", Control: "x:1"})
 	defer nd.cancel()
 	welcome := func(vm string, relay bool, floor uint64) *board.Floor {
--- a/internal/mesh/ctrl/replace_test.go
+++ b/internal/mesh/ctrl/replace_test.go
@@ -19,7 +19,7 @@
 // address, with a clock that is behind. Callers must find the new process, the
 // record of the dead one must not come back, and the floor must hold.
 func TestDaemonReplaced(t *testing.T) {
-	scenario(t, func(fl *fleet) {
+	withFleet(t, func(fl *fleet) {
 		name := "vm-007"
 		old := fl.nodes[name].Board.Self.Get()
 		fl.kill(name)
@@ -35,17 +35,17 @@
 			}
 			return true
 		})
-		fl.allKnown(v)
+		fl.waitConverged(v)
 	})
 }
 
-// TestHerdWithClocksBehind: a whole failure domain restarts with clocks that
+// TestDomainRestartWithClocksBehind: a whole failure domain restarts with clocks that
 // are a minute behind, so that each new process has a lower incarnation than
 // the one before, and its first peers know nothing of that. None may take its
 // forerunner for a newer process and end.
-func TestHerdWithClocksBehind(t *testing.T) {
-	scenario(t, func(fl *fleet) {
-		names := fl.domain("d1")
+func TestDomainRestartWithClocksBehind(t *testing.T) {
+	withFleet(t, func(fl *fleet) {
+		names := fl.domainVMs("d1")
 		fl.kill(names...)
 		fl.restart(names...)
 		for _, name := range names {
@@ -70,11 +70,11 @@
 	})
 }
 
-// TestTwinStepsDown: a VM's daemon is cut off, a new process of the VM is
+// TestOldProcessLearnsOfReplacement: a VM's daemon is cut off, a new process of the VM is
 // started elsewhere, and the cut heals. Two processes would then serve under
 // one name; the old one must learn that it was replaced.
-func TestTwinStepsDown(t *testing.T) {
-	scenario(t, func(fl *fleet) {
+func TestOldProcessLearnsOfReplacement(t *testing.T) {
+	withFleet(t, func(fl *fleet) {
 		name := "vm-004"
 		old := fl.nodes[name]
 		fl.nw.SetCut(func(a, b *memnet.Host) bool { return a == old.ho || b == old.ho })
@@ -95,60 +95,60 @@
 	})
 }
 
-// TestDomainHerd: all daemons of a failure domain die at once and come back at
+// TestDomainRestart: all daemons of a failure domain die at once and come back at
 // once, while a version was accepted. All must hold it within seconds, and
 // nobody may take the others for dead for good.
-func TestDomainHerd(t *testing.T) {
-	scenario(t, func(fl *fleet) {
-		names := fl.domain("d1")
+func TestDomainRestart(t *testing.T) {
+	withFleet(t, func(fl *fleet) {
+		names := fl.domainVMs("d1")
 		fl.kill(names...)
 		v := fl.apply(sample.Change(fl.ms, 2), 1)
 		time.Sleep(3 * time.Second)
 		fl.restart(names...)
-		fl.allKnown(v)
+		fl.waitConverged(v)
 	})
 }
 
-// TestHerdWithPlatformOut: the same with the platform out. The failure domain
+// TestDomainRestartDuringPlatformOutage: the same with the platform out. The failure domain
 // gets its configuration from the others, and no VM holds less than before.
-func TestHerdWithPlatformOut(t *testing.T) {
-	scenario(t, func(fl *fleet) {
+func TestDomainRestartDuringPlatformOutage(t *testing.T) {
+	withFleet(t, func(fl *fleet) {
 		v := fl.apply(sample.Change(fl.ms, 2), 1)
 		fl.waitHeld(v, convergeLimit)
 		time.Sleep(time.Second)
 		fl.st.SetFaults(stand.Faults{Down: true})
-		names := fl.domain("d1")
+		names := fl.domainVMs("d1")
 		fl.kill(names[1:]...)
 		fl.restart(names[1:]...)
-		fl.allKnown(v)
+		fl.waitConverged(v)
 	})
 }
 
-// TestCutAndHerd is a pair: a failure domain is cut off from everything, its
+// TestDomainRestartDuringPartition is a pair: a failure domain is cut off from everything, its
 // daemons but one die and come back within the cut. They must get from the one
 // that lived what they held before, and nothing older.
-func TestCutAndHerd(t *testing.T) {
-	scenario(t, func(fl *fleet) {
+func TestDomainRestartDuringPartition(t *testing.T) {
+	withFleet(t, func(fl *fleet) {
 		v := fl.apply(sample.Change(fl.ms, 12), 1)
 		fl.waitHeld(v, convergeLimit)
 		time.Sleep(time.Second)
 		fl.cutDomain("d2")
 		fl.setPlatformCut("d2")
-		names := fl.domain("d2")
+		names := fl.domainVMs("d2")
 		fl.kill(names[1:]...)
 		fl.restart(names[1:]...)
 		fl.waitHeld(v, 2*convergeLimit)
 		next := fl.apply(sample.Change(fl.ms, 13), v)
 		fl.nw.SetCut(nil)
 		fl.setPlatformCut()
-		fl.allKnown(next)
+		fl.waitConverged(next)
 	})
 }
 
 // TestManyVersions: operators accept fifty versions in five seconds while
 // daemons come and go. Every daemon ends at the last one and never goes back.
 func TestManyVersions(t *testing.T) {
-	scenario(t, func(fl *fleet) {
+	withFleet(t, func(fl *fleet) {
 		v := uint64(1)
 		for i := range 50 {
 			v = fl.apply(sample.Change(fl.ms, i), v)
@@ -159,7 +159,7 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		fl.allKnown(v)
+		fl.waitConverged(v)
 	})
 }
 
@@ -196,12 +196,12 @@
 	return sn
 }
 
-// TestLoneDomainKnowsItsFloor: a failure domain has one VM. The platform is set
+// TestFloorOfSingleVMDomain: a failure domain has one VM. The platform is set
 // back and the VM's daemon is replaced, so no peer of its own failure domain
 // can tell what it held. The relays of the others can, but for some seconds
 // they are cut off. It must wait for their word and not take the platform's
 // older version.
-func TestLoneDomainKnowsItsFloor(t *testing.T) {
+func TestFloorOfSingleVMDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, sample.Mesh(3, 3, 1))
 		defer fl.stopAll()
@@ -214,22 +214,22 @@
 		fl.waitHeld(v, convergeLimit)
 		time.Sleep(settleTime)
 		fl.st.Restore(bk)
-		name := fl.domain("d2")[0]
+		name := fl.domainVMs("d2")[0]
 		fl.kill(name)
 		fl.cutDomain("d2")
 		fl.restart(name)
 		time.Sleep(8 * time.Second)
 		fl.nw.SetCut(nil)
-		fl.allKnown(v)
+		fl.waitConverged(v)
 	})
 }
 
-// TestLeaverOutlivesRecord: a process that acknowledged a drain is replaced. The
+// TestDepartureOutlivesRecord: a process that acknowledged a drain is replaced. The
 // new one's first Hello is read and its answer lost; its second link is welcomed
 // by a peer that holds the new record by then. The peer must still tell which
 // lifetime leaves: without it the new process took a late announcement of that
 // lifetime and sent requests to a server that had left.
-func TestLeaverOutlivesRecord(t *testing.T) {
+func TestDepartureOutlivesRecord(t *testing.T) {
 	nd := New(Config{VM: "a", Domain: "d"})
 	defer nd.cancel()
 	old := &member.Record{VM: "b", Domain: "d", Incarnation: 1, Sequence: 3, Leaving: member.Leaver{Lifetime: "i-1", At: 5}}
--- a/internal/mesh/ctrl/rollout_test.go
+++ b/internal/mesh/ctrl/rollout_test.go
@@ -23,29 +23,29 @@
 
 // The bounds of a rollout, as operators state them.
 const (
-	exposureShare = 0.1
-	exposureSlack = 50
-	rollbackLimit = 5 * time.Second
-	badAnswers    = 50
+	maxExposure      = 0.1
+	exposureSlack    = 50
+	rollbackLimit    = 5 * time.Second
+	badResponseLimit = 50
 )
 
-// rolling is a fleet whose backend servers are rolled out: the odd VMs have the new version.
-type rolling struct {
+// rolloutFleet is a fleet whose backend servers are rolled out: the odd VMs have the new version.
+type rolloutFleet struct {
 	fl      *fleet
 	service string
 	rnd     *rand.Rand
-	// failing is the share of requests that the new version fails.
-	failing float64
+	// failureRate is the share of requests that the new version fails.
+	failureRate float64
 
 	mu       sync.Mutex
 	counters map[string]*tally.Counter
-	// target and all count the requests that reached servers, bad the bad answers of the
+	// targetSize and all count the requests that reached servers, bad the bad answers of the
 	// target.
-	target, all, bad int
-	fiftieth, last   time.Time
+	targetRequests, allRequests, badResponses int
+	limitReached, lastTargetRequest           time.Time
 }
 
-const rollRate = 500 // requests a second
+const requestRate = 500 // requests a second
 
 func software(vm string) string {
 	h := fnv.New32()
@@ -57,192 +57,192 @@
 }
 
 // counts returns what the server of a VM did.
-func (rl *rolling) counts(vm string) Counts {
-	rl.mu.Lock()
-	co := rl.counters[vm]
-	rl.mu.Unlock()
+func (rf *rolloutFleet) counts(vm string) Counts {
+	rf.mu.Lock()
+	co := rf.counters[vm]
+	rf.mu.Unlock()
 	if co == nil {
 		return Counts{}
 	}
-	return Counts{Service: rl.service, Software: software(vm), Cohort: tally.Cohort{Servers: 1, Routes: co.Rows()}}
+	return Counts{Service: rf.service, Software: software(vm), Cohort: tally.Cohort{Servers: 1, Routes: co.Rows()}}
 }
 
-// serve plays the requests of a span at all outlets.
-func (rl *rolling) serve(span time.Duration) {
+// sendRequests plays the requests of a span at all outlets.
+func (rf *rolloutFleet) sendRequests(span time.Duration) {
 	now := time.Now()
-	names := map[string][]string{}
-	for name := range rl.fl.nodes {
-		names[software(name)] = append(names[software(name)], name)
+	byVersion := map[string][]string{}
+	for name := range rf.fl.nodes {
+		byVersion[software(name)] = append(byVersion[software(name)], name)
 	}
-	slices.Sort(names["v1"])
-	slices.Sort(names["v2"])
-	perNode := rollRate * span.Seconds() / float64(len(rl.fl.nodes))
-	for _, tn := range rl.fl.nodes {
-		ro := tn.Board.Rollouts.Get().Of(rl.service)
+	slices.Sort(byVersion["v1"])
+	slices.Sort(byVersion["v2"])
+	perNode := requestRate * span.Seconds() / float64(len(rf.fl.nodes))
+	for _, tn := range rf.fl.nodes {
+		ro := tn.Board.Rollouts.Get().Of(rf.service)
 		share, state, servers := 0.0, canary.State(0), 0
 		if ro != nil {
 			share, state, servers = ro.ShareAt(now), ro.State, ro.Servers
 		}
 		n := int(perNode)
-		if rl.rnd.Float64() < perNode-float64(n) {
+		if rf.rnd.Float64() < perNode-float64(n) {
 			n++
 		}
 		for range n {
-			list := names["v1"]
-			toTarget := state == canary.Complete || rl.rnd.Float64() < share
+			list := byVersion["v1"]
+			toTarget := state == canary.Complete || rf.rnd.Float64() < share
 			if toTarget {
-				if list = names["v2"]; state != canary.Complete {
+				if list = byVersion["v2"]; state != canary.Complete {
 					list = list[:max(1, min(servers, len(list)))]
 				}
 			}
-			rl.run(list[rl.rnd.IntN(len(list))], toTarget, now)
+			rf.handleRequest(list[rf.rnd.IntN(len(list))], toTarget, now)
 		}
 	}
 }
 
-func (rl *rolling) run(vm string, target bool, now time.Time) {
-	rl.mu.Lock()
-	defer rl.mu.Unlock()
-	rl.all++
-	failed := rl.rnd.Float64() < 0.001
+func (rf *rolloutFleet) handleRequest(vm string, target bool, now time.Time) {
+	rf.mu.Lock()
+	defer rf.mu.Unlock()
+	rf.allRequests++
+	failed := rf.rnd.Float64() < 0.001
 	if target {
-		rl.target++
-		rl.last = now
-		if rl.rnd.Float64() < rl.failing {
+		rf.targetRequests++
+		rf.lastTargetRequest = now
+		if rf.rnd.Float64() < rf.failureRate {
 			failed = true
-			if rl.bad++; rl.bad == badAnswers {
-				rl.fiftieth = now
+			if rf.badResponses++; rf.badResponses == badResponseLimit {
+				rf.limitReached = now
 			}
 		}
 	}
-	held := time.Duration(200 * float64(time.Millisecond) * math.Exp(0.8*rl.rnd.NormFloat64()))
-	rl.counters[vm].Add("lookup", failed, held)
+	latency := time.Duration(200 * float64(time.Millisecond) * math.Exp(0.8*rf.rnd.NormFloat64()))
+	rf.counters[vm].Add("lookup", failed, latency)
 }
 
-// order writes an order as the operators do.
-func (rl *rolling) order(duration time.Duration) {
-	rl.fl.t.Helper()
-	or := order.Order{Service: rl.service, Target: "v2", DurationMs: duration.Milliseconds()}
+// writeOrder writes an order as the operators do.
+func (rf *rolloutFleet) writeOrder(duration time.Duration) {
+	rf.fl.t.Helper()
+	or := order.Order{Service: rf.service, Target: "v2", DurationMs: duration.Milliseconds()}
 	value, err := json.Marshal(or)
 	if err != nil {
-		rl.fl.t.Fatal(err)
+		rf.fl.t.Fatal(err)
 	}
-	if err := put(rl.fl.t.Context(), rl.fl.st.Store(), or.Key(), value); err != nil {
-		rl.fl.t.Fatal(err)
+	if err := put(rf.fl.t.Context(), rf.fl.st.Store(), or.Key(), value); err != nil {
+		rf.fl.t.Fatal(err)
 	}
 }
 
-// status returns the state that the store has, 0 for none.
-func (rl *rolling) status() canary.State {
-	ent, err := rl.fl.st.Store().Get(context.Background(), order.StatusKey(rl.service))
+// storedState returns the state that the store has, 0 for none.
+func (rf *rolloutFleet) storedState() canary.State {
+	ent, err := rf.fl.st.Store().Get(context.Background(), order.StatusKey(rf.service))
 	if err != nil || !ent.Revision.Exists() {
 		return 0
 	}
 	target, st, err := order.DecodeStatus(ent.Value)
 	if err != nil || target != "v2" {
-		rl.fl.t.Errorf("the store has %q, %v", ent.Value, err)
+		rf.fl.t.Errorf("the store has %q, %v", ent.Value, err)
 	}
 	return st
 }
 
-// playFor plays requests for a span.
-func (rl *rolling) playFor(span time.Duration) {
+// sendRequestsFor plays requests for a span.
+func (rf *rolloutFleet) sendRequestsFor(span time.Duration) {
 	const step = 100 * time.Millisecond
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(step) {
-		rl.serve(step)
+		rf.sendRequests(step)
 	}
 }
 
-// withRolling starts a fleet whose servers are rolled out.
-func withRolling(t *testing.T, seed uint64, fn func(rl *rolling)) {
+// withRollout starts a fleet whose servers are rolled out.
+func withRollout(t *testing.T, seed uint64, fn func(rf *rolloutFleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, sample.Mesh(24, 3, 1))
-		rl := &rolling{fl: fl, service: fl.ms.VMs[0].Service, rnd: rand.New(rand.NewPCG(seed, 3)), counters: map[string]*tally.Counter{}}
+		rf := &rolloutFleet{fl: fl, service: fl.ms.VMs[0].Service, rnd: rand.New(rand.NewPCG(seed, 3)), counters: map[string]*tally.Counter{}}
 		for _, vm := range fl.ms.VMs {
-			rl.counters[vm.Name] = &tally.Counter{}
+			rf.counters[vm.Name] = &tally.Counter{}
 		}
-		fl.counts = rl.counts
+		fl.counts = rf.counts
 		defer fl.stopAll()
 		fl.apply(fl.ms, 0)
 		fl.startAll()
 		fl.waitHeld(1, 20*time.Second)
 		fl.waitMembers(20 * time.Second)
 		time.Sleep(settleTime)
-		rl.playFor(2 * time.Second)
-		rl.all, rl.target = 0, 0
-		fn(rl)
+		rf.sendRequestsFor(2 * time.Second)
+		rf.allRequests, rf.targetRequests = 0, 0
+		fn(rf)
 	})
 }
 
-// rollFaults are what happens a part of the way into a rollout.
-var rollFaults = []struct {
-	name string
-	with func(rl *rolling)
+// rolloutFaults are what happens a part of the way into a rollout.
+var rolloutFaults = []struct {
+	name   string
+	inject func(rf *rolloutFleet)
 	// slow says that the rollout may end too late, or with the servers of before.
-	slow bool
+	mayEndLate bool
 }{
-	{name: "nothing", with: func(*rolling) {}},
-	{name: "those that decide are killed", with: func(rl *rolling) {
-		for name, tn := range rl.fl.nodes {
+	{name: "nothing", inject: func(*rolloutFleet) {}},
+	{name: "those that decide are killed", inject: func(rf *rolloutFleet) {
+		for name, tn := range rf.fl.nodes {
 			if follows := tn.following.Get(); follows != nil && *follows {
-				rl.fl.kill(name)
-				defer rl.fl.restart(name)
+				rf.fl.kill(name)
+				defer rf.fl.restart(name)
 			}
 		}
-		rl.playFor(2 * time.Second)
+		rf.sendRequestsFor(2 * time.Second)
 	}},
-	{name: "a failure domain is cut off", with: func(rl *rolling) {
-		rl.fl.cutDomain("d1")
-		rl.playFor(3 * time.Second)
-		rl.fl.nw.SetCut(nil)
+	{name: "a failure domain is cut off", inject: func(rf *rolloutFleet) {
+		rf.fl.cutDomain("d1")
+		rf.sendRequestsFor(3 * time.Second)
+		rf.fl.nw.SetCut(nil)
 	}},
-	{name: "the store is down", with: func(rl *rolling) {
-		rl.fl.st.SetFaults(stand.Faults{Down: true})
-		rl.playFor(3 * time.Second)
-		rl.fl.st.SetFaults(stand.Faults{Delay: toPlatform})
-	}, slow: true},
-	{name: "the store is slow", with: func(rl *rolling) {
-		rl.fl.st.SetFaults(stand.Faults{Delay: 200 * time.Millisecond})
-		rl.playFor(3 * time.Second)
-		rl.fl.st.SetFaults(stand.Faults{Delay: toPlatform})
+	{name: "the store is down", inject: func(rf *rolloutFleet) {
+		rf.fl.st.SetFaults(stand.Faults{Down: true})
+		rf.sendRequestsFor(3 * time.Second)
+		rf.fl.st.SetFaults(stand.Faults{Delay: toPlatform})
+	}, mayEndLate: true},
+	{name: "the store is slow", inject: func(rf *rolloutFleet) {
+		rf.fl.st.SetFaults(stand.Faults{Delay: 200 * time.Millisecond})
+		rf.sendRequestsFor(3 * time.Second)
+		rf.fl.st.SetFaults(stand.Faults{Delay: toPlatform})
 	}},
-	{name: "answers of the store are lost", with: func(rl *rolling) {
-		rl.fl.st.SetFaults(stand.Faults{Delay: toPlatform, LoseAnswers: 3})
+	{name: "answers of the store are lost", inject: func(rf *rolloutFleet) {
+		rf.fl.st.SetFaults(stand.Faults{Delay: toPlatform, LoseAnswers: 3})
 	}},
-	{name: "the store comes back older", with: func(rl *rolling) {
-		bk := rl.fl.st.Backup()
-		rl.playFor(time.Second)
-		rl.fl.st.ComeBack(bk)
+	{name: "the store comes back older", inject: func(rf *rolloutFleet) {
+		bk := rf.fl.st.Backup()
+		rf.sendRequestsFor(time.Second)
+		rf.fl.st.ComeBack(bk)
 	}},
-	{name: "the store comes back without the order", with: func(rl *rolling) {
-		rl.fl.st.ComeBack(rl.backup())
-		rl.playFor(1500 * time.Millisecond)
-		rl.order(12 * time.Second)
+	{name: "the store comes back without the order", inject: func(rf *rolloutFleet) {
+		rf.fl.st.ComeBack(rf.backupWithoutRollout())
+		rf.sendRequestsFor(1500 * time.Millisecond)
+		rf.writeOrder(12 * time.Second)
 	}},
-	{name: "all daemons are killed", with: func(rl *rolling) {
+	{name: "all daemons are killed", inject: func(rf *rolloutFleet) {
 		var all []string
-		for name := range rl.fl.nodes {
+		for name := range rf.fl.nodes {
 			all = append(all, name)
 		}
-		rl.fl.kill(all...)
-		rl.fl.restart(all...)
-	}, slow: true},
+		rf.fl.kill(all...)
+		rf.fl.restart(all...)
+	}, mayEndLate: true},
 }
 
-// backup returns a copy of the store without the rollout.
-func (rl *rolling) backup() stand.Backup {
-	kv, keep := rl.fl.st.Store(), rl.fl.st.Backup()
-	for _, key := range []string{order.Prefix + rl.service, order.StatusKey(rl.service), beganPrefix + rl.service} {
+// backupWithoutRollout returns a copy of the store without the rollout.
+func (rf *rolloutFleet) backupWithoutRollout() stand.Backup {
+	kv, current := rf.fl.st.Store(), rf.fl.st.Backup()
+	for _, key := range []string{order.Prefix + rf.service, order.StatusKey(rf.service), beganPrefix + rf.service} {
 		ent, err := kv.Get(context.Background(), key)
 		if err == nil && ent.Revision.Exists() {
 			_, _, err = kv.Swap(context.Background(), store.Change{Key: key, Revision: ent.Revision, Remove: true})
 		}
 		if err != nil {
-			rl.fl.t.Error(err)
+			rf.fl.t.Error(err)
 		}
 	}
-	bk := rl.fl.st.Backup()
-	rl.fl.st.Restore(keep)
+	bk := rf.fl.st.Backup()
+	rf.fl.st.Restore(current)
 	return bk
 }
 
@@ -251,72 +251,72 @@
 func TestRollout(t *testing.T) {
 	const duration = 12 * time.Second
 	for _, failing := range []float64{0, 0.3} {
-		for _, fa := range rollFaults {
+		for _, fa := range rolloutFaults {
 			name := "good"
 			if failing > 0 {
 				name = "bad"
 			}
 			t.Run(fmt.Sprintf("%s/%s", name, fa.name), func(t *testing.T) {
-				withRolling(t, 1, func(rl *rolling) {
-					rl.failing = failing
-					rl.order(duration)
+				withRollout(t, 1, func(rf *rolloutFleet) {
+					rf.failureRate = failing
+					rf.writeOrder(duration)
 					began := time.Now()
 					if failing > 0 {
-						rl.playFor(200 * time.Millisecond)
+						rf.sendRequestsFor(200 * time.Millisecond)
 					} else {
-						rl.playFor(4 * time.Second)
+						rf.sendRequestsFor(4 * time.Second)
 					}
-					fa.with(rl)
-					rl.playFor(duration - time.Since(began))
-					rl.check(fa.slow)
+					fa.inject(rf)
+					rf.sendRequestsFor(duration - time.Since(began))
+					rf.check(fa.mayEndLate)
 				})
 			})
 		}
 	}
 }
 
-func (rl *rolling) check(slow bool) {
-	t := rl.fl.t
+func (rf *rolloutFleet) check(mayEndLate bool) {
+	t := rf.fl.t
 	t.Helper()
-	st := rl.status()
+	st := rf.storedState()
 	switch {
-	case rl.failing > 0 && st != canary.RolledBack && !(slow && st == canary.InProgress), rl.failing == 0 && st != canary.Complete && !slow:
+	case rf.failureRate > 0 && st != canary.RolledBack && !(mayEndLate && st == canary.InProgress), rf.failureRate == 0 && st != canary.Complete && !mayEndLate:
 		t.Errorf("the store has %s at the end of the order's time", st)
-	case rl.failing > 0 && st == canary.Complete:
+	case rf.failureRate > 0 && st == canary.Complete:
 		t.Error("a bad version is complete")
 	}
-	if most := int(exposureShare*float64(rl.all)) + exposureSlack; rl.failing > 0 && rl.target > most {
-		t.Errorf("%d of %d requests reached the bad version, %d may", rl.target, rl.all, most)
+	if limit := int(maxExposure*float64(rf.allRequests)) + exposureSlack; rf.failureRate > 0 && rf.targetRequests > limit {
+		t.Errorf("%d of %d requests reached the bad version, %d may", rf.targetRequests, rf.allRequests, limit)
 	}
-	if !rl.fiftieth.IsZero() && rl.last.Sub(rl.fiftieth) > rollbackLimit {
-		t.Errorf("a request reached the bad version %s after its 50th bad answer", rl.last.Sub(rl.fiftieth))
+	if !rf.limitReached.IsZero() && rf.lastTargetRequest.Sub(rf.limitReached) > rollbackLimit {
+		t.Errorf("a request reached the bad version %s after its 50th bad answer", rf.lastTargetRequest.Sub(rf.limitReached))
 	}
-	t.Logf("%s; %d of %d requests reached the new version, %d bad answers", st, rl.target, rl.all, rl.bad)
-	rl.playFor(5 * time.Second)
-	if end := rl.status(); st.Final() && end != st {
-		t.Errorf("the store has %s after %s", end, st)
+	t.Logf("%s; %d of %d requests reached the new version, %d bad answers", st, rf.targetRequests, rf.allRequests, rf.badResponses)
+	rf.sendRequestsFor(5 * time.Second)
+	if final := rf.storedState(); st.Final() && final != st {
+		t.Errorf("the store has %s after %s", final, st)
 	}
-	for name, tn := range rl.fl.nodes {
-		ro := tn.Board.Rollouts.Get().Of(rl.service)
-		if ro == nil || ro.State != rl.status() {
-			t.Errorf("%s has %+v, the store %s", name, ro, rl.status())
+	for name, tn := range rf.fl.nodes {
+		ro := tn.Board.Rollouts.Get().Of(rf.service)
+		if ro == nil || ro.State != rf.storedState() {
+			t.Errorf("%s has %+v, the store %s", name, ro, rf.storedState())
 		}
 	}
 }
 
 // TestUnreadableOrder guards against an order of another writer that stops the others.
 func TestUnreadableOrder(t *testing.T) {
-	withRolling(t, 2, func(rl *rolling) {
+	withRollout(t, 2, func(rf *rolloutFleet) {
 		for _, value := range []string{"", "[]", `{"service":"x"}`} {
-			if err := put(context.Background(), rl.fl.st.Store(), order.Prefix+"other", []byte(value)); err != nil {
+			if err := put(context.Background(), rf.fl.st.Store(), order.Prefix+"other", []byte(value)); err != nil {
 				t.Fatal(err)
 			}
-			rl.playFor(time.Second)
+			rf.sendRequestsFor(time.Second)
 		}
-		rl.order(12 * time.Second)
-		rl.playFor(12 * time.Second)
-		rl.check(false)
-		if ent, err := rl.fl.st.Store().Get(context.Background(), order.StatusKey("other")); err != nil || ent.Revision.Exists() {
+		rf.writeOrder(12 * time.Second)
+		rf.sendRequestsFor(12 * time.Second)
+		rf.check(false)
+		if ent, err := rf.fl.st.Store().Get(context.Background(), order.StatusKey("other")); err != nil || ent.Revision.Exists() {
 			t.Errorf("an unreadable order got the state %q, %v", ent.Value, err)
 		}
 	})
--- a/internal/mesh/ctrl/scale_test.go
+++ b/internal/mesh/ctrl/scale_test.go
@@ -16,17 +16,17 @@
 	"github.com/flamingomast/flamingomast/internal/plat/stand"
 )
 
-// traffic is what a node's connections have carried, both ways.
-func (tn *testNode) traffic() int64 { return tn.ho.In.Load() + tn.ho.Out.Load() }
+// transferred is what a node's connections have carried, both ways.
+func (tn *testNode) transferred() int64 { return tn.ho.In.Load() + tn.ho.Out.Load() }
 
 // load is the control traffic of one span of time, in bytes a node.
 type load struct {
-	relays                 int
-	relayMean, relayMax    int64
-	memberMean, memberMax  int64
-	calls                  int64
-	span                   time.Duration
-	relayBytes, memberByts int64
+	relays                  int
+	relayMean, relayMax     int64
+	memberMean, memberMax   int64
+	calls                   int64
+	span                    time.Duration
+	relayBytes, memberBytes int64
 }
 
 // String gives rates by the second.
@@ -42,38 +42,38 @@
 	relays := fl.relays()
 	before := map[*testNode]int64{}
 	for _, tn := range fl.nodes {
-		before[tn] = tn.traffic()
+		before[tn] = tn.transferred()
 	}
 	calls, began := fl.st.Calls.Total(), time.Now()
 	fn()
 	ld := load{span: time.Since(began), calls: fl.st.Calls.Total() - calls}
 	members := 0
 	for name, tn := range fl.nodes {
-		was, ok := before[tn]
+		prev, ok := before[tn]
 		if !ok {
 			continue
 		}
-		n := tn.traffic() - was
+		n := tn.transferred() - prev
 		if slices.Contains(relays, name) {
 			ld.relays++
 			ld.relayBytes += n
 			ld.relayMax = max(ld.relayMax, n)
 		} else {
 			members++
-			ld.memberByts += n
+			ld.memberBytes += n
 			ld.memberMax = max(ld.memberMax, n)
 		}
 	}
 	ld.relayMean = ld.relayBytes / int64(max(1, ld.relays))
-	ld.memberMean = ld.memberByts / int64(max(1, members))
+	ld.memberMean = ld.memberBytes / int64(max(1, members))
 	return ld
 }
 
 // size is a fleet's size.
 type size struct{ vms, domains, services int }
 
-// sized starts a fleet of a size, lets it settle and ends it after fn.
-func sized(t *testing.T, sz size, fn func(fl *fleet)) {
+// withSizedFleet starts a fleet of a size, lets it settle and ends it after fn.
+func withSizedFleet(t *testing.T, sz size, fn func(fl *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, sample.Mesh(sz.vms, sz.domains, sz.services))
@@ -105,7 +105,7 @@
 		{size{790, 5, 73}, 4300, 75, 480, 6, 80 * time.Millisecond},
 	} {
 		t.Run(fmt.Sprint(tc.vms), func(t *testing.T) {
-			sized(t, tc.size, func(fl *fleet) {
+			withSizedFleet(t, tc.size, func(fl *fleet) {
 				idle := fl.measure(func() { time.Sleep(time.Minute) })
 				t.Logf("idle: %s", idle)
 				if got := idle.relayMean / 60; got > tc.relayIdle {
@@ -135,14 +135,14 @@
 	}
 }
 
-var target = size{790, 5, 73}
+var targetSize = size{790, 5, 73}
 
 // TestTargetFaults brings about at the target size what happens there every
 // few weeks or months, one after another on one fleet: the relays of each
 // failure domain die amid a change, a failure domain is cut off and heals, the
 // platform is at its slowest, and all daemons die and come back at once.
 func TestTargetFaults(t *testing.T) {
-	sized(t, target, func(fl *fleet) {
+	withSizedFleet(t, targetSize, func(fl *fleet) {
 		v := uint64(1)
 		next := func() uint64 {
 			v = fl.apply(sample.Change(fl.ms, int(v)), v)
@@ -156,7 +156,7 @@
 		fl.kill(dead...)
 		t.Logf("a relay of each failure domain dies midway: held by the rest after %s", fl.waitHeld(v, convergeLimit))
 		fl.restart(dead...)
-		fl.allKnown(v)
+		fl.waitConverged(v)
 
 		fl.cutDomain("d3")
 		fl.setPlatformCut("d3")
@@ -165,7 +165,7 @@
 		time.Sleep(5 * time.Second)
 		fl.nw.SetCut(nil)
 		fl.setPlatformCut()
-		fl.allKnown(v)
+		fl.waitConverged(v)
 
 		fl.st.SetFaults(stand.Faults{Delay: time.Second})
 		next()
@@ -180,7 +180,7 @@
 		fl.kill(all...)
 		calls := fl.st.Calls.Total()
 		fl.startAll()
-		fl.allKnown(v)
+		fl.waitConverged(v)
 		time.Sleep(30 * time.Second)
 		t.Logf("all die and come back: %d platform calls in 30 s", fl.st.Calls.Total()-calls)
 	})
@@ -190,7 +190,7 @@
 // ten VMs are replaced and five versions accepted within it, where a day has
 // 230 and 1,800. Each relay and member stays below 13 KB a second.
 func TestOrdinaryDay(t *testing.T) {
-	sized(t, target, func(fl *fleet) {
+	withSizedFleet(t, targetSize, func(fl *fleet) {
 		v := uint64(1)
 		ld := fl.measure(func() {
 			for i := range 10 {
@@ -204,16 +204,16 @@
 			}
 		})
 		t.Logf("worst minute: %s", ld)
-		const most = 13_000 * 60
-		if ld.relayMax > most || ld.memberMax > most {
-			t.Errorf("a relay carried %d B and a member %d B in a minute, bound %d", ld.relayMax, ld.memberMax, most)
+		const limit = 13_000 * 60
+		if ld.relayMax > limit || ld.memberMax > limit {
+			t.Errorf("a relay carried %d B and a member %d B in a minute, bound %d", ld.relayMax, ld.memberMax, limit)
 		}
-		fl.allKnown(v)
+		fl.waitConverged(v)
 	})
 }
 
-// hundreds is the size of a fleet of today.
-var hundreds = size{295, 5, 2}
+// typicalSize is the size of a fleet of today.
+var typicalSize = size{295, 5, 2}
 
 // TestWorstSecond: 295 daemons start at once. When they have settled, operators make 25
 // versions in five seconds; meanwhile the store turns a third of the VMs away and ends all
@@ -221,17 +221,17 @@
 // within its bound, no link of 10 Mbit/s is full, and the store gets fewer calls than there
 // are daemons.
 func TestWorstSecond(t *testing.T) {
-	sized(t, hundreds, func(fl *fleet) {
+	withSizedFleet(t, typicalSize, func(fl *fleet) {
 		v := uint64(1)
 		calls := fl.st.Calls.Total()
 		ld := fl.measure(func() {
-			turned := map[string]spoil{}
+			faults := map[string]vmFault{}
 			for i, vm := range fl.ms.VMs {
 				if i%3 == 0 {
-					turned[vm.Name] = refuses
+					faults[vm.Name] = faultReject
 				}
 			}
-			fl.spoilt.Store(&turned)
+			fl.vmFaults.Store(&faults)
 			fl.st.LapseLeases()
 			for i := range 25 {
 				v = fl.apply(sample.Change(fl.ms, i), v)
@@ -242,15 +242,15 @@
 		calls = fl.st.Calls.Total() - calls
 		t.Logf("%d calls, %s", calls, ld)
 		const link = 10_000_000 / 8
-		if most := int64(link * ld.span.Seconds()); ld.relayMax > most {
-			t.Errorf("the busiest relay carried %d B in %s, its link %d", ld.relayMax, ld.span, most)
+		if limit := int64(link * ld.span.Seconds()); ld.relayMax > limit {
+			t.Errorf("the busiest relay carried %d B in %s, its link %d", ld.relayMax, ld.span, limit)
 		}
 		// An operator's submission takes up to ten of them.
-		if most := int64(25*10 + hundreds.vms); calls > most {
-			t.Errorf("%d calls to the store, bound %d", calls, most)
+		if limit := int64(25*10 + typicalSize.vms); calls > limit {
+			t.Errorf("%d calls to the store, bound %d", calls, limit)
 		}
-		fl.spoilt.Store(&map[string]spoil{})
-		fl.allKnown(v)
+		fl.vmFaults.Store(&map[string]vmFault{})
+		fl.waitConverged(v)
 	})
 }
 
@@ -259,7 +259,7 @@
 // must hold the configuration within a second and nine tenths within three, and the herd
 // may ask the store for no more than two calls a daemon.
 func TestAllComeBack(t *testing.T) {
-	sized(t, hundreds, func(fl *fleet) {
+	withSizedFleet(t, typicalSize, func(fl *fleet) {
 		var all []string
 		for name := range fl.nodes {
 			all = append(all, name)
@@ -267,44 +267,44 @@
 		fl.kill(all...)
 		time.Sleep(2 * time.Second)
 		calls := fl.st.Calls.Total()
-		fl.newest = true
+		fl.linearizable = true
 		fl.startAll()
 		held := func(part int) func() bool {
 			return func() bool { return 10*(len(fl.nodes)-len(fl.behind(1))) >= part*len(fl.nodes) }
 		}
 		first := fl.waitFor("the first daemon holds the version", time.Second, func() bool { return len(fl.behind(1)) < len(fl.nodes) })
-		most := fl.waitFor("nine tenths hold the version", 3*time.Second, held(9))
+		nineTenths := fl.waitFor("nine tenths hold the version", 3*time.Second, held(9))
 		time.Sleep(10 * time.Second)
 		calls = fl.st.Calls.Total() - calls
-		t.Logf("the first after %s, nine tenths %s later, %d calls to the store in ten seconds more", first, most, calls)
-		if calls > int64(2*hundreds.vms) {
+		t.Logf("the first after %s, nine tenths %s later, %d calls to the store in ten seconds more", first, nineTenths, calls)
+		if calls > int64(2*typicalSize.vms) {
 			t.Errorf("%d calls to the store", calls)
 		}
-		fl.allKnown(1)
+		fl.waitConverged(1)
 	})
 }
 
 // TestScaleEpoch guards against a fleet of hundreds that asks a store which came back from
 // an older copy for all it lost, each daemon by itself.
 func TestScaleEpoch(t *testing.T) {
-	sized(t, hundreds, func(fl *fleet) {
+	withSizedFleet(t, typicalSize, func(fl *fleet) {
 		bk, since := fl.st.Backup(), fl.st.Newest()
 		v := fl.apply(sample.Change(fl.ms, 1), 1)
 		fl.waitHeld(v, convergeLimit)
 		time.Sleep(2 * time.Second)
-		calls := fl.calls()
+		calls := fl.storeCalls()
 		fl.st.ComeBack(bk)
-		took := fl.waitFor("the relays are registered again", registeredLimit, func() bool { return fl.registered(since) })
+		took := fl.waitFor("the relays are registered again", reregisterLimit, func() bool { return fl.relaysRegistered(since) })
 		time.Sleep(3*time.Second - took)
 		// Two calls a second are the watches of those who follow the store.
-		calls = fl.calls() - calls
+		calls = fl.storeCalls() - calls
 		t.Logf("registered after %s, %d calls to the store in 3 s, %d relays", took, calls, len(fl.relays()))
-		if most := int64(hundreds.vms / 2); calls > most {
-			t.Errorf("%d calls to the store, want %d at most", calls, most)
+		if limit := int64(typicalSize.vms / 2); calls > limit {
+			t.Errorf("%d calls to the store, want %d at most", calls, limit)
 		}
 		if hd := fl.head(); hd.Last.Version != v || len(hd.Recent) != 2 {
 			t.Errorf("the head has version %d and the submissions %+v, want %d, restored once", hd.Last.Version, hd.Recent, v)
 		}
-		fl.allKnown(v)
+		fl.waitConverged(v)
 	})
 }
--- a/internal/mesh/ctrl/slow_test.go
+++ b/internal/mesh/ctrl/slow_test.go
@@ -28,7 +28,7 @@
 		fl.waitHeld(1, 20*time.Second)
 		fl.waitMembers(20 * time.Second)
 		time.Sleep(settleTime)
-		fl.noPlatform.Store(&map[string]bool{"d1": true})
+		fl.platformCut.Store(&map[string]bool{"d1": true})
 		rate.Store(stall.MinRate)
 		rnd := rand.New(rand.NewPCG(1, 1))
 		next := *fl.ms
