--- a/internal/mesh/ctrl/crashes_test.go
+++ b/internal/mesh/ctrl/crashes_test.go
@@ -11,14 +11,15 @@
 	"github.com/flamingomast/flamingomast/internal/path/ident"
 )
 
-// reportLimit is how long after the end of a server all daemons that are in touch with the
-// store must know of it.
+// reportLimit is the time after a server's crash within which all daemons that can reach the store
+// must know of it.
 const reportLimit = 3 * time.Second
 
-// poisonRequest names a request that servers end under in these tests.
+// poisonRequest is the key of the request that servers crash under in these tests.
 const poisonRequest ident.Key = 7
 
-// reportCrashes lets a server beside each of the VMs end under the deadly request.
+// reportCrashes makes the daemon of each of the VMs report that its server crashed under the poison
+// request.
 func (fl *fleet) reportCrashes(vms ...string) {
 	for _, vm := range vms {
 		tn := fl.nodes[vm]
@@ -27,7 +28,7 @@
 	}
 }
 
-// vmNotRefusing names a daemon that does not refuse the deadly request, empty for none.
+// vmNotRefusing returns a VM whose daemon does not refuse the poison request; empty if there is none.
 func (fl *fleet) vmNotRefusing() string {
 	for name, tn := range fl.nodes {
 		if !tn.Board.Poison.Get().Refuses(poisonRequest, time.Now(), 0) {
@@ -37,7 +38,8 @@
 	return ""
 }
 
-// vmPerDomain returns a VM of each failure domain, of the given rank there.
+// vmPerDomain returns the VM at the given index of each failure domain, as many as it takes for a
+// request that crashed their servers to be refused.
 func (fl *fleet) vmPerDomain(rank int) (list []string) {
 	count := map[string]int{}
 	for _, vm := range fl.ms.VMs {
@@ -48,23 +50,23 @@
 	return list
 }
 
-// TestCrashReportsReachAll: a request ended a server in each of three failure domains, and each
-// daemon knew of the one beside it. All must know of all three, whatever fails beside it.
+// TestCrashReportsReachAll: a request crashes one server in each of three failure domains. All
+// daemons must learn of all three crashes, even if the store, relays or the reporting daemons fail.
 func TestCrashReportsReachAll(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		fault func(*fleet)
 	}{
 		{"calm", func(*fleet) {}},
-		{"the store is away", func(fl *fleet) {
+		{"the store is unreachable", func(fl *fleet) {
 			cut := map[string]bool{}
 			for _, vm := range fl.ms.VMs {
 				cut[vm.Domain] = true
 			}
 			fl.platformCut.Store(&cut)
 		}},
-		{"the relays of a failure domain die", func(fl *fleet) { fl.kill(fl.relaysOf(fl.ms.VMs[0].Domain)...) }},
-		{"the daemons that saw it die after a moment", func(fl *fleet) {
+		{"the relays of a failure domain are killed", func(fl *fleet) { fl.kill(fl.relaysOf(fl.ms.VMs[0].Domain)...) }},
+		{"the reporting daemons are killed after 50 ms", func(fl *fleet) {
 			time.Sleep(50 * time.Millisecond)
 			fl.kill(fl.vmPerDomain(5)...)
 		}},
@@ -80,20 +82,21 @@
 				time.Sleep(10 * time.Second)
 				fl.reportCrashes(fl.vmPerDomain(5)...)
 				tc.fault(fl)
-				took := fl.waitFor("all know of three ends", reportLimit, func() bool { return fl.vmNotRefusing() == "" })
+				took := fl.waitFor("all daemons refuse the poison request", reportLimit, func() bool { return fl.vmNotRefusing() == "" })
 				t.Logf("after %s", took)
 				vm := fl.ms.VMs[len(fl.ms.VMs)-1]
 				fl.kill(vm.Name)
 				fl.startNode(vm)
-				fl.waitFor("a daemon that starts knows as well", reportLimit, func() bool { return fl.vmNotRefusing() == "" })
+				fl.waitFor("a new daemon refuses the poison request as well", reportLimit, func() bool { return fl.vmNotRefusing() == "" })
 			})
 		})
 	}
 }
 
-// TestCrashReportsSurviveRestart: three servers had ended under a request, and then all daemons were
-// killed at once. The new ones knew nothing, and it ended three more: what was known lived
-// in the daemons alone. The ones that follow the store keep it there and read it first.
+// TestCrashReportsSurviveRestart: three servers crash under a request, and then all daemons are
+// killed at once. When the reports were kept only in the daemons, the new processes knew nothing of
+// them and three more servers crashed. The daemons that follow the store must write the reports to
+// it, and read them first when they start.
 func TestCrashReportsSurviveRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, sample.Mesh(30, 3, 2))
@@ -110,18 +113,18 @@
 		}
 		fl.kill(names...)
 		fl.startAll()
-		t.Logf("after %s", fl.waitFor("all know of three ends", reportLimit, func() bool { return fl.vmNotRefusing() == "" }))
+		t.Logf("after %s", fl.waitFor("all daemons refuse the poison request", reportLimit, func() bool { return fl.vmNotRefusing() == "" }))
 		fl.waitHeld(1, 20*time.Second)
 	})
 }
 
-// TestCrashReportsAcrossPartition: a failure domain is cut off from the others, not from the store.
-// Three servers end under a request on one side of the cut, and its caller comes to the
-// other one, where three more ended: the news goes by links between daemons, and there is
-// none. Those who follow the store on either side find it there.
+// TestCrashReportsAcrossPartition: a failure domain is cut off from the others, but not from the
+// store. Three servers crash under a request on one side of the partition. No link carries the
+// reports to the other side, so when the caller retried there, three more servers crashed. The
+// daemons that follow the store on the other side must find the reports in the store.
 func TestCrashReportsAcrossPartition(t *testing.T) {
 	for _, inside := range []bool{false, true} {
-		t.Run(fmt.Sprint("ended behind the cut ", inside), func(t *testing.T) {
+		t.Run(fmt.Sprint("crashes in the isolated failure domain ", inside), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				fl := newFleet(t, sample.Mesh(30, 3, 2))
 				defer fl.stopAll()
@@ -139,7 +142,7 @@
 					}
 				}
 				fl.reportCrashes(crashed...)
-				t.Logf("after %s", fl.waitFor("both sides know of three ends", reportLimit, func() bool { return fl.vmNotRefusing() == "" }))
+				t.Logf("after %s", fl.waitFor("both sides refuse the poison request", reportLimit, func() bool { return fl.vmNotRefusing() == "" }))
 				fl.nw.SetCut(nil)
 				time.Sleep(10 * time.Second)
 			})
@@ -147,16 +150,16 @@
 	}
 }
 
-// TestCrashReportsBounded: a bad version lets all servers end every five seconds, each time under
-// eight requests that nobody has seen before. Relays sent 44.6 KB a second of it, as each
-// daemon bounded what it reported and nobody what all of them did. Now each daemon bounds
-// what it passes on, and a request that ended three servers meanwhile is known to all.
+// TestCrashReportsBounded: a faulty version makes all servers crash every five seconds, each time with
+// eight requests not seen before. While daemons only bounded the reports of their own servers, the
+// busiest relay sent 44.6 KB/s of reports. Each daemon must bound the reports that it forwards, and a
+// request that crashes three servers meanwhile must still become known to all.
 func TestCrashReportsBounded(t *testing.T) {
 	const (
 		requests = 8
 		rounds   = 6
 		interval = 5 * time.Second
-		// linkBound is what control may take of a daemon's link, in bytes a second.
+		// linkBound is the limit of a daemon's control traffic in bytes per second.
 		linkBound = 13_000
 	)
 	synctest.Test(t, func(t *testing.T) {
@@ -180,19 +183,19 @@
 			time.Sleep(interval)
 		}
 		fl.reportCrashes(fl.vmPerDomain(5)...)
-		fl.waitFor("all know of three ends", reportLimit, func() bool { return fl.vmNotRefusing() == "" })
+		fl.waitFor("all daemons refuse the poison request", reportLimit, func() bool { return fl.vmNotRefusing() == "" })
 		sent, busiest := fl.sentReportBytes()
-		t.Logf("%.0f bytes a second and daemon", float64(sent-before)/float64(len(fl.nodes))/(rounds*interval).Seconds())
+		t.Logf("%.0f B/s of reports per daemon", float64(sent-before)/float64(len(fl.nodes))/(rounds*interval).Seconds())
 		if rate := float64(busiest) / (rounds * interval).Seconds(); rate > linkBound {
-			t.Errorf("%.0f bytes a second at the busiest relay, bound %d", rate, linkBound)
+			t.Errorf("%.0f B/s of reports sent by the busiest relay, want at most %d", rate, linkBound)
 		} else {
-			t.Logf("%.0f bytes a second at the busiest relay", rate)
+			t.Logf("%.0f B/s of reports sent by the busiest relay", rate)
 		}
 	})
 }
 
-// sentReportBytes returns the bytes of reports that all daemons have sent, and those of the
-// daemon that sent most.
+// sentReportBytes returns the bytes of crash reports that all daemons together have sent, and those
+// of the daemon that sent most.
 func (fl *fleet) sentReportBytes() (total, highest int64) {
 	for _, tn := range fl.nodes {
 		n := tn.sentCount("within/ends") + tn.sentCount("across/ends")
--- a/internal/mesh/ctrl/directory_test.go
+++ b/internal/mesh/ctrl/directory_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestReadEntry: something else than a relay writes below the keys of the directory. A
-// daemon that took its bytes for an address waited for it to answer, and started
-// without the peers that are there.
+// TestReadEntry: something other than a daemon has written keys under the directory's prefix. A
+// daemon that accepted their values as addresses waited for answers that never came, and started
+// without the peers that exist.
 func TestReadEntry(t *testing.T) {
 	for _, tc := range []struct{ key, value, domain, addr string }{
 		{"relays/north/vm-1", "10.0.0.1:7600", "north", "10.0.0.1:7600"},
@@ -25,18 +25,18 @@
 	} {
 		domain, addr, err := readEntry(tc.key, []byte(tc.value))
 		if domain != tc.domain || addr != tc.addr || (err == nil) != (tc.addr != "") {
-			t.Errorf("%q, %.20q: %q, %q, %v", tc.key, tc.value, domain, addr, err)
+			t.Errorf("key %q, value %.20q: domain %q, address %q, error %v", tc.key, tc.value, domain, addr, err)
 		}
 	}
 }
 
-// FuzzReadEntry: an entry that is taken names a failure domain and an address.
+// FuzzReadEntry: an entry that is accepted names a failure domain and an address.
 func FuzzReadEntry(f *testing.F) {
 	f.Add("relays/north/vm-1", []byte("10.0.0.1:7600"))
 	f.Add("relays/", []byte("\xff"))
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
 		if domain, addr, err := readEntry(key, value); err == nil && (domain == "" || !strings.Contains(addr, ":")) {
-			t.Errorf("%q, %q: taken as %q, %q", key, value, domain, addr)
+			t.Errorf("key %q, value %q: accepted as domain %q, address %q", key, value, domain, addr)
 		}
 	})
 }
--- a/internal/mesh/ctrl/epoch_test.go
+++ b/internal/mesh/ctrl/epoch_test.go
@@ -16,19 +16,20 @@
 )
 
 const (
-	// epochSeenLimit is how long after the store's return nobody may have seen its epoch: calls
-	// are held back for a time once many have failed.
+	// epochSeenLimit is the time after the store is restored within which a relay must have seen the
+	// new epoch. Calls are held back for a while once many have failed.
 	epochSeenLimit = 2500 * time.Millisecond
-	// reregisterLimit is how long leases may be missing then.
+	// reregisterLimit is the time after that within which all relays must have registered again.
 	reregisterLimit = 2 * time.Second
-	// operatorRestoreDelay is when the operators write again what the store lost.
+	// operatorRestoreDelay is how long after that restoration the operators rewrite the version that
+	// the store has lost.
 	operatorRestoreDelay = 1500 * time.Millisecond
-	// poisonRestoreLimit is how long a request that is not run may be missing in the store.
+	// poisonRestoreLimit is the time within which the store must have the poison requests again.
 	poisonRestoreLimit = 3 * time.Second
 )
 
-// relaysRegistered reports whether the directory has a key that was written after a copy of the
-// store was taken, at the write given, for each relay.
+// relaysRegistered reports whether the directory has, for each relay, a key that was written after
+// the revision number since.
 func (fl *fleet) relaysRegistered(since int64) bool {
 	items, err := fl.st.Store().List(context.Background(), directoryPrefix)
 	if err != nil {
@@ -43,7 +44,7 @@
 	return true
 }
 
-// storeCalls returns how many calls to the store the daemons have made.
+// storeCalls returns the number of calls that the daemons have made to the store.
 func (fl *fleet) storeCalls() (n int64) {
 	for _, tn := range fl.nodes {
 		n += tn.guard.Calls.Load()
@@ -51,7 +52,7 @@
 	return n
 }
 
-// head returns the head that the store has.
+// head returns the head in the store.
 func (fl *fleet) head() *accept.Head {
 	fl.t.Helper()
 	hd, _, err := accept.Load(fl.t.Context(), fl.st.Store())
@@ -61,21 +62,21 @@
 	return hd
 }
 
-// epochCases are what happens as the store comes back from an older copy.
+// epochCases are faults that coincide with the restoration of the store from an older copy.
 var epochCases = []struct {
 	name string
-	// before happens at the same moment, after once the store is back.
+	// before is called immediately before the store is restored, after is called immediately after.
 	before, after func(fl *fleet, bk stand.Backup)
 }{
-	{name: "nothing else"},
-	{name: "it does so twice", after: func(fl *fleet, bk stand.Backup) {
+	{name: "no other fault"},
+	{name: "the store is restored twice", after: func(fl *fleet, bk stand.Backup) {
 		time.Sleep(700 * time.Millisecond)
 		fl.st.ComeBack(bk)
 	}},
-	{name: "it is slow", before: func(fl *fleet, _ stand.Backup) {
+	{name: "the store is slow", before: func(fl *fleet, _ stand.Backup) {
 		fl.st.SetFaults(stand.Faults{Delay: 200 * time.Millisecond})
 	}},
-	{name: "it was down before", before: func(fl *fleet, _ stand.Backup) {
+	{name: "the store was down before", before: func(fl *fleet, _ stand.Backup) {
 		fl.st.SetFaults(stand.Faults{Down: true})
 		time.Sleep(3 * time.Second)
 		fl.st.SetFaults(stand.Faults{Delay: toPlatform})
@@ -109,14 +110,16 @@
 	}},
 }
 
-// TestStoreRestoredFromOlderCopy guards against what a store loses that comes back from an older
-// copy: leases, versions, requests that are not run, and the order of revisions.
+// TestStoreRestoredFromOlderCopy: the store is restored from an older copy and enters a new epoch. It
+// has lost leases, versions and poison requests, and revisions no longer increase. Relays must
+// register again, the poison requests must be rewritten, and the lost version restored exactly once,
+// by the daemons or by the operators.
 func TestStoreRestoredFromOlderCopy(t *testing.T) {
 	for _, linearizable := range []bool{false, true} {
 		for _, tc := range epochCases {
-			name := "daemons restore versions/" + tc.name
+			name := "versions restored by daemons/" + tc.name
 			if linearizable {
-				name = "operators restore versions/" + tc.name
+				name = "versions restored by operators/" + tc.name
 			}
 			t.Run(name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
@@ -135,6 +138,8 @@
 	}
 }
 
+// runEpochCase restores the store from an older copy, between calls of before and after, and checks
+// that the daemons recover.
 func runEpochCase(fl *fleet, before, after func(*fleet, stand.Backup)) {
 	fl.t.Helper()
 	bk, since := fl.st.Backup(), fl.st.Newest()
@@ -160,24 +165,24 @@
 	fl.waitFor("a relay has seen the epoch", epochSeenLimit, func() bool {
 		return slices.ContainsFunc(fl.relays(), func(name string) bool { return fl.nodes[name].Board.KnownEpoch() == epoch })
 	})
-	fl.waitFor("the relays are registered again", reregisterLimit, func() bool { return fl.relaysRegistered(since) })
+	fl.waitFor("all relays are registered again", reregisterLimit, func() bool { return fl.relaysRegistered(since) })
 	time.Sleep(operatorRestoreDelay - min(operatorRestoreDelay, time.Since(restored)))
 	if fl.linearizable {
 		if err := accept.Restore(fl.t.Context(), fl.st.Store(), v, content); err != nil {
 			fl.t.Fatal(err)
 		}
 	}
-	fl.waitFor("the store has the version again", convergeLimit, func() bool { return fl.head().Last.Version >= v })
-	fl.waitFor("the store has the requests that are not run again", poisonRestoreLimit, func() bool {
+	fl.waitFor("the store has the lost version again", convergeLimit, func() bool { return fl.head().Last.Version >= v })
+	fl.waitFor("the store has the poison requests again", poisonRestoreLimit, func() bool {
 		ent, err := fl.st.Store().Get(fl.t.Context(), poisonKey)
 		list, decodeErr := poison.Decode(ent.Value, time.Now())
 		return err == nil && decodeErr == nil && len(list) == len(reports)
 	})
 	hd := fl.head()
 	if hd.Last.Version != v || len(hd.Recent) != 2 {
-		fl.t.Errorf("the head has version %d and the submissions %+v, want %d, restored once", hd.Last.Version, hd.Recent, v)
+		fl.t.Errorf("the head has version %d and the submissions %+v, want version %d, restored once", hd.Last.Version, hd.Recent, v)
 	}
-	fl.t.Logf("%d calls to the store until then, of %d daemons", fl.storeCalls()-calls, len(fl.nodes))
+	fl.t.Logf("%d calls to the store by %d daemons until then", fl.storeCalls()-calls, len(fl.nodes))
 	fl.st.SetFaults(stand.Faults{Delay: toPlatform})
 	fl.waitHeld(v, convergeLimit)
 	next := fl.apply(sample.Change(fl.ms, 2), v)
@@ -187,8 +192,8 @@
 	fl.waitConverged(next)
 }
 
-// TestProcessStartInNewEpoch guards against a new process that takes the older version of a store
-// that has come back, as its peers cannot be reached.
+// TestProcessStartInNewEpoch: the store is restored from an older copy while a new process of a VM
+// starts and can reach no peers. It must not install the store's older version.
 func TestProcessStartInNewEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, sample.Mesh(24, 3, 4))
@@ -209,15 +214,16 @@
 		fl.restart(name)
 		time.Sleep(3 * time.Second)
 		if got := fl.nodes[name].Board.HeldVersion(); got != 0 && got < v {
-			t.Errorf("holds version %d of the older copy, its VM held %d", got, v)
+			t.Errorf("holds version %d of the older copy, but its VM held version %d before", got, v)
 		}
 		fl.nw.SetCut(nil)
 		fl.waitHeld(v, convergeLimit)
 	})
 }
 
-// TestEmptyDirectoryInNewEpoch guards against a process that takes itself for the first one of
-// the mesh, as the store lost the entries of the others.
+// TestEmptyDirectoryInNewEpoch: the store is restored from a copy without directory entries while a
+// new process starts and can reach no peers. It must not conclude from the empty directory that it
+// is the first daemon of the mesh and install the store's older version.
 func TestEmptyDirectoryInNewEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, sample.Mesh(3, 3, 1))
--- a/internal/mesh/ctrl/fault_test.go
+++ b/internal/mesh/ctrl/fault_test.go
@@ -20,15 +20,17 @@
 	"github.com/flamingomast/flamingomast/internal/plat/stand"
 )
 
-// The bounds of the promises, in virtual time.
 const (
+	// convergeLimit is the promised time within which all daemons hold a new version. It is virtual
+	// time, as all times in these tests.
 	convergeLimit = 10 * time.Second
-	settleTime    = 12 * time.Second
+	// settleTime is how long tests wait after a start for links and roles to become stable.
+	settleTime = 12 * time.Second
 )
 
-// withFleet starts a fleet of 24 VMs in three failure domains, lets it settle on
-// version 1, and ends it after fn. Throughout, watchVersion fails the test when
-// any VM goes back.
+// withFleet starts a fleet of 24 VMs in three failure domains, waits until it is stable with
+// version 1, calls fn and stops the fleet. Throughout, watchVersion fails the test if any VM
+// installs an older version than it held.
 func withFleet(t *testing.T, fn func(fl *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -43,7 +45,7 @@
 	})
 }
 
-// domainVMs returns the names of a failure domain's VMs.
+// domainVMs returns the names of the VMs of a failure domain.
 func (fl *fleet) domainVMs(name string) []string {
 	var list []string
 	for _, vm := range fl.ms.VMs {
@@ -79,12 +81,12 @@
 	fl.nw.SetCut(func(a, b *memnet.Host) bool { return (a.Domain == domain) != (b.Domain == domain) })
 }
 
-// waitConverged waits until the fleet is whole again: all VMs current and known.
+// waitConverged waits until all daemons hold a version and know each other.
 func (fl *fleet) waitConverged(version uint64) {
 	fl.t.Helper()
 	took := fl.waitHeld(version, convergeLimit)
 	members := fl.waitMembers(20 * time.Second)
-	fl.t.Logf("all hold version %d after %s, all know all after %s more", version, took, members)
+	fl.t.Logf("all hold version %d after %s, all members known after %s more", version, took, members)
 }
 
 func (fl *fleet) declared(name string) decl.VM {
@@ -92,26 +94,26 @@
 	return fl.ms.VMs[i]
 }
 
-// TestRelaysKilledDuringTransfer: the relays of a failure domain die at the moment at
-// which they have a new version. Their members must find others and hold it.
+// TestRelaysKilledDuringTransfer: the relays of a failure domain are killed when the first of them
+// has received a new version. Their members must find other relays and hold the version.
 func TestRelaysKilledDuringTransfer(t *testing.T) {
 	withFleet(t, func(fl *fleet) {
 		relays := fl.relaysOf("d2")
 		v := fl.apply(sample.Change(fl.ms, 3), 1)
-		fl.waitFor("a relay of d2 has the version", convergeLimit, func() bool {
+		fl.waitFor("a relay of d2 has received the version", convergeLimit, func() bool {
 			return slices.ContainsFunc(relays, func(n string) bool { return fl.nodes[n].Board.LatestVersion() == v })
 		})
 		fl.kill(relays...)
-		fl.t.Logf("held by the rest after %s", fl.waitHeld(v, convergeLimit))
+		fl.t.Logf("held by the remaining daemons after %s", fl.waitHeld(v, convergeLimit))
 		fl.restart(relays...)
 		fl.waitConverged(v)
 	})
 }
 
-// TestPartitions: a failure domain is cut off from the platform, from the other
-// failure domains, or from both, while a version is accepted. Cut off from one
-// of them it still follows through the other; cut off from both it goes on
-// with what it holds, and is named as cut off; once healed it follows.
+// TestPartitions: a failure domain is cut off from the platform, from the other failure domains, or
+// from both, while a version is accepted. If it is cut off from one of them, it receives the version
+// through the other. If it is cut off from both, it keeps the held version, the status of the other
+// daemons names it as cut off, and it receives the version once the partition ends.
 func TestPartitions(t *testing.T) {
 	for _, tc := range []struct {
 		name              string
@@ -130,10 +132,10 @@
 				if tc.platform && tc.domains {
 					time.Sleep(convergeLimit)
 					if got := fl.behind(v); !slices.Equal(got, fl.domainVMs("d1")) {
-						fl.t.Errorf("behind during the cut: %v", got)
+						fl.t.Errorf("behind during the partition: %v, want the VMs of d1", got)
 					}
 					if res := fl.nodes["vm-000"].Status(context.Background(), false); !slices.Equal(res.Cut, []string{"d1"}) {
-						fl.t.Errorf("status names %v as cut off", res.Cut)
+						fl.t.Errorf("status names %v as cut off, want d1", res.Cut)
 					}
 				} else {
 					fl.waitHeld(v, convergeLimit)
@@ -141,7 +143,7 @@
 				for _, name := range fl.domainVMs("d1") {
 					for rc := range fl.nodes[name].Board.Members.Get().All {
 						if rc.Domain == "d1" && !rc.Serving() {
-							fl.t.Errorf("%s does not use %s of its own failure domain during the cut", name, rc.VM)
+							fl.t.Errorf("%s does not count %s of its own failure domain as serving during the partition", name, rc.VM)
 						}
 					}
 				}
@@ -153,9 +155,9 @@
 	}
 }
 
-// TestPlatformOutage: the platform is out for a minute, its answers come late,
-// or an answer is lost after the write. Daemons keep what they hold, and an
-// operator's submission is in force within seconds of the platform's return.
+// TestPlatformOutage: the platform is down for a minute, and then answers late and loses answers to
+// writes that it has made. Daemons keep the held version, and an operator's submission is in force
+// within seconds after it was accepted, as one version only.
 func TestPlatformOutage(t *testing.T) {
 	withFleet(t, func(fl *fleet) {
 		fl.st.SetFaults(stand.Faults{Down: true})
@@ -167,16 +169,16 @@
 		began := time.Now()
 		v := fl.apply(sample.Change(fl.ms, 5), 1)
 		accepted := time.Since(began)
-		fl.t.Logf("slowest platform: accepted after %s, held after %s more", accepted, fl.waitHeld(v, convergeLimit))
+		fl.t.Logf("slow platform: accepted after %s, held by all after %s more", accepted, fl.waitHeld(v, convergeLimit))
 		if v != 2 {
 			fl.t.Errorf("a submission whose answers were lost became version %d, want 2", v)
 		}
 	})
 }
 
-// TestPlatformRestoredFromBackup: the platform comes back from a backup with an older
-// head. No daemon follows it back; it is reported; submissions are refused
-// until an operator says to go on, and then the version rises above all.
+// TestPlatformRestoredFromBackup: the platform is restored from a backup with an older head. No
+// daemon installs the older version, the daemons report the platform as behind, and submissions are
+// refused until an operator resumes; that version is numbered above all earlier ones.
 func TestPlatformRestoredFromBackup(t *testing.T) {
 	withFleet(t, func(fl *fleet) {
 		bk := fl.st.Backup()
@@ -184,8 +186,8 @@
 		fl.waitHeld(v, convergeLimit)
 		fl.st.Restore(bk)
 		relay := fl.nodes[fl.relays()[0]]
-		fl.waitFor("a relay reports the platform", convergeLimit, func() bool { return relay.Board.Platform.Get().Behind })
-		// A daemon that starts now must not take the old version.
+		fl.waitFor("a relay reports the platform as behind", convergeLimit, func() bool { return relay.Board.Platform.Get().Behind })
+		// A daemon that starts now must not install the older version.
 		name := fl.domainVMs("d0")[3]
 		fl.kill(name)
 		fl.restart(name)
@@ -198,7 +200,7 @@
 		sub := accept.Submission{ID: "again", Base: 1, Content: co, Floor: relay.Board.LatestVersion()}
 		var be *accept.BehindError
 		if _, err := accept.Submit(fl.t.Context(), fl.st.Store(), sub); !errors.As(err, &be) {
-			fl.t.Fatalf("submitting to a platform that was set back: %v", err)
+			fl.t.Fatalf("submitting to a platform that is behind: error %v, want a BehindError", err)
 		}
 		sub.Resume = true
 		res, err := accept.Submit(fl.t.Context(), fl.st.Store(), sub)
@@ -209,8 +211,8 @@
 	})
 }
 
-// TestLeasesExpire: all leases end while their holders know nothing of it. The
-// directory is empty for a moment; daemons that start must still find relays.
+// TestLeasesExpire: all leases expire without notice to their holders, so the directory is empty for
+// a moment. Daemons that start must still find relays, and the relays must register again.
 func TestLeasesExpire(t *testing.T) {
 	withFleet(t, func(fl *fleet) {
 		fl.st.LapseLeases()
@@ -226,9 +228,9 @@
 	})
 }
 
-// TestUnknownKind: a version holds a kind of resource that this release does
-// not know, as during a rolling replacement. It is refused whole, the one held
-// stays, status says so, and the next version that compiles is taken.
+// TestUnknownKind: a version contains a kind of resource that this release does not know, as happens
+// during a rolling upgrade. It is refused as a whole, the held version stays in force, the status
+// reports the refusal, and the next version that compiles is installed.
 func TestUnknownKind(t *testing.T) {
 	withFleet(t, func(fl *fleet) {
 		co, err := pack.Encode(fl.ms)
@@ -251,17 +253,16 @@
 		res := fl.nodes[fl.relays()[0]].Status(context.Background(), false)
 		for _, su := range res.Summaries {
 			if len(su.Refused) == 0 || !strings.Contains(su.Refused[0], "does not know the kind") {
-				fl.t.Errorf("status of %s: refused %v", su.Domain, su.Refused)
+				fl.t.Errorf("status of %s lists the refusals %v, want an unknown kind", su.Domain, su.Refused)
 			}
 		}
 		fl.waitConverged(fl.apply(sample.Change(fl.ms, 9), 2))
 	})
 }
 
-// TestTwoReleases: a rolling replacement is half done; every other VM runs a
-// release that knows a kind of resource which the other release does not. The
-// older ones refuse the version and keep theirs, relays among them pass it on
-// all the same, and every newer one holds it.
+// TestTwoReleases: during a rolling upgrade, some VMs run a release that knows a kind of resource
+// which the other release does not. The older daemons refuse a version with it and keep theirs, but
+// relays among them forward it, and every newer daemon holds it.
 func TestTwoReleases(t *testing.T) {
 	withFleet(t, func(fl *fleet) {
 		newer := func(name string) bool {
@@ -296,14 +297,13 @@
 	})
 }
 
-// TestCorruptDelta: a relay's delta is damaged on its way, in each of its
-// bytes' values. It must not be applied, and the version must come by another
-// transfer.
+// TestCorruptDelta: deltas are corrupted on the network, in several bytes. A corrupt delta must not
+// be applied, and the version must arrive by another transfer.
 func TestCorruptDelta(t *testing.T) {
 	withFleet(t, func(fl *fleet) {
 		var corrupted atomic.Int64
 		fl.nw.SetCorrupt(func(_, _ *memnet.Host, p []byte) []byte {
-			// zstd frames begin with this number; what follows is content.
+			// The magic number of a zstd frame, which the compressed content follows.
 			if i := bytes.Index(p, []byte{0x28, 0xb5, 0x2f, 0xfd}); i >= 0 && i+12 < len(p) && corrupted.Load() < 10 {
 				p[i+8+int(corrupted.Add(1)%4)] ^= 0x55
 			}
@@ -312,7 +312,7 @@
 		v := fl.apply(sample.Change(fl.ms, 10), 1)
 		fl.waitConverged(v)
 		if corrupted.Load() == 0 {
-			fl.t.Error("nothing was damaged")
+			fl.t.Error("no packet was corrupted")
 		}
 		want := fl.nodes["vm-000"].Board.Held.Get().Digest
 		for name, tn := range fl.nodes {
@@ -323,9 +323,9 @@
 	})
 }
 
-// TestFrozenHosts: three hosts of a failure domain stop answering while their
-// connections stay open, as frozen processes do, for longer than every
-// timeout. The others must end those links and go on; nobody is lost for good.
+// TestFrozenHosts: the relays of a failure domain stop answering for longer than every timeout while
+// their connections stay open, as with suspended processes. The other daemons must close those links
+// and receive a new version, and the frozen ones must rejoin afterwards.
 func TestFrozenHosts(t *testing.T) {
 	withFleet(t, func(fl *fleet) {
 		frozen := fl.relaysOf("d0")
@@ -333,7 +333,7 @@
 			return slices.Contains(frozen, strings.TrimSuffix(a.Addr, ":7000")) != slices.Contains(frozen, strings.TrimSuffix(b.Addr, ":7000"))
 		})
 		v := fl.apply(sample.Change(fl.ms, 11), 1)
-		fl.waitFor("all others hold the version", convergeLimit, func() bool {
+		fl.waitFor("all daemons that are not frozen hold the version", convergeLimit, func() bool {
 			return slices.Equal(fl.behind(v), fl.behind(v)) && len(slices.DeleteFunc(fl.behind(v), func(n string) bool { return slices.Contains(frozen, n) })) == 0
 		})
 		time.Sleep(30 * time.Second)
--- a/internal/mesh/ctrl/fleet_test.go
+++ b/internal/mesh/ctrl/fleet_test.go
@@ -23,31 +23,32 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// fleet is a platform and daemons' control parts on an in-memory network.
+// fleet is a platform and the control planes of daemons on an in-memory network.
 type fleet struct {
 	t     *testing.T
 	nw    *memnet.Network
 	st    *stand.Stand
 	ms    *decl.Mesh
 	nodes map[string]*testNode
-	// platformCut names the failure domains that are cut off from the platform.
+	// platformCut has the failure domains that are cut off from the platform.
 	platformCut atomic.Pointer[map[string]bool]
-	// vmFaults says what the platform does to single VMs.
+	// vmFaults has the faults of the platform that affect single VMs.
 	vmFaults atomic.Pointer[map[string]vmFault]
-	// linearizable says that a read of the platform shows every version that was ever accepted,
-	// and that daemons know no seeds, as on the users\' platform.
+	// linearizable says that a read of the platform returns every version ever accepted and that
+	// daemons are configured without seeds, as on the users' platform.
 	linearizable bool
-	highestHeld  map[string]*uint64
-	submitted    int
-	// counts returns what the backend server of a VM did; nil for nothing.
+	// highestHeld has the highest version that each VM has held.
+	highestHeld map[string]*uint64
+	submitted   int
+	// counts returns the request counts of a VM's backend server; nil if there are no servers.
 	counts func(vm string) Counts
 }
 
-// vmFault is what the platform does to a VM.
+// vmFault is a fault of the platform that affects one VM.
 type vmFault int
 
 const (
-	// faultReject answers each call with an error, hangs answers none.
+	// faultReject means that each call fails at once, faultHang that no call is answered.
 	faultReject vmFault = iota + 1
 	faultHang
 )
@@ -62,7 +63,7 @@
 	done   chan struct{}
 }
 
-// The latencies of the brief, and one between regions.
+// Network latencies. All but betweenRegions are those that the requirements state.
 const (
 	withinDomain   = 200 * time.Microsecond
 	betweenDomains = 1500 * time.Microsecond
@@ -91,14 +92,14 @@
 	return fl
 }
 
-// store returns the platform as a VM sees it.
+// store returns the platform's store as seen by a VM, with the faults that affect the VM.
 func (fl *fleet) store(vm decl.VM) store.Store {
 	return store.Wrap(fl.st.Store(), func(ctx context.Context, op, key string, call func() error) error {
 		unavailable := &store.Error{Kind: store.Unavailable, Op: op, Key: key}
 		failing := func() bool {
 			switch (*fl.vmFaults.Load())[vm.Name] {
 			case faultHang:
-				// The client of the platform gives up after the wait and some slack.
+				// The platform's client times out after the duration of the watch and some slack.
 				_ = pause(ctx, hangDuration)
 				return true
 			case faultReject:
@@ -117,10 +118,10 @@
 	})
 }
 
-// hangDuration is how long a call to a platform that does not answer takes.
+// hangDuration is how long a call takes to fail if the platform does not answer.
 const hangDuration = 1500 * time.Millisecond
 
-// seeds are the first three VMs of each failure domain: the own ones first.
+// seeds returns the addresses of the first three other VMs of the VM's failure domain.
 func (fl *fleet) seeds(vm decl.VM) []string {
 	var list []string
 	count := map[string]int{}
@@ -133,7 +134,7 @@
 	return list
 }
 
-// startNode starts a process of a VM at the VM's address.
+// startNode starts a daemon process of a VM at the VM's address.
 func (fl *fleet) startNode(vm decl.VM) *testNode {
 	addr := vm.Name + ":7000"
 	ho, ln := fl.nw.Listen(addr, vm.Domain)
@@ -180,8 +181,8 @@
 	return tn
 }
 
-// watchVersion fails the test when a VM holds an older version than before,
-// also across its processes.
+// watchVersion fails the test if a VM, in this or a later process, holds an older version than
+// before.
 func (fl *fleet) watchVersion(tn *testNode) {
 	last := fl.highestHeld[tn.vm.Name]
 	if last == nil {
@@ -211,7 +212,7 @@
 	}
 }
 
-// kill ends a process without a word to anyone.
+// kill ends the processes of VMs without any message to the other daemons.
 func (fl *fleet) kill(names ...string) {
 	for _, name := range names {
 		tn := fl.nodes[name]
@@ -228,12 +229,12 @@
 		names = append(names, name)
 	}
 	fl.kill(names...)
-	// What timers are left in the HTTP library run out.
+	// Let the remaining timers of the HTTP library expire.
 	time.Sleep(time.Minute)
 	synctest.Wait()
 }
 
-// apply makes a version of the fleet's declarations and returns its number.
+// apply submits declarations as a new version and returns its number.
 func (fl *fleet) apply(ms *decl.Mesh, base uint64) uint64 {
 	fl.t.Helper()
 	co, err := pack.Encode(ms)
@@ -248,7 +249,7 @@
 	return res.Entry.Version
 }
 
-// behind returns the VMs that run and hold an older version.
+// behind returns the running VMs that hold an older version.
 func (fl *fleet) behind(version uint64) []string {
 	var list []string
 	for name, tn := range fl.nodes {
@@ -260,20 +261,20 @@
 	return list
 }
 
-// waitFor waits in virtual time for a condition and returns how long it took.
+// waitFor waits in virtual time until ok returns true, and returns how long that took.
 func (fl *fleet) waitFor(condition string, limit time.Duration, ok func() bool) time.Duration {
 	fl.t.Helper()
 	began := time.Now()
 	for !ok() {
 		if time.Since(began) > limit {
-			fl.t.Fatalf("not in %s: %s; %s; holding %v; relays %v", limit, condition, fl.missingMember(), fl.heldCounts(), fl.relays())
+			fl.t.Fatalf("not within %s: %s; %s; nodes by held version %v; relays %v", limit, condition, fl.missingMember(), fl.heldCounts(), fl.relays())
 		}
 		time.Sleep(time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-// heldCounts counts the nodes by the version that they hold.
+// heldCounts returns the number of nodes by held version.
 func (fl *fleet) heldCounts() map[uint64]int {
 	m := map[uint64]int{}
 	for _, tn := range fl.nodes {
@@ -284,22 +285,22 @@
 
 func (fl *fleet) waitHeld(version uint64, limit time.Duration) time.Duration {
 	fl.t.Helper()
-	return fl.waitFor(fmt.Sprintf("version %d held by all", version), limit, func() bool { return len(fl.behind(version)) == 0 })
+	return fl.waitFor(fmt.Sprintf("all hold version %d", version), limit, func() bool { return len(fl.behind(version)) == 0 })
 }
 
-// waitMembers waits until every node knows all serving VMs.
+// waitMembers waits until every node knows every other one as serving.
 func (fl *fleet) waitMembers(limit time.Duration) time.Duration {
 	fl.t.Helper()
-	return fl.waitFor("all members known everywhere", limit, func() bool { return fl.missingMember() == "" })
+	return fl.waitFor("every node knows all members", limit, func() bool { return fl.missingMember() == "" })
 }
 
-// missingMember names the first node that does not know another one as serving.
+// missingMember describes a node that does not know another one as serving; empty if there is none.
 func (fl *fleet) missingMember() string {
 	for name, tn := range fl.nodes {
 		vw := tn.Board.Members.Get()
 		for other := range fl.nodes {
 			if rc := vw.Get(other); rc == nil || !rc.Serving() || rc.Mark != member.MarkNone {
-				return fmt.Sprintf("%s has of %s %+v", name, other, rc)
+				return fmt.Sprintf("%s has for %s the record %+v", name, other, rc)
 			}
 		}
 	}
@@ -317,17 +318,17 @@
 	return list
 }
 
-// TestFleetSmall is the everyday case at the sizes of the brief: nine daemons
-// start at once, take a version and its successor, and know each other.
+// TestFleetSmall: nine daemons start at once without faults, install a version and the next one,
+// and learn of each other.
 func TestFleetSmall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, sample.Mesh(9, 3, 2))
 		defer fl.stopAll()
 		fl.apply(fl.ms, 0)
 		fl.startAll()
-		t.Logf("first version after %s", fl.waitHeld(1, 20*time.Second))
-		t.Logf("members after %s", fl.waitMembers(20*time.Second))
+		t.Logf("first version held by all after %s", fl.waitHeld(1, 20*time.Second))
+		t.Logf("members known after %s more", fl.waitMembers(20*time.Second))
 		v := fl.apply(sample.Change(fl.ms, 1), 1)
-		t.Logf("change after %s; relays %v", fl.waitHeld(v, 10*time.Second), fl.relays())
+		t.Logf("change held by all after %s; relays %v", fl.waitHeld(v, 10*time.Second), fl.relays())
 	})
 }
--- a/internal/mesh/ctrl/follow_test.go
+++ b/internal/mesh/ctrl/follow_test.go
@@ -14,14 +14,14 @@
 	"github.com/flamingomast/flamingomast/internal/mesh/wirepb"
 )
 
-// followLimit is how soon a version must be held after those who follow the store for
-// the others are gone: the tightest bound that the users set.
+// followLimit is the time within which a version must be held by all daemons after the followers of
+// the store have failed. It is the tightest limit that the users set.
 const followLimit = 2 * time.Second
 
-// churnTime is how long links come and go after a start of daemons.
+// churnTime is how long links may still be opened and closed after daemons have started.
 const churnTime = 30 * time.Second
 
-// followers returns the VMs that watch the store in a span of time.
+// followers returns the VMs that make watch calls on the store during the given time.
 func (fl *fleet) followers(span time.Duration) (list []string) {
 	count := func(tn *testNode) string { return tn.guard.Purposes.Get("watch/head").String() }
 	before := map[string]string{}
@@ -40,58 +40,57 @@
 	return list
 }
 
-// TestFollowersFail: two relays follow the store for the whole mesh. At the moment at
-// which a version is accepted both are killed, turned away by the store, or no longer
-// answered by it. Others stand in for them, soon enough for the version to be in force
-// within its bound, and only two do afterwards.
+// TestFollowersFail: two relays follow the store for the whole mesh. When a version is accepted, both
+// are killed, rejected by the store, or no longer answered by it. Other relays must replace them
+// soon enough for the version to be in force in time, and afterwards exactly two must follow. Once
+// the faults are over, the first two must follow again.
 func TestFollowersFail(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		fault func(fl *fleet, initial []string)
-		// late says that it may take a call's time more to notice.
+		// extra is added to followLimit: a call that is not answered takes this long to fail.
 		extra time.Duration
 	}{
 		{"killed", func(fl *fleet, initial []string) { fl.kill(initial...) }, 0},
-		{"turned away", func(fl *fleet, initial []string) {
+		{"rejected by the store", func(fl *fleet, initial []string) {
 			fl.vmFaults.Store(&map[string]vmFault{initial[0]: faultReject, initial[1]: faultReject})
 		}, 0},
-		{"not answered", func(fl *fleet, initial []string) {
+		{"not answered by the store", func(fl *fleet, initial []string) {
 			fl.vmFaults.Store(&map[string]vmFault{initial[0]: faultHang, initial[1]: faultHang})
 		}, hangDuration},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			withFleet(t, func(fl *fleet) {
-				// Links come and go for some seconds after a start, and relays stand
-				// in for those that they lost sight of.
+				// While links are still opened and closed, relays temporarily replace followers that
+				// they have no link to.
 				time.Sleep(churnTime)
 				initial := fl.followers(5 * time.Second)
 				if len(initial) != 2 || fl.nodes[initial[0]].vm.Domain == fl.nodes[initial[1]].vm.Domain {
-					fl.t.Fatalf("%v follow the store", initial)
+					fl.t.Fatalf("%v follow the store, want two VMs of different failure domains", initial)
 				}
 				time.Sleep(300 * time.Millisecond)
 				tc.fault(fl, initial)
 				v := fl.apply(sample.Change(fl.ms, 3), 1)
-				fl.t.Logf("held after %s", fl.waitHeld(v, followLimit+tc.extra))
+				fl.t.Logf("held by all after %s", fl.waitHeld(v, followLimit+tc.extra))
 				time.Sleep(churnTime)
 				after := fl.followers(5 * time.Second)
 				replacements := slices.DeleteFunc(slices.Clone(after), func(vm string) bool { return slices.Contains(initial, vm) })
 				if len(replacements) != 2 {
-					fl.t.Errorf("%v follow the store afterwards", after)
+					fl.t.Errorf("%v follow the store afterwards, want two besides the failed ones", after)
 				}
 				fl.vmFaults.Store(&map[string]vmFault{})
 				fl.restart(slices.DeleteFunc(slices.Clone(initial), func(vm string) bool { return fl.nodes[vm] != nil })...)
 				time.Sleep(churnTime)
 				if final := fl.followers(5 * time.Second); !slices.Equal(final, initial) {
-					fl.t.Errorf("%v follow the store once all is well, before it was %v", final, initial)
+					fl.t.Errorf("%v follow the store after the faults, want %v as before them", final, initial)
 				}
 			})
 		})
 	}
 }
 
-// TestFollowerPartitioned: a failure domain with one of those who follow the store is cut
-// off from the others, but not from the store. It follows by itself, and so do the others
-// without it.
+// TestFollowerPartitioned: the failure domain of one follower is cut off from the others, but not
+// from the store. Both sides of the partition must follow the store and hold new versions in time.
 func TestFollowerPartitioned(t *testing.T) {
 	withFleet(t, func(fl *fleet) {
 		followers := fl.followers(5 * time.Second)
@@ -107,9 +106,9 @@
 	})
 }
 
-// TestMassStartStoreReads: all daemons start at once. Each read the whole configuration from
-// the store by itself, which for hundreds takes the store seconds; now the first ones of
-// each failure domain do, and the others get it from them.
+// TestMassStartStoreReads: all daemons start at once. If each read the whole configuration from the
+// store, this would occupy the store for seconds with hundreds of daemons. Only the first daemons of
+// each failure domain may read it; the others get it from them.
 func TestMassStartStoreReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, sample.Mesh(90, 3, 4))
@@ -123,27 +122,27 @@
 				readers++
 			}
 		}
-		t.Logf("held by all after %s; %d of 90 read the store", took, readers)
+		t.Logf("held by all after %s; %d of 90 daemons read the store", took, readers)
 		if readers > 30 {
-			t.Errorf("%d of 90 daemons read the store", readers)
+			t.Errorf("%d of 90 daemons read the store, want at most 30", readers)
 		}
 	})
 }
 
-// TestFreshRead: a process starts and is told the newest version by a peer that read the
-// store. A read from before the process started proves nothing, since a former process
-// of its VM may have held a newer version by then; one from after it does, and is told
-// once on each link.
+// TestFreshRead: a new process is told the newest version by a peer that read the store. A read from
+// before the process started does not settle the version floor, since the previous process of its VM
+// may have held a newer version since. A read from after the start does, and the peer must send its
+// version exactly once per link.
 func TestFreshRead(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
-		readAge    time.Duration // how long before now the peer read the store
-		processAge time.Duration // how long the process has run
+		readAge    time.Duration // how long ago the peer read the store
+		processAge time.Duration // how long ago the process started
 		want       bool
 	}{
 		{"read before the start", 3 * time.Second, time.Second, false},
 		{"read after the start", time.Second, 3 * time.Second, true},
-		{"an older release that does not tell its age", time.Second, 0, false},
+		{"peer of an older release that does not send its age", time.Second, 0, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -171,7 +170,7 @@
 					}
 				}
 				if (told == 1) != tc.want || told > 1 {
-					t.Errorf("told %d times", told)
+					t.Errorf("newest version sent %d times", told)
 				}
 			})
 		})
@@ -181,13 +180,13 @@
 	pr := link.New(link.Stream{Abort: func() {}}, nd.offer)
 	nd.handlePacket(pr, &wirepb.Packet{Hello: &wirepb.Hello{Record: (&member.Record{VM: "vm-p", Domain: "d0", Incarnation: 1}).ToWire()}, Newest: 7})
 	if fl := nd.Board.Floor.Get(); fl == nil || *fl != (board.Floor{Version: 7, Settled: true}) {
-		t.Errorf("the process that was told has the floor %+v", fl)
+		t.Errorf("floor of the process that received the newest version: %+v", fl)
 	}
 }
 
-// TestMassStartPackets: all daemons start at once, and each states itself several times within
-// a second. Each statement went out by itself, 130,000 packets over the borders of 87
-// daemons in ten seconds. Now statements that come together go together.
+// TestMassStartPackets: all daemons start at once, and each updates its own record several times
+// within a second. Sent one by one, these records took 130,000 packets between failure domains in ten
+// seconds with 87 daemons. Records that are due together must be sent in one packet.
 func TestMassStartPackets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const daemons = 90
@@ -204,12 +203,12 @@
 		}
 		t.Logf("%d packets within failure domains, %d between them", within, across)
 		if limit := int64(120 * daemons); within+across > limit {
-			t.Errorf("%d packets, bound %d", within+across, limit)
+			t.Errorf("%d packets, want at most %d", within+across, limit)
 		}
 	})
 }
 
-// sentCount returns a count of what the node's links have sent.
+// sentCount returns one of the counts of what the node has sent over its links.
 func (tn *testNode) sentCount(name string) int64 {
 	if n, ok := tn.Traffic.Get(name).(*expvar.Int); ok {
 		return n.Value()
--- a/internal/mesh/ctrl/linker_test.go
+++ b/internal/mesh/ctrl/linker_test.go
@@ -9,10 +9,10 @@
 	"github.com/flamingomast/flamingomast/internal/mesh/member"
 )
 
-// TestRelayChoiceAfterFailures: a daemon starts a moment before the relays of its failure
-// domain and cannot reach them. It chooses others, and the relays again once the failures
-// are forgotten. It kept to the others until some member changed: linked to a plain
-// member, it heard no relay and followed the store by itself.
+// TestRelayChoiceAfterFailures: a daemon starts slightly before the relays of its failure domain and
+// cannot reach them, so it chooses others. Once the failures have expired, it must choose the relays
+// again. Otherwise it keeps its link to a member that is no relay until some record changes, hears no
+// relay, and follows the store itself.
 func TestRelayChoiceAfterFailures(t *testing.T) {
 	nd := New(Config{VM: "vm-x", Domain: "d0", Control: "x:1"})
 	defer nd.cancel()
@@ -37,19 +37,19 @@
 	}
 	for _, vm := range chosen() {
 		if slices.Contains(first, vm) {
-			t.Errorf("%s is chosen though it cannot be reached", vm)
+			t.Errorf("%s is chosen although it could not be reached", vm)
 		}
 	}
 	lk.pruneBackoff(now.Add(2 * failureTTL))
 	if got := chosen(); !slices.Equal(got, first) {
-		t.Errorf("%v are chosen once the failures are forgotten, want %v", got, first)
+		t.Errorf("%v are chosen after the failures have expired, want %v", got, first)
 	}
 }
 
-// TestUndiscoveredLinksBounded: daemons that start together find thirty addresses in the directory.
-// Each opened a link to every one, and each link carried every record: 35 MB in ten
-// seconds among 87. Now each opens a few, and only one that stands for its failure domain
-// opens any to another; as the first become known, the next ones are tried.
+// TestUndiscoveredLinksBounded: daemons that start together find thirty addresses in the directory. If
+// each opened a link to every address, each link would carry every record: 35 MB in ten seconds with
+// 87 daemons. Each may open only a few links at a time, and only a relay or a registered daemon links
+// to other failure domains. Once the first peers are known as members, the next addresses are tried.
 func TestUndiscoveredLinksBounded(t *testing.T) {
 	nd := New(Config{VM: "vm-x", Domain: "d0", Control: "x:1"})
 	defer nd.cancel()
@@ -67,7 +67,7 @@
 	}
 	first := undiscovered()
 	if len(first) != maxUndiscoveredLocal {
-		t.Errorf("a plain member opens links to %v", first)
+		t.Errorf("a member that is neither relay nor registered opens links to %v", first)
 	}
 	var recs []*member.Record
 	for i, addr := range first {
@@ -76,11 +76,11 @@
 	nd.merge(recs)
 	for _, addr := range undiscovered() {
 		if slices.Contains(first, addr) {
-			t.Errorf("%s is known and still taken for a stranger", addr)
+			t.Errorf("%s is known as a member and still listed as undiscovered", addr)
 		}
 	}
 	nd.registered.Store(true)
 	if got := undiscovered(); len(got) != maxUndiscoveredLocal+2*maxUndiscoveredRemote {
-		t.Errorf("one that stands for its failure domain opens links to %v", got)
+		t.Errorf("a registered daemon opens links to %v", got)
 	}
 }
--- a/internal/mesh/ctrl/main_test.go
+++ b/internal/mesh/ctrl/main_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the properties and drops what the HTTP library
-// logs of connections that tests break.
+// TestMain fixes the seed of the property tests and discards the HTTP library's log lines about
+// connections that tests break.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	log.SetOutput(io.Discard)
--- a/internal/mesh/ctrl/message_test.go
+++ b/internal/mesh/ctrl/message_test.go
@@ -16,7 +16,8 @@
 	"github.com/flamingomast/flamingomast/internal/mesh/wirepb"
 )
 
-// stateMachine is one node that is handed packets of a relay in any order.
+// stateMachine is a node that receives packets from one relay, with the state that its invariants
+// are checked against.
 type stateMachine struct {
 	nd       *Node
 	pr       *link.Peer
@@ -44,7 +45,8 @@
 	return sm
 }
 
-// versionPacket is the packet that offers a version as a delta from another.
+// versionPacket returns a packet with a version as a delta from another one. Both are indices into
+// contents; a base of -1 stands for no content.
 func (sm *stateMachine) versionPacket(base, next int) *wirepb.Packet {
 	dg := sm.contents[next].Digest
 	vn := &wirepb.Version{Number: uint64(next + 1), Digest: dg[:]}
@@ -57,7 +59,7 @@
 	return &wirepb.Packet{Version: vn}
 }
 
-// deliver hands a packet over and brings up to date what the compiler would.
+// deliver makes the node handle a packet, and then compile its newest version as runCompiler would.
 func (sm *stateMachine) deliver(pk *wirepb.Packet) {
 	sm.nd.handlePacket(sm.pr, proto.Clone(pk).(*wirepb.Packet))
 	if cfg := sm.nd.Board.Latest.Get(); cfg != nil {
@@ -65,30 +67,30 @@
 	}
 }
 
-// check states what must hold after every step.
+// check verifies the invariants that hold after every step.
 func (sm *stateMachine) check(t *rapid.T) {
 	sn := sm.nd.Board.Held.Get()
 	if sn == nil {
 		return
 	}
 	if sn.Version < sm.held {
-		t.Fatalf("version %d is held after version %d", sn.Version, sm.held)
+		t.Fatalf("holds version %d after version %d", sn.Version, sm.held)
 	}
 	sm.held = sn.Version
 	if want := sm.contents[sn.Version-1].Digest; sn.Digest != want {
-		t.Fatalf("version %d is held with digest %s, want %s", sn.Version, sn.Digest, want)
+		t.Fatalf("holds version %d with digest %s, want %s", sn.Version, sn.Digest, want)
 	}
 	for rc := range sm.nd.Board.Members.Get().All {
 		if prev, ok := sm.records[rc.VM]; ok && rc.Compare(&prev) < 0 {
-			t.Fatalf("record %+v came after %+v", rc, prev)
+			t.Fatalf("record %+v replaced the newer %+v", rc, prev)
 		}
 		sm.records[rc.VM] = *rc
 	}
 }
 
-// TestPacketFaults: packets are lost, doubled, late, crossed and damaged. After
-// each one the version held is whole and no older than before, and no record
-// goes back; once all have come in order, the last version is held.
+// TestPacketFaults: packets are lost, duplicated, delayed, reordered and corrupted. After each packet
+// the held version is complete and not older than before, and no record has been replaced by an
+// older one. After a final delivery of all versions in order, the last one is held.
 func TestPacketFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sm := newStateMachine(t)
@@ -141,15 +143,15 @@
 			sm.check(t)
 		}
 		if sm.held == 0 {
-			return // The first one needs a fetch, which nobody answers here.
+			return // The first version needs a fetch, which no peer answers in this test.
 		}
 		if sm.held != uint64(last+1) {
-			t.Fatalf("version %d is held at the end, want %d", sm.held, last+1)
+			t.Fatalf("holds version %d at the end, want %d", sm.held, last+1)
 		}
 	})
 }
 
-// TestOfferOrder: offers in any order leave the highest on the board.
+// TestOfferOrder: whatever the order of offers, the board keeps the highest version.
 func TestOfferOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var bd board.Board
@@ -158,20 +160,20 @@
 			bd.Offer(&board.Config{Version: v})
 		}
 		if got := bd.LatestVersion(); got != slices.Max(versions) {
-			t.Fatal(fmt.Sprint("latest is ", got))
+			t.Fatal(fmt.Sprint("latest version is ", got))
 		}
 	})
 }
 
-// TestNewerPeer: a peer of a newer release sends fields that this one does not
-// know, beside a version that it does. The version is taken all the same.
+// TestNewerPeer: a peer of a newer release sends unknown fields along with a version. The version is
+// still installed.
 func TestNewerPeer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sm := newStateMachine(t)
 		defer sm.nd.cancel()
 		sm.nd.adoptVersion(1, sm.contents[0])
 		pk := sm.versionPacket(0, 1)
-		// Field 200, a text.
+		// Field 200, a string.
 		pk.ProtoReflect().SetUnknown([]byte{0xc2, 0x0c, 2, 'h', 'i'})
 		pk.Version.ProtoReflect().SetUnknown([]byte{0xc2, 0x0c, 2, 'h', 'i'})
 		raw, err := proto.Marshal(pk)
@@ -184,14 +186,14 @@
 		}
 		sm.deliver(&decoded)
 		if got := sm.nd.Board.HeldVersion(); got != 2 {
-			t.Fatalf("version %d is held, want 2", got)
+			t.Fatalf("holds version %d, want 2", got)
 		}
 	})
 }
 
-// TestOnlyRelaySettlesFloor: a new process is welcomed by a plain member, which keeps
-// nobody's floor, and by a relay that knows what the VM held. Only the relay's
-// word may let it take a version, and none below the floor.
+// TestOnlyRelaySettlesFloor: a new process receives a Welcome from a member that is no relay, which
+// does not know the held versions of other VMs, and then from a relay, which does. Only the relay's
+// Welcome settles the version floor, so that the process may install versions not below it.
 func TestOnlyRelaySettlesFloor(t *testing.T) {
 	nd := New(Config{VM: "vm-x", Domain: "d0", Control: "x:1"})
 	defer nd.cancel()
@@ -205,9 +207,9 @@
 		return nd.Board.Floor.Get()
 	}
 	if fl := welcome("vm-m", false, 0); fl.Settled || fl.Version != 2 {
-		t.Errorf("after a plain member's word: %+v", fl)
+		t.Errorf("after the Welcome of a member that is no relay: floor %+v", fl)
 	}
 	if fl := welcome("vm-r", true, 5); !fl.Settled || fl.Version != 5 {
-		t.Errorf("after a relay's word: %+v", fl)
+		t.Errorf("after the Welcome of a relay: floor %+v", fl)
 	}
 }
--- a/internal/mesh/ctrl/replace_test.go
+++ b/internal/mesh/ctrl/replace_test.go
@@ -15,9 +15,9 @@
 	"github.com/flamingomast/flamingomast/internal/plat/stand"
 )
 
-// TestDaemonReplaced: a VM's daemon dies and a new process comes at the same
-// address, with a clock that is behind. Callers must find the new process, the
-// record of the dead one must not come back, and the floor must hold.
+// TestDaemonReplaced: a VM's daemon is killed and a new process starts at the same address with a
+// clock that is behind. The record of the new process must replace that of the old one everywhere,
+// and the VM must not hold an older version than before.
 func TestDaemonReplaced(t *testing.T) {
 	withFleet(t, func(fl *fleet) {
 		name := "vm-007"
@@ -25,7 +25,7 @@
 		fl.kill(name)
 		v := fl.apply(sample.Change(fl.ms, 1), 1)
 		tn := fl.startNode(fl.declared(name))
-		// The new process starts with an incarnation below the old one's.
+		// The new process starts with a lower incarnation than the old one had.
 		tn.Announce(func(rc *member.Record) { rc.Incarnation = old.Incarnation - 1000 })
 		fl.waitFor("all know the new process", convergeLimit, func() bool {
 			for _, tn := range fl.nodes {
@@ -39,10 +39,9 @@
 	})
 }
 
-// TestDomainRestartWithClocksBehind: a whole failure domain restarts with clocks that
-// are a minute behind, so that each new process has a lower incarnation than
-// the one before, and its first peers know nothing of that. None may take its
-// forerunner for a newer process and end.
+// TestDomainRestartWithClocksBehind: a whole failure domain restarts with clocks that are a minute
+// behind. Each new process has a lower incarnation than its predecessor, and its first peers do not
+// know the predecessor's. No process may take its predecessor for a newer process and shut down.
 func TestDomainRestartWithClocksBehind(t *testing.T) {
 	withFleet(t, func(fl *fleet) {
 		names := fl.domainVMs("d1")
@@ -64,15 +63,15 @@
 		})
 		for _, name := range names {
 			if by := fl.nodes[name].Board.Replaced.Get(); by != nil {
-				fl.t.Errorf("%s took itself for replaced by %+v", name, by)
+				fl.t.Errorf("%s assumes that it was replaced by %+v", name, by)
 			}
 		}
 	})
 }
 
-// TestOldProcessLearnsOfReplacement: a VM's daemon is cut off, a new process of the VM is
-// started elsewhere, and the cut heals. Two processes would then serve under
-// one name; the old one must learn that it was replaced.
+// TestOldProcessLearnsOfReplacement: a VM's daemon is cut off, a new process of the VM is started
+// elsewhere, and the partition ends. The old process must learn that it was replaced, or two
+// processes would serve under one name.
 func TestOldProcessLearnsOfReplacement(t *testing.T) {
 	withFleet(t, func(fl *fleet) {
 		name := "vm-004"
@@ -88,16 +87,16 @@
 		fl.nw.SetCut(nil)
 		fl.waitFor("the old process knows that it was replaced", convergeLimit, func() bool { return old.Board.Replaced.Get() != nil })
 		if fresh.Board.Replaced.Get() != nil {
-			fl.t.Error("the new process took itself for replaced")
+			fl.t.Error("the new process assumes that it was replaced")
 		}
 		old.cancel()
 		<-old.done
 	})
 }
 
-// TestDomainRestart: all daemons of a failure domain die at once and come back at
-// once, while a version was accepted. All must hold it within seconds, and
-// nobody may take the others for dead for good.
+// TestDomainRestart: all daemons of a failure domain are killed at once, a version is accepted, and
+// they start again at once. All must hold the version within seconds, and every daemon must know
+// every other one as serving again.
 func TestDomainRestart(t *testing.T) {
 	withFleet(t, func(fl *fleet) {
 		names := fl.domainVMs("d1")
@@ -109,8 +108,9 @@
 	})
 }
 
-// TestDomainRestartDuringPlatformOutage: the same with the platform out. The failure domain
-// gets its configuration from the others, and no VM holds less than before.
+// TestDomainRestartDuringPlatformOutage: all daemons of a failure domain but one restart while the
+// platform is down. They must get the configuration from other daemons, and none may hold an older
+// version than before.
 func TestDomainRestartDuringPlatformOutage(t *testing.T) {
 	withFleet(t, func(fl *fleet) {
 		v := fl.apply(sample.Change(fl.ms, 2), 1)
@@ -124,9 +124,9 @@
 	})
 }
 
-// TestDomainRestartDuringPartition is a pair: a failure domain is cut off from everything, its
-// daemons but one die and come back within the cut. They must get from the one
-// that lived what they held before, and nothing older.
+// TestDomainRestartDuringPartition: a failure domain is cut off from the other ones and the platform,
+// and all its daemons but one restart. They must get the version that they held before, and no older
+// one, from the remaining daemon.
 func TestDomainRestartDuringPartition(t *testing.T) {
 	withFleet(t, func(fl *fleet) {
 		v := fl.apply(sample.Change(fl.ms, 12), 1)
@@ -145,8 +145,8 @@
 	})
 }
 
-// TestManyVersions: operators accept fifty versions in five seconds while
-// daemons come and go. Every daemon ends at the last one and never goes back.
+// TestManyVersions: fifty versions are accepted in five seconds while daemons are replaced. Every
+// daemon must hold the last one in the end, and never an older one than before.
 func TestManyVersions(t *testing.T) {
 	withFleet(t, func(fl *fleet) {
 		v := uint64(1)
@@ -163,9 +163,8 @@
 	})
 }
 
-// TestFloorOfNewProcess: the process before held version 2, and the only other
-// daemon that is left holds version 1. The new process must not hold version 1,
-// and holds the first one that is not below 2.
+// TestFloorOfNewProcess: the previous process of a VM held version 2. The new process must not
+// install version 1, which another daemon may still offer, but the first one that is not below 2.
 func TestFloorOfNewProcess(t *testing.T) {
 	bd := &board.Board{}
 	co, err := pack.Encode(sample.Mesh(2, 1, 1))
@@ -196,11 +195,10 @@
 	return sn
 }
 
-// TestFloorOfSingleVMDomain: a failure domain has one VM. The platform is set
-// back and the VM's daemon is replaced, so no peer of its own failure domain
-// can tell what it held. The relays of the others can, but for some seconds
-// they are cut off. It must wait for their word and not take the platform's
-// older version.
+// TestFloorOfSingleVMDomain: a failure domain has one VM. The platform is restored from a backup and
+// the VM's daemon is replaced, so no peer of its failure domain knows which version it held. The
+// relays of the other failure domains know, but cannot be reached for some seconds. The new process
+// must wait for them and not install the platform's older version.
 func TestFloorOfSingleVMDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, sample.Mesh(3, 3, 1))
@@ -224,11 +222,10 @@
 	})
 }
 
-// TestDepartureOutlivesRecord: a process that acknowledged a drain is replaced. The
-// new one's first Hello is read and its answer lost; its second link is welcomed
-// by a peer that holds the new record by then. The peer must still tell which
-// lifetime leaves: without it the new process took a late announcement of that
-// lifetime and sent requests to a server that had left.
+// TestDepartureOutlivesRecord: a process that acknowledged a drain is replaced. A peer reads the new
+// process's first Hello, but the Welcome is lost, and on the second link the peer already has the new
+// record. It must still report which lifetime of the backend server is leaving. Otherwise the new
+// process accepts a late announcement of that lifetime and sends requests to a server that has left.
 func TestDepartureOutlivesRecord(t *testing.T) {
 	nd := New(Config{VM: "a", Domain: "d"})
 	defer nd.cancel()
@@ -238,7 +235,7 @@
 	nd.merge([]*member.Record{next})
 	want := member.Leaver{Lifetime: "i-1", At: 5}
 	if got := nd.leaving["b"]; got != want {
-		t.Errorf("the peer remembers %+v, want %+v", got, want)
+		t.Errorf("the peer remembers the departure %+v, want %+v", got, want)
 	}
 	var fresh Node
 	fresh.Board = &board.Board{}
@@ -246,6 +243,6 @@
 		fresh.recordPredecessor([]string{"p", "q", "q"}[i], lv)
 	}
 	if got := fresh.Board.Forerunner.Get(); got == nil || got.Leaver != want || len(got.Peers) != 2 {
-		t.Errorf("the new process learned %+v, want %+v of two peers", got, want)
+		t.Errorf("the new process learned %+v, want the departure %+v from two peers", got, want)
 	}
 }
--- a/internal/mesh/ctrl/rollout_test.go
+++ b/internal/mesh/ctrl/rollout_test.go
@@ -21,32 +21,37 @@
 	"github.com/flamingomast/flamingomast/internal/roll/tally"
 )
 
-// The bounds of a rollout, as operators state them.
+// Limits that operators set for rollouts.
 const (
-	maxExposure      = 0.1
-	exposureSlack    = 50
+	// A bad target version may receive the share maxExposure of all requests, and exposureSlack more.
+	maxExposure   = 0.1
+	exposureSlack = 50
+	// Within rollbackLimit after badResponseLimit bad responses it must receive no more requests.
 	rollbackLimit    = 5 * time.Second
 	badResponseLimit = 50
 )
 
-// rolloutFleet is a fleet whose backend servers are rolled out: the odd VMs have the new version.
+// rolloutFleet is a fleet during a rollout. Some of its backend servers run the baseline version v1,
+// the others the target version v2.
 type rolloutFleet struct {
 	fl      *fleet
 	service string
 	rnd     *rand.Rand
-	// failureRate is the share of requests that the new version fails.
+	// failureRate is the share of requests for which the target version fails.
 	failureRate float64
 
 	mu       sync.Mutex
 	counters map[string]*tally.Counter
-	// targetSize and all count the requests that reached servers, bad the bad answers of the
-	// target.
+	// targetRequests and allRequests count the requests that reached servers, badResponses the bad
+	// responses of the target.
 	targetRequests, allRequests, badResponses int
-	limitReached, lastTargetRequest           time.Time
+	// limitReached is the time of bad response number badResponseLimit.
+	limitReached, lastTargetRequest time.Time
 }
 
-const requestRate = 500 // requests a second
+const requestRate = 500 // requests per second
 
+// software returns the software version of a VM's backend server.
 func software(vm string) string {
 	h := fnv.New32()
 	h.Write([]byte(vm))
@@ -56,7 +61,7 @@
 	return "v2"
 }
 
-// counts returns what the server of a VM did.
+// counts returns the request counts of a VM's backend server.
 func (rf *rolloutFleet) counts(vm string) Counts {
 	rf.mu.Lock()
 	co := rf.counters[vm]
@@ -67,7 +72,7 @@
 	return Counts{Service: rf.service, Software: software(vm), Cohort: tally.Cohort{Servers: 1, Routes: co.Rows()}}
 }
 
-// sendRequests plays the requests of a span at all outlets.
+// sendRequests simulates the requests that all outlets send during the given time.
 func (rf *rolloutFleet) sendRequests(span time.Duration) {
 	now := time.Now()
 	byVersion := map[string][]string{}
@@ -100,6 +105,7 @@
 	}
 }
 
+// handleRequest simulates one request to a VM's backend server.
 func (rf *rolloutFleet) handleRequest(vm string, target bool, now time.Time) {
 	rf.mu.Lock()
 	defer rf.mu.Unlock()
@@ -119,7 +125,7 @@
 	rf.counters[vm].Add("lookup", failed, latency)
 }
 
-// writeOrder writes an order as the operators do.
+// writeOrder writes a rollout order to the store as operators do.
 func (rf *rolloutFleet) writeOrder(duration time.Duration) {
 	rf.fl.t.Helper()
 	or := order.Order{Service: rf.service, Target: "v2", DurationMs: duration.Milliseconds()}
@@ -132,7 +138,7 @@
 	}
 }
 
-// storedState returns the state that the store has, 0 for none.
+// storedState returns the rollout's state in the store, 0 if there is none.
 func (rf *rolloutFleet) storedState() canary.State {
 	ent, err := rf.fl.st.Store().Get(context.Background(), order.StatusKey(rf.service))
 	if err != nil || !ent.Revision.Exists() {
@@ -140,12 +146,12 @@
 	}
 	target, st, err := order.DecodeStatus(ent.Value)
 	if err != nil || target != "v2" {
-		rf.fl.t.Errorf("the store has %q, %v", ent.Value, err)
+		rf.fl.t.Errorf("state in the store: %q, error %v", ent.Value, err)
 	}
 	return st
 }
 
-// sendRequestsFor plays requests for a span.
+// sendRequestsFor simulates requests while the given time passes.
 func (rf *rolloutFleet) sendRequestsFor(span time.Duration) {
 	const step = 100 * time.Millisecond
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(step) {
@@ -153,7 +159,8 @@
 	}
 }
 
-// withRollout starts a fleet whose servers are rolled out.
+// withRollout starts a fleet of 24 VMs with backend servers of two versions, simulates some requests,
+// calls fn and stops the fleet.
 func withRollout(t *testing.T, seed uint64, fn func(rf *rolloutFleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, sample.Mesh(24, 3, 1))
@@ -174,15 +181,16 @@
 	})
 }
 
-// rolloutFaults are what happens a part of the way into a rollout.
+// rolloutFaults are faults injected during a rollout.
 var rolloutFaults = []struct {
 	name   string
 	inject func(rf *rolloutFleet)
-	// slow says that the rollout may end too late, or with the servers of before.
+	// mayEndLate says that the rollout need not be final when the order's duration ends, and that a
+	// good version may be rolled back.
 	mayEndLate bool
 }{
 	{name: "nothing", inject: func(*rolloutFleet) {}},
-	{name: "those that decide are killed", inject: func(rf *rolloutFleet) {
+	{name: "the deciding daemons are killed", inject: func(rf *rolloutFleet) {
 		for name, tn := range rf.fl.nodes {
 			if follows := tn.following.Get(); follows != nil && *follows {
 				rf.fl.kill(name)
@@ -206,15 +214,15 @@
 		rf.sendRequestsFor(3 * time.Second)
 		rf.fl.st.SetFaults(stand.Faults{Delay: toPlatform})
 	}},
-	{name: "answers of the store are lost", inject: func(rf *rolloutFleet) {
+	{name: "responses of the store are lost", inject: func(rf *rolloutFleet) {
 		rf.fl.st.SetFaults(stand.Faults{Delay: toPlatform, LoseAnswers: 3})
 	}},
-	{name: "the store comes back older", inject: func(rf *rolloutFleet) {
+	{name: "the store is restored from an older copy", inject: func(rf *rolloutFleet) {
 		bk := rf.fl.st.Backup()
 		rf.sendRequestsFor(time.Second)
 		rf.fl.st.ComeBack(bk)
 	}},
-	{name: "the store comes back without the order", inject: func(rf *rolloutFleet) {
+	{name: "the store is restored without the order", inject: func(rf *rolloutFleet) {
 		rf.fl.st.ComeBack(rf.backupWithoutRollout())
 		rf.sendRequestsFor(1500 * time.Millisecond)
 		rf.writeOrder(12 * time.Second)
@@ -229,7 +237,7 @@
 	}, mayEndLate: true},
 }
 
-// backupWithoutRollout returns a copy of the store without the rollout.
+// backupWithoutRollout returns a copy of the store without the keys of the rollout.
 func (rf *rolloutFleet) backupWithoutRollout() stand.Backup {
 	kv, current := rf.fl.st.Store(), rf.fl.st.Backup()
 	for _, key := range []string{order.Prefix + rf.service, order.StatusKey(rf.service), beganPrefix + rf.service} {
@@ -246,8 +254,9 @@
 	return bk
 }
 
-// TestRollout guards against rollouts that end wrong or late, and against a bad version that
-// gets more requests than it may, while daemons, links and the store fail.
+// TestRollout: while daemons, links or the store fail, a rollout must complete with a good version and
+// be rolled back with a bad one, in time, and a bad version must not receive more requests than
+// permitted.
 func TestRollout(t *testing.T) {
 	const duration = 12 * time.Second
 	for _, failing := range []float64{0, 0.3} {
@@ -275,36 +284,37 @@
 	}
 }
 
+// check verifies the outcome of a rollout at the end of its order's duration.
 func (rf *rolloutFleet) check(mayEndLate bool) {
 	t := rf.fl.t
 	t.Helper()
 	st := rf.storedState()
 	switch {
 	case rf.failureRate > 0 && st != canary.RolledBack && !(mayEndLate && st == canary.InProgress), rf.failureRate == 0 && st != canary.Complete && !mayEndLate:
-		t.Errorf("the store has %s at the end of the order's time", st)
+		t.Errorf("state in the store at the end of the order's duration: %s", st)
 	case rf.failureRate > 0 && st == canary.Complete:
-		t.Error("a bad version is complete")
+		t.Error("the rollout of a bad version completed")
 	}
 	if limit := int(maxExposure*float64(rf.allRequests)) + exposureSlack; rf.failureRate > 0 && rf.targetRequests > limit {
-		t.Errorf("%d of %d requests reached the bad version, %d may", rf.targetRequests, rf.allRequests, limit)
+		t.Errorf("%d of %d requests reached the bad version, want at most %d", rf.targetRequests, rf.allRequests, limit)
 	}
 	if !rf.limitReached.IsZero() && rf.lastTargetRequest.Sub(rf.limitReached) > rollbackLimit {
-		t.Errorf("a request reached the bad version %s after its 50th bad answer", rf.lastTargetRequest.Sub(rf.limitReached))
+		t.Errorf("a request reached the bad version %s after its 50th bad response", rf.lastTargetRequest.Sub(rf.limitReached))
 	}
-	t.Logf("%s; %d of %d requests reached the new version, %d bad answers", st, rf.targetRequests, rf.allRequests, rf.badResponses)
+	t.Logf("%s; %d of %d requests reached the target version, %d bad responses", st, rf.targetRequests, rf.allRequests, rf.badResponses)
 	rf.sendRequestsFor(5 * time.Second)
 	if final := rf.storedState(); st.Final() && final != st {
-		t.Errorf("the store has %s after %s", final, st)
+		t.Errorf("state in the store is %s after the final state %s", final, st)
 	}
 	for name, tn := range rf.fl.nodes {
 		ro := tn.Board.Rollouts.Get().Of(rf.service)
 		if ro == nil || ro.State != rf.storedState() {
-			t.Errorf("%s has %+v, the store %s", name, ro, rf.storedState())
+			t.Errorf("%s has the rollout %+v, the store has %s", name, ro, rf.storedState())
 		}
 	}
 }
 
-// TestUnreadableOrder guards against an order of another writer that stops the others.
+// TestUnreadableOrder: an order that cannot be decoded must not affect the rollouts of other services.
 func TestUnreadableOrder(t *testing.T) {
 	withRollout(t, 2, func(rf *rolloutFleet) {
 		for _, value := range []string{"", "[]", `{"service":"x"}`} {
@@ -317,7 +327,7 @@
 		rf.sendRequestsFor(12 * time.Second)
 		rf.check(false)
 		if ent, err := rf.fl.st.Store().Get(context.Background(), order.StatusKey("other")); err != nil || ent.Revision.Exists() {
-			t.Errorf("an unreadable order got the state %q, %v", ent.Value, err)
+			t.Errorf("an unreadable order has the state %q in the store, error %v", ent.Value, err)
 		}
 	})
 }
--- a/internal/mesh/ctrl/scale_test.go
+++ b/internal/mesh/ctrl/scale_test.go
@@ -1,7 +1,7 @@
 //go:build !race
 
-// The race detector makes these runs many times slower; the same code runs
-// under it in the fault tests at 24 daemons.
+// The race detector makes these tests many times slower. The fault tests run the same code under it
+// with 24 daemons.
 
 package ctrl
 
@@ -16,10 +16,10 @@
 	"github.com/flamingomast/flamingomast/internal/plat/stand"
 )
 
-// transferred is what a node's connections have carried, both ways.
+// transferred returns the bytes that a node's connections have carried in both directions.
 func (tn *testNode) transferred() int64 { return tn.ho.In.Load() + tn.ho.Out.Load() }
 
-// load is the control traffic of one span of time, in bytes a node.
+// load is the control traffic of a period: bytes per node, and calls to the platform.
 type load struct {
 	relays                  int
 	relayMean, relayMax     int64
@@ -29,15 +29,14 @@
 	relayBytes, memberBytes int64
 }
 
-// String gives rates by the second.
+// String formats the load as rates per second.
 func (ld load) String() string {
 	sec := ld.span.Seconds()
-	return fmt.Sprintf("%d relays %.0f B/s each (most %.0f), members %.0f B/s each (most %.0f), platform %.1f calls/s",
+	return fmt.Sprintf("%d relays: mean %.0f B/s, maximum %.0f; members: mean %.0f B/s, maximum %.0f; platform: %.1f calls/s",
 		ld.relays, float64(ld.relayMean)/sec, float64(ld.relayMax)/sec, float64(ld.memberMean)/sec, float64(ld.memberMax)/sec, float64(ld.calls)/sec)
 }
 
-// measure runs fn and returns the traffic of the nodes that live before and
-// after it.
+// measure runs fn and returns the load during it, of the nodes that run both before and after.
 func (fl *fleet) measure(fn func()) load {
 	relays := fl.relays()
 	before := map[*testNode]int64{}
@@ -69,10 +68,10 @@
 	return ld
 }
 
-// size is a fleet's size.
+// size is the size of a fleet.
 type size struct{ vms, domains, services int }
 
-// withSizedFleet starts a fleet of a size, lets it settle and ends it after fn.
+// withSizedFleet starts a fleet of the given size, waits until it is stable, calls fn and stops it.
 func withSizedFleet(t *testing.T, sz size, fn func(fl *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -82,20 +81,20 @@
 		fl.startAll()
 		first := fl.waitHeld(1, 30*time.Second)
 		members := fl.waitMembers(30 * time.Second)
-		t.Logf("%d daemons start at once: all hold version 1 after %s, know each other %s later", sz.vms, first, members)
+		t.Logf("%d daemons start at once: all hold version 1 after %s, all members known after %s more", sz.vms, first, members)
 		time.Sleep(20 * time.Second)
 		fn(fl)
 	})
 }
 
-// TestScale measures an idle minute and one change at three sizes. The bounds
-// are the measured values and a small margin: platform calls do not grow with
-// the VMs, nor does what a change costs a plain member.
+// TestScale measures an idle minute and one new version at three sizes. The limits are the measured
+// values with a small margin. Neither the platform calls nor the bytes that a new version costs a
+// member that is no relay may grow with the number of VMs.
 func TestScale(t *testing.T) {
 	for _, tc := range []struct {
 		size
-		// The most bytes a second of a relay and a member when idle, bytes of
-		// a change at a member, and platform calls a second.
+		// Limits: bytes per second of an idle relay and an idle member, bytes of a new version at a
+		// member, platform calls per second when idle, and the time until all hold a new version.
 		relayIdle, memberIdle, change int64
 		calls                         float64
 		converge                      time.Duration
@@ -109,13 +108,13 @@
 				idle := fl.measure(func() { time.Sleep(time.Minute) })
 				t.Logf("idle: %s", idle)
 				if got := idle.relayMean / 60; got > tc.relayIdle {
-					t.Errorf("idle relay: %d B/s, bound %d", got, tc.relayIdle)
+					t.Errorf("idle relay: %d B/s, want at most %d", got, tc.relayIdle)
 				}
 				if got := idle.memberMean / 60; got > tc.memberIdle {
-					t.Errorf("idle member: %d B/s, bound %d", got, tc.memberIdle)
+					t.Errorf("idle member: %d B/s, want at most %d", got, tc.memberIdle)
 				}
 				if got := float64(idle.calls) / 60; got > tc.calls {
-					t.Errorf("idle: %.1f platform calls/s, bound %.1f", got, tc.calls)
+					t.Errorf("idle: %.1f platform calls/s, want at most %.1f", got, tc.calls)
 				}
 				var took time.Duration
 				change := fl.measure(func() {
@@ -123,24 +122,25 @@
 					took = fl.waitHeld(v, convergeLimit)
 					time.Sleep(time.Second - took)
 				})
-				t.Logf("one change: held by all after %s; in that second: relays %d B each, members %d B each, %d platform calls", took, change.relayMean, change.memberMean, change.calls)
+				t.Logf("new version: held by all after %s; in that second: relays %d B each, members %d B each, %d platform calls", took, change.relayMean, change.memberMean, change.calls)
 				if took > tc.converge {
-					t.Errorf("a change was held by all after %s, bound %s", took, tc.converge)
+					t.Errorf("new version held by all after %s, want at most %s", took, tc.converge)
 				}
 				if change.memberMean > tc.change {
-					t.Errorf("a change cost a member %d B, bound %d", change.memberMean, tc.change)
+					t.Errorf("new version cost a member %d B, want at most %d", change.memberMean, tc.change)
 				}
 			})
 		})
 	}
 }
 
+// targetSize is the fleet size that the system is planned for.
 var targetSize = size{790, 5, 73}
 
-// TestTargetFaults brings about at the target size what happens there every
-// few weeks or months, one after another on one fleet: the relays of each
-// failure domain die amid a change, a failure domain is cut off and heals, the
-// platform is at its slowest, and all daemons die and come back at once.
+// TestTargetFaults injects faults that are expected every few weeks or months, one after another into
+// one fleet of the target size: a relay of each failure domain is killed during the transfer of a
+// version, a failure domain is cut off for a minute, the platform is slow, and all daemons are killed
+// and restarted at once.
 func TestTargetFaults(t *testing.T) {
 	withSizedFleet(t, targetSize, func(fl *fleet) {
 		v := uint64(1)
@@ -154,7 +154,7 @@
 		}
 		next()
 		fl.kill(dead...)
-		t.Logf("a relay of each failure domain dies midway: held by the rest after %s", fl.waitHeld(v, convergeLimit))
+		t.Logf("a relay of each failure domain killed during the transfer: held by the remaining daemons after %s", fl.waitHeld(v, convergeLimit))
 		fl.restart(dead...)
 		fl.waitConverged(v)
 
@@ -169,7 +169,7 @@
 
 		fl.st.SetFaults(stand.Faults{Delay: time.Second})
 		next()
-		t.Logf("slow platform, 1 s a call: held by all after %s more", fl.waitHeld(v, convergeLimit))
+		t.Logf("slow platform, 1 s per call: held by all after %s more", fl.waitHeld(v, convergeLimit))
 		fl.st.SetFaults(stand.Faults{Delay: toPlatform})
 		time.Sleep(20 * time.Second)
 
@@ -182,13 +182,13 @@
 		fl.startAll()
 		fl.waitConverged(v)
 		time.Sleep(30 * time.Second)
-		t.Logf("all die and come back: %d platform calls in 30 s", fl.st.Calls.Total()-calls)
+		t.Logf("all daemons killed and restarted: %d platform calls in 30 s", fl.st.Calls.Total()-calls)
 	})
 }
 
-// TestOrdinaryDay puts the worst minute of an ordinary day on the target size:
-// ten VMs are replaced and five versions accepted within it, where a day has
-// 230 and 1,800. Each relay and member stays below 13 KB a second.
+// TestOrdinaryDay simulates the busiest minute of an ordinary day at the target size: ten VMs are
+// replaced and five versions accepted, of 230 and 1,800 per day. The traffic of each relay and member
+// must stay below 13 KB/s.
 func TestOrdinaryDay(t *testing.T) {
 	withSizedFleet(t, targetSize, func(fl *fleet) {
 		v := uint64(1)
@@ -203,23 +203,23 @@
 				time.Sleep(6 * time.Second)
 			}
 		})
-		t.Logf("worst minute: %s", ld)
+		t.Logf("busiest minute: %s", ld)
 		const limit = 13_000 * 60
 		if ld.relayMax > limit || ld.memberMax > limit {
-			t.Errorf("a relay carried %d B and a member %d B in a minute, bound %d", ld.relayMax, ld.memberMax, limit)
+			t.Errorf("a relay carried %d B and a member %d B in a minute, want at most %d", ld.relayMax, ld.memberMax, limit)
 		}
 		fl.waitConverged(v)
 	})
 }
 
-// typicalSize is the size of a fleet of today.
+// typicalSize is the size of a present-day fleet.
 var typicalSize = size{295, 5, 2}
 
-// TestWorstSecond: 295 daemons start at once. When they have settled, operators make 25
-// versions in five seconds; meanwhile the store turns a third of the VMs away and ends all
-// leases, relays and those who follow it among them. Every daemon ends at the last version
-// within its bound, no link of 10 Mbit/s is full, and the store gets fewer calls than there
-// are daemons.
+// TestWorstSecond: 295 daemons start at once. Once they are stable, 25 versions are accepted in five
+// seconds, while the store rejects the calls of a third of the VMs, relays and followers of the store
+// among them, and all leases have expired. Every daemon must hold the last version in time, no link
+// of 10 Mbit/s may be full, and the store may get no more calls than there are daemons, besides those
+// of the operators.
 func TestWorstSecond(t *testing.T) {
 	withSizedFleet(t, typicalSize, func(fl *fleet) {
 		v := uint64(1)
@@ -237,27 +237,26 @@
 				v = fl.apply(sample.Change(fl.ms, i), v)
 				time.Sleep(200 * time.Millisecond)
 			}
-			t.Logf("the last of 25 versions is held by all %s later", fl.waitHeld(v, followLimit))
+			t.Logf("the last of 25 versions is held by all after %s more", fl.waitHeld(v, followLimit))
 		})
 		calls = fl.st.Calls.Total() - calls
-		t.Logf("%d calls, %s", calls, ld)
+		t.Logf("%d calls to the store; %s", calls, ld)
 		const link = 10_000_000 / 8
 		if limit := int64(link * ld.span.Seconds()); ld.relayMax > limit {
-			t.Errorf("the busiest relay carried %d B in %s, its link %d", ld.relayMax, ld.span, limit)
+			t.Errorf("the busiest relay carried %d B in %s, its link has capacity for %d", ld.relayMax, ld.span, limit)
 		}
-		// An operator's submission takes up to ten of them.
+		// Of these calls, an operator's submission makes up to ten.
 		if limit := int64(25*10 + typicalSize.vms); calls > limit {
-			t.Errorf("%d calls to the store, bound %d", calls, limit)
+			t.Errorf("%d calls to the store, want at most %d", calls, limit)
 		}
 		fl.vmFaults.Store(&map[string]vmFault{})
 		fl.waitConverged(v)
 	})
 }
 
-// TestAllComeBack: all 295 daemons of a mesh whose platform is never set back lose power
-// and come back two seconds later. The first
-// must hold the configuration within a second and nine tenths within three, and the herd
-// may ask the store for no more than two calls a daemon.
+// TestAllComeBack: all 295 daemons lose power and start again two seconds later, with a platform that
+// is never restored from a backup. The first daemon must hold the configuration within a second, nine
+// tenths of them within three more, and they may make no more than two calls to the store per daemon.
 func TestAllComeBack(t *testing.T) {
 	withSizedFleet(t, typicalSize, func(fl *fleet) {
 		var all []string
@@ -276,16 +275,16 @@
 		nineTenths := fl.waitFor("nine tenths hold the version", 3*time.Second, held(9))
 		time.Sleep(10 * time.Second)
 		calls = fl.st.Calls.Total() - calls
-		t.Logf("the first after %s, nine tenths %s later, %d calls to the store in ten seconds more", first, nineTenths, calls)
+		t.Logf("held by the first after %s, by nine tenths after %s more; %d calls to the store by ten seconds later", first, nineTenths, calls)
 		if calls > int64(2*typicalSize.vms) {
-			t.Errorf("%d calls to the store", calls)
+			t.Errorf("too many calls to the store: %d", calls)
 		}
 		fl.waitConverged(1)
 	})
 }
 
-// TestScaleEpoch guards against a fleet of hundreds that asks a store which came back from
-// an older copy for all it lost, each daemon by itself.
+// TestScaleEpoch: the store of a fleet of hundreds is restored from an older copy. The relays must
+// register again and the lost version be restored without each daemon calling the store by itself.
 func TestScaleEpoch(t *testing.T) {
 	withSizedFleet(t, typicalSize, func(fl *fleet) {
 		bk, since := fl.st.Backup(), fl.st.Newest()
@@ -294,16 +293,16 @@
 		time.Sleep(2 * time.Second)
 		calls := fl.storeCalls()
 		fl.st.ComeBack(bk)
-		took := fl.waitFor("the relays are registered again", reregisterLimit, func() bool { return fl.relaysRegistered(since) })
+		took := fl.waitFor("all relays are registered again", reregisterLimit, func() bool { return fl.relaysRegistered(since) })
 		time.Sleep(3*time.Second - took)
-		// Two calls a second are the watches of those who follow the store.
+		// Two calls per second are the watches of the daemons that follow the store.
 		calls = fl.storeCalls() - calls
-		t.Logf("registered after %s, %d calls to the store in 3 s, %d relays", took, calls, len(fl.relays()))
+		t.Logf("all relays registered after %s; %d calls to the store in 3 s, %d relays", took, calls, len(fl.relays()))
 		if limit := int64(typicalSize.vms / 2); calls > limit {
-			t.Errorf("%d calls to the store, want %d at most", calls, limit)
+			t.Errorf("%d calls to the store, want at most %d", calls, limit)
 		}
 		if hd := fl.head(); hd.Last.Version != v || len(hd.Recent) != 2 {
-			t.Errorf("the head has version %d and the submissions %+v, want %d, restored once", hd.Last.Version, hd.Recent, v)
+			t.Errorf("the head has version %d and the submissions %+v, want version %d, restored once", hd.Last.Version, hd.Recent, v)
 		}
 		fl.waitConverged(v)
 	})
--- a/internal/mesh/ctrl/slow_test.go
+++ b/internal/mesh/ctrl/slow_test.go
@@ -14,9 +14,9 @@
 	"github.com/flamingomast/flamingomast/internal/plat/stall"
 )
 
-// TestLargeVersionOnSlowLinks guards against a version that a failure domain cut off from the
-// store never holds, since its transfer takes longer than a link may be silent or an answer
-// may take.
+// TestLargeVersionOnSlowLinks: a failure domain is cut off from the store, and a version is so large
+// and the links are so slow that its transfer takes longer than a link may be silent and a response
+// may take. The daemons must still hold it.
 func TestLargeVersionOnSlowLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, sample.Mesh(6, 3, 1))
@@ -43,6 +43,6 @@
 			next.Routes = append(next.Routes, route)
 		}
 		fl.apply(&next, 1)
-		t.Logf("held after %s", fl.waitHeld(2, time.Minute))
+		t.Logf("held by all after %s", fl.waitHeld(2, time.Minute))
 	})
 }
--- a/internal/mesh/ctrl/tallies_test.go
+++ b/internal/mesh/ctrl/tallies_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestSumInterval guards against counts of large services that fill the links between failure
-// domains, and against counts that have lapsed before the next ones come.
+// TestSumInterval: the counts of large services are sent less often, so that they do not fill the
+// links between failure domains, but often enough that they do not expire before the next ones arrive.
 func TestSumInterval(t *testing.T) {
 	for _, tc := range []struct {
 		servers int
