--- a/internal/mesh/ctrl/crashes.go
+++ b/internal/mesh/ctrl/crashes.go
@@ -24,9 +24,9 @@
 	singleCrashBurst = 200
 )
 
-// ReportEnds informs all daemons of requests that were running when a backend server crashed, or
+// ReportCrashes informs all daemons of requests that were running when a backend server crashed, or
 // that have been answered since.
-func (nd *Node) ReportEnds(list []poison.Report) { nd.handleCrashReports(nil, list) }
+func (nd *Node) ReportCrashes(list []poison.Report) { nd.handleCrashReports(nil, list) }
 
 // handleCrashReports merges reports of a peer, or this daemon's own, and forwards the new ones.
 // Like records, reports reach all daemons through the relays.
@@ -44,7 +44,7 @@
 	forward := nd.reportsToForward(added, before, after)
 	nd.eachPeer(func(pr *link.Peer) {
 		if pr != from {
-			pr.SendEnds(forward)
+			pr.SendCrashReports(forward)
 		}
 	})
 	keys := map[ident.Key]bool{}
@@ -52,7 +52,7 @@
 		keys[re.Key] = true
 	}
 	for key := range keys {
-		nd.handlePoisonChange(key, before.Ends(key), after.Ends(key))
+		nd.handlePoisonChange(key, before.CrashCount(key), after.CrashCount(key))
 	}
 }
 
@@ -63,9 +63,9 @@
 	dropped := 0
 	for _, re := range added {
 		switch {
-		case after.Ends(re.Key) > 1:
-			forward = append(forward, after.Of(re.Key)...)
-		case before.Ends(re.Key) > 1, nd.singleCrashLimiter.Allow():
+		case after.CrashCount(re.Key) > 1:
+			forward = append(forward, after.ReportsOf(re.Key)...)
+		case before.CrashCount(re.Key) > 1, nd.singleCrashLimiter.Allow():
 			forward = append(forward, re)
 		default:
 			dropped++
@@ -82,9 +82,9 @@
 func (nd *Node) handlePoisonChange(key ident.Key, before, after int) {
 	event, level := logs.PoisonFound, slog.LevelWarn
 	switch {
-	case (before < poison.Most) == (after < poison.Most):
+	case (before < poison.RefuseThreshold) == (after < poison.RefuseThreshold):
 		return
-	case after < poison.Most:
+	case after < poison.RefuseThreshold:
 		event, level = logs.PoisonCleared, slog.LevelInfo
 	}
 	nd.log.LogAttrs(context.Background(), level, event, slog.String(logs.Key, key.String()), slog.Int(logs.Ends, after))
--- a/internal/mesh/ctrl/crashes_test.go
+++ b/internal/mesh/ctrl/crashes_test.go
@@ -23,7 +23,7 @@
 func (fl *fleet) reportCrashes(vms ...string) {
 	for _, vm := range vms {
 		tn := fl.nodes[vm]
-		tn.ReportEnds([]poison.Report{{Head: uint64(poisonRequest), Key: poisonRequest, End: poison.End(tn.Board.Self.Get().Nonce), At: time.Now()}})
+		tn.ReportCrashes([]poison.Report{{Head: uint64(poisonRequest), Key: poisonRequest, Crash: poison.CrashID(tn.Board.Self.Get().Nonce), At: time.Now()}})
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -43,7 +43,7 @@
 func (fl *fleet) vmPerDomain(rank int) (list []string) {
 	count := map[string]int{}
 	for _, vm := range fl.ms.VMs {
-		if count[vm.Domain]++; count[vm.Domain] == rank+1 && len(list) < poison.Most {
+		if count[vm.Domain]++; count[vm.Domain] == rank+1 && len(list) < poison.RefuseThreshold {
 			list = append(list, vm.Name)
 		}
 	}
@@ -137,7 +137,7 @@
 				time.Sleep(5 * time.Second)
 				var crashed []string
 				for _, vm := range fl.ms.VMs {
-					if (vm.Domain == isolated) == inside && len(crashed) < poison.Most {
+					if (vm.Domain == isolated) == inside && len(crashed) < poison.RefuseThreshold {
 						crashed = append(crashed, vm.Name)
 					}
 				}
@@ -176,9 +176,9 @@
 				var list []poison.Report
 				for range requests {
 					key++
-					list = append(list, poison.Report{Head: key, Key: ident.Key(key), End: poison.End(key / requests), At: time.Now()})
+					list = append(list, poison.Report{Head: key, Key: ident.Key(key), Crash: poison.CrashID(key / requests), At: time.Now()})
 				}
-				fl.nodes[vm.Name].ReportEnds(list)
+				fl.nodes[vm.Name].ReportCrashes(list)
 			}
 			time.Sleep(interval)
 		}
--- a/internal/mesh/ctrl/epoch.go
+++ b/internal/mesh/ctrl/epoch.go
@@ -37,12 +37,12 @@
 // entries and leases, the daemon of a draining server its drain, and the followers of the store the
 // shared keys.
 func (nd *Node) enterEpoch(ep store.Epoch) {
-	entered, known := nd.Board.EnterEpoch(ep)
+	entered, known := nd.Board.AdvanceEpoch(ep)
 	if !entered {
 		return
 	}
 	nd.eachPeer(func(pr *link.Peer) {
-		pr.Next(func(pk *wirepb.Packet) { pk.Epoch = int64(ep) })
+		pr.UpdateNext(func(pk *wirepb.Packet) { pk.Epoch = int64(ep) })
 	})
 	if !known {
 		nd.log.Info("store-epoch", slog.Int64("epoch", int64(ep)))
@@ -53,7 +53,7 @@
 	}
 	nd.log.Warn("store-epoch", slog.Int64("epoch", int64(ep)))
 	nd.poison.due.Store(true)
-	nd.cf.StoreAnswers()
+	nd.cf.OnNewEpoch()
 	select {
 	case nd.reregister <- struct{}{}:
 	default:
--- a/internal/mesh/ctrl/follow.go
+++ b/internal/mesh/ctrl/follow.go
@@ -62,9 +62,9 @@
 		order := wt.relayOrder()
 		nd.mu.Lock()
 		defer nd.mu.Unlock()
-		return wt.turn.Due(nd.cf.VM, order, &nd.followers, now)
+		return wt.turn.ShouldFollow(nd.cf.VM, order, &nd.followers, now)
 	}
-	wt.turn = follow.Turn{}
+	wt.turn = follow.Candidate{}
 	return !nd.hearsRelay() && !nd.defersToOthers(now.Sub(nd.started))
 }
 
@@ -96,7 +96,7 @@
 		return wt.order
 	}
 	var domains []string
-	for dm := range vw.Domains {
+	for dm := range vw.LiveByDomain {
 		domains = append(domains, dm)
 	}
 	slices.Sort(domains)
@@ -113,11 +113,11 @@
 }
 
 // announceFollow tells the other relays that the store answers this daemon, about every
-// follow.TellEvery, or at once that it no longer does.
+// follow.AnnounceInterval, or at once that it no longer does.
 func (wt *watcher) announceFollow(err error) {
 	nd, now := wt.nd, time.Now()
 	fo := link.Follow{VM: nd.cf.VM, At: now, Lost: err != nil}
-	if !fo.Lost && now.Sub(wt.lastAnnounced) < follow.TellEvery-follow.Wait/2 {
+	if !fo.Lost && now.Sub(wt.lastAnnounced) < follow.AnnounceInterval-follow.WatchTimeout/2 {
 		return
 	}
 	wt.lastAnnounced = now
@@ -153,9 +153,9 @@
 func (nd *Node) recordFollow(fo link.Follow) bool {
 	if fo.Lost {
 		nd.wakeWatcher()
-		return nd.followers.Lost(fo.VM, fo.At)
+		return nd.followers.RecordLoss(fo.VM, fo.At)
 	}
-	return nd.followers.Answered(fo.VM, fo.At)
+	return nd.followers.RecordAnswer(fo.VM, fo.At)
 }
 
 // handleFollow handles a message that a daemon follows the store, or no longer does.
@@ -192,7 +192,7 @@
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	if pr.Relay && !nd.linkedToVM(pr.Record.VM) {
-		nd.followers.Lost(pr.Record.VM, time.Now())
+		nd.followers.RecordLoss(pr.Record.VM, time.Now())
 		nd.wakeWatcher()
 	}
 }
@@ -218,7 +218,7 @@
 // newest version, and tells the peers whose processes were running by then. They may install that
 // version, since no previous process of their VM can have held a newer one.
 func (nd *Node) recordFreshRead(began time.Time, version uint64) {
-	if !nd.cf.Source.Newest || version == 0 || version < nd.Board.LatestVersion() || !nd.storeComplete() {
+	if !nd.cf.Source.Linearizable || version == 0 || version < nd.Board.LatestVersion() || !nd.storeComplete() {
 		return
 	}
 	nd.Board.RaiseFloor(version, true)
@@ -233,12 +233,12 @@
 // sendNewest tells a peer the newest version, once per link, if it was read after the peer's
 // process started; nd.mu is held.
 func (nd *Node) sendNewest(pr *link.Peer) {
-	if pr.Proven || nd.freshRead.version == 0 || pr.Born.IsZero() || mayPrecede(nd.freshRead.at, pr.Born) {
+	if pr.SentNewest || nd.freshRead.version == 0 || pr.RunningSince.IsZero() || mayPrecede(nd.freshRead.at, pr.RunningSince) {
 		return
 	}
-	pr.Proven = true
+	pr.SentNewest = true
 	version := nd.freshRead.version
-	pr.Next(func(pk *wirepb.Packet) { pk.Newest = version })
+	pr.UpdateNext(func(pk *wirepb.Packet) { pk.Newest = version })
 }
 
 // mayPrecede reports whether time a may be before time b. If the process was suspended between
--- a/internal/mesh/ctrl/follow_test.go
+++ b/internal/mesh/ctrl/follow_test.go
@@ -147,7 +147,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				time.Sleep(time.Minute)
-				nd := New(Config{VM: "vm-p", Domain: "d0", Control: "p:1", Source: Source{Newest: true, Read: defaultSource().Read}})
+				nd := New(Config{VM: "vm-p", Domain: "d0", Control: "p:1", Source: Source{Linearizable: true, Read: defaultSource().Read}})
 				defer nd.cancel()
 				nd.recordFreshRead(time.Now().Add(-tc.readAge), 7)
 				sent := make(chan *wirepb.Packet, 9)
@@ -175,7 +175,7 @@
 			})
 		})
 	}
-	nd := New(Config{VM: "vm-x", Domain: "d0", Control: "x:1", Source: Source{Newest: true, Read: defaultSource().Read}})
+	nd := New(Config{VM: "vm-x", Domain: "d0", Control: "x:1", Source: Source{Linearizable: true, Read: defaultSource().Read}})
 	defer nd.cancel()
 	pr := link.New(link.Stream{Abort: func() {}}, nd.offer)
 	nd.handlePacket(pr, &wirepb.Packet{Hello: &wirepb.Hello{Record: (&member.Record{VM: "vm-p", Domain: "d0", Incarnation: 1}).ToWire()}, Newest: 7})
--- a/internal/mesh/ctrl/holds.go
+++ b/internal/mesh/ctrl/holds.go
@@ -18,7 +18,7 @@
 const (
 	// summaryInterval is the shortest time between two summaries.
 	summaryInterval = 200 * time.Millisecond
-	// heardInterval is how often relays tell each other which VMs they hear. expire.After spans
+	// heardInterval is how often relays tell each other which VMs they hear. expire.Timeout spans
 	// three of these intervals.
 	heardInterval = 2 * time.Second
 	// hashInterval is how often relays compare hashes of their records.
@@ -132,7 +132,7 @@
 		if !nd.isUpstream(pr) || len(list) <= 1 && len(domains) == 0 {
 			continue
 		}
-		pr.Next(func(pk *wirepb.Packet) { pk.Heard = list })
+		pr.UpdateNext(func(pk *wirepb.Packet) { pk.Heard = list })
 		for dm := range domains {
 			pr.SendReach(&wirepb.Reach{Domain: dm})
 		}
@@ -205,11 +205,11 @@
 }
 
 func (nd *Node) setCut(domain string, cut bool) {
-	nd.Board.Cut.Update(func(cur *board.CutSet) *board.CutSet {
+	nd.Board.Unreachable.Update(func(cur *board.DomainSet) *board.DomainSet {
 		if cur != nil && (*cur)[domain] == cut || cur == nil && !cut {
 			return cur
 		}
-		next := board.CutSet{}
+		next := board.DomainSet{}
 		if cur != nil {
 			for dm := range *cur {
 				next[dm] = true
@@ -247,7 +247,7 @@
 func (nd *Node) runMaintenance(ctx context.Context, heard <-chan time.Time) {
 	sum := time.NewTicker(summaryInterval)
 	defer sum.Stop()
-	tick := time.NewTicker(expire.Tick)
+	tick := time.NewTicker(expire.CheckInterval)
 	defer tick.Stop()
 	rep := time.NewTicker(hashInterval)
 	defer rep.Stop()
@@ -292,7 +292,7 @@
 	hashes := nd.hashes()
 	nd.eachPeer(func(pr *link.Peer) {
 		if pr.Relay {
-			pr.Next(func(pk *wirepb.Packet) { pk.Hashes = hashes })
+			pr.UpdateNext(func(pk *wirepb.Packet) { pk.Hashes = hashes })
 		}
 	})
 }
@@ -308,13 +308,13 @@
 	}
 	now := time.Now()
 	nd.mu.Lock()
-	nd.expiry.Expect(vms, now)
+	nd.expiry.SetMembers(vms, now)
 	for pr := range nd.peers {
 		if pr.Record.Domain == nd.cf.Domain {
 			nd.expiry.Heard(pr.Record.VM, now)
 		}
 	}
-	due := nd.expiry.Due(now)
+	due := nd.expiry.Check(now)
 	nd.mu.Unlock()
 	var marked []*member.Record
 	mark := func(names []string, mk member.Mark) {
@@ -354,7 +354,7 @@
 			nd.lastReached[dm] = now
 		}
 		cut := now.Sub(nd.lastReached[dm]) > unreachableAfter
-		if cs := nd.Board.Cut.Get(); cut == (cs != nil && (*cs)[dm]) {
+		if cs := nd.Board.Unreachable.Get(); cut == (cs != nil && (*cs)[dm]) {
 			continue
 		}
 		nd.log.Warn("failure-domain-reach", slog.String("failure-domain", dm), slog.Bool("cut", cut))
@@ -376,7 +376,7 @@
 		}
 	}
 	if vw := nd.Board.Members.Get(); vw != nil {
-		for dm, live := range vw.Domains {
+		for dm, live := range vw.LiveByDomain {
 			if len(live) > 0 {
 				set[dm] = true
 			}
--- a/internal/mesh/ctrl/linker.go
+++ b/internal/mesh/ctrl/linker.go
@@ -230,7 +230,7 @@
 		nd.sendHello(pr)
 		if chosen {
 			floor := nd.minVersionFor(pr.Record)
-			pr.Next(func(pk *wirepb.Packet) { pk.Welcome = &wirepb.Welcome{Floor: floor} })
+			pr.UpdateNext(func(pk *wirepb.Packet) { pk.Welcome = &wirepb.Welcome{Floor: floor} })
 		}
 	})
 }
@@ -361,7 +361,7 @@
 			if limit == 0 {
 				break
 			}
-			if !known.Controls[addr] && !lk.failing(addr) {
+			if !known.LiveControls[addr] && !lk.failing(addr) {
 				add(addr)
 				limit--
 			}
@@ -401,9 +401,9 @@
 			}
 		},
 	}, nd.offer)
-	pr.Outgoing, pr.Addr, pr.Sent = true, addr, nd.countSent
+	pr.Outgoing, pr.Addr, pr.OnSent = true, addr, nd.countSent
 	nd.sendHello(pr)
 	err := pr.Run(ctx, nd.handlePacket)
 	nd.removePeer(pr, err)
-	return !pr.Ready || errors.Is(err, link.ErrSilent)
+	return !pr.Ready || errors.Is(err, link.ErrPeerTimeout)
 }
--- a/internal/mesh/ctrl/node.go
+++ b/internal/mesh/ctrl/node.go
@@ -45,7 +45,7 @@
 	Store store.Store
 	// OnNewEpoch, if set, is called when the store is seen in a new epoch, by this daemon or by a
 	// peer. The store is then known to answer again, so that calls need not be held back.
-	StoreAnswers func()
+	OnNewEpoch func()
 	// FirstStart says that the whole mesh starts for the first time.
 	FirstStart bool
 	// Source says where the store keeps the operators' versions; the zero value selects the head
@@ -71,7 +71,7 @@
 	Read func(ctx context.Context, kv store.Store, known *board.Config, value []byte) (uint64, *pack.Content, error)
 	// Linearizable says that a read returns every version ever accepted, unless the store was
 	// restored from an older copy. Such a read determines the version floor of a new process.
-	Newest bool
+	Linearizable bool
 	// Restore rewrites a version that the store has lost; nil if the writer of versions does this
 	// itself. Several daemons may call it concurrently and repeatedly.
 	Restore func(ctx context.Context, kv store.Store, cfg *board.Config) error
@@ -93,7 +93,7 @@
 			}
 			base = known.Content
 		}
-		co, err := accept.Step(ctx, kv, base, hd.Last)
+		co, err := accept.ContentFrom(ctx, kv, base, hd.Last)
 		return hd.Last.Version, co, err
 	}
 	restore := func(ctx context.Context, kv store.Store, cfg *board.Config) error {
@@ -135,8 +135,8 @@
 	lastReached  map[string]time.Time
 	// leaving has, for each VM, the last lifetime of its backend server that announced its
 	// departure.
-	leaving map[string]member.Leaver
-	expiry  *expire.Watch
+	leaving map[string]member.Departure
+	expiry  *expire.Detector
 	// heardIndirectly has the VMs that are heard through daemons which are not relays.
 	heardIndirectly map[string]time.Time
 	// incarnationRaises counts how often the incarnation was raised above that of a previous
@@ -145,7 +145,7 @@
 	// followers are the daemons that follow the store. startRole is derived from the first
 	// directory look-up of this process, observed is what the store last showed, and freshRead the
 	// last read that confirmed the newest version.
-	followers follow.Heard
+	followers follow.Followers
 	startRole startRole
 	observed  storeObservation
 	freshRead freshRead
@@ -214,7 +214,7 @@
 		heldVersions:       map[string]heldVersion{},
 		summaries:          map[string]*wirepb.Summary{},
 		lastReached:        map[string]time.Time{},
-		leaving:            map[string]member.Leaver{},
+		leaving:            map[string]member.Departure{},
 		expiry:             expire.New(),
 		heardIndirectly:    map[string]time.Time{},
 		started:            time.Now(),
@@ -234,8 +234,8 @@
 	if nd.cf.Counts == nil {
 		nd.cf.Counts = func() Counts { return Counts{} }
 	}
-	if nd.cf.StoreAnswers == nil {
-		nd.cf.StoreAnswers = func() {}
+	if nd.cf.OnNewEpoch == nil {
+		nd.cf.OnNewEpoch = func() {}
 	}
 	nd.cf.Store = nd.watchEpochs(cf.Store)
 	nd.ctx, nd.cancel = context.WithCancel(context.Background())
--- a/internal/mesh/ctrl/poison.go
+++ b/internal/mesh/ctrl/poison.go
@@ -77,8 +77,8 @@
 		}
 		ps.nd.handleCrashReports(nil, list)
 		ps.due.Store(false)
-		refused := ps.nd.Board.Poison.Get().Refused()
-		if poison.Same(refused, list) {
+		refused := ps.nd.Board.Poison.Get().RefusedReports()
+		if poison.SameReports(refused, list) {
 			return nil
 		}
 		ok := false
--- a/internal/mesh/ctrl/rollout.go
+++ b/internal/mesh/ctrl/rollout.go
@@ -171,7 +171,7 @@
 // new revision in a later epoch.
 func (ro *rolloutController) handleOrder(ctx context.Context, or canary.Order) {
 	nd := ro.nd
-	cur := nd.Board.Rollouts.Get().Of(or.Service)
+	cur := nd.Board.Rollouts.Get().Get(or.Service)
 	switch {
 	case cur != nil && cur.Order.Revision == or.Revision && !or.Abort:
 		return
@@ -181,7 +181,7 @@
 		nd.mergeRollout(nil, &next)
 		return
 	}
-	next := &canary.Rollout{Order: or, State: canary.InProgress, Began: time.Now(), Baseline: nd.baseline(or, cur)}
+	next := &canary.Rollout{Order: or, State: canary.InProgress, StartedAt: time.Now(), Baseline: nd.baseline(or, cur)}
 	if or.Abort {
 		next.State = canary.RolledBack
 	}
@@ -222,7 +222,7 @@
 		next.State, next.Stored = canary.RolledBack, false
 		return true, nil
 	}
-	next.Began = time.Now().Add(-age)
+	next.StartedAt = time.Now().Add(-age)
 	return true, nil
 }
 
@@ -273,8 +273,8 @@
 // decide makes the next decision on a rollout in progress.
 func (ro *rolloutController) decide(ev *evaluation, cur *canary.Rollout) *canary.Rollout {
 	nd, now := ro.nd, time.Now()
-	elapsed := now.Sub(cur.Began)
-	ev.judge.Look(elapsed, nd.tallySums(cur.Order.Service, now))
+	elapsed := now.Sub(cur.StartedAt)
+	ev.judge.Observe(elapsed, nd.tallySums(cur.Order.Service, now))
 	de := ev.ramp.Step(elapsed, ev.judge)
 	if ev.passed {
 		de.State, de.Share = canary.Complete, 1
@@ -284,12 +284,12 @@
 	if de.State == canary.RolledBack {
 		next.State, next.Share, next.Stored = canary.RolledBack, 0, false
 		nd.log.Warn("rollout-decided", slog.String(logs.Service, cur.Order.Service), slog.String("target", cur.Order.Target),
-			slog.String("state", next.State.String()), slog.Float64("evidence", de.Against), slog.String("measure", de.Cause.Measure), slog.String("route", de.Cause.Route), slog.Duration("window", de.Cause.Window),
+			slog.String("state", next.State.String()), slog.Float64("evidence", de.Evidence), slog.String("measure", de.Cause.Measure), slog.String("route", de.Cause.Route), slog.Duration("window", de.Cause.Window),
 			slog.Uint64("requests", de.Requests), slog.Duration("after", elapsed))
 		nd.mergeRollout(nil, &next)
 		return &next
 	}
-	next.Share, next.Servers, next.Until = de.Share, de.Servers, now.Add(canary.TTL)
+	next.Share, next.Servers, next.ValidUntil = de.Share, de.Servers, now.Add(canary.TTL)
 	if de.State == canary.Complete {
 		// Operators stop the baseline servers once the store shows this state; until then they may
 		// still receive requests.
@@ -340,7 +340,7 @@
 func (ro *rolloutController) storeState(ctx context.Context, next *canary.Rollout) error {
 	kv, src, or := ro.nd.cf.Store, &ro.nd.cf.Source.Rollouts, &next.Order
 	if next.State == canary.InProgress {
-		value := strconv.AppendInt(nil, next.Began.UnixMilli(), 10)
+		value := strconv.AppendInt(nil, next.StartedAt.UnixMilli(), 10)
 		if err := put(ctx, kv, beganPrefix+or.Service, value); err != nil {
 			return err
 		}
--- a/internal/mesh/ctrl/rollout_test.go
+++ b/internal/mesh/ctrl/rollout_test.go
@@ -69,7 +69,7 @@
 	if co == nil {
 		return Counts{}
 	}
-	return Counts{Service: rf.service, Software: software(vm), Cohort: tally.Cohort{Servers: 1, Routes: co.Rows()}}
+	return Counts{Service: rf.service, Software: software(vm), Cohort: tally.Cohort{Servers: 1, Routes: co.Snapshot()}}
 }
 
 // sendRequests simulates the requests that all outlets send during the given time.
@@ -83,7 +83,7 @@
 	slices.Sort(byVersion["v2"])
 	perNode := requestRate * span.Seconds() / float64(len(rf.fl.nodes))
 	for _, tn := range rf.fl.nodes {
-		ro := tn.Board.Rollouts.Get().Of(rf.service)
+		ro := tn.Board.Rollouts.Get().Get(rf.service)
 		share, state, servers := 0.0, canary.State(0), 0
 		if ro != nil {
 			share, state, servers = ro.ShareAt(now), ro.State, ro.Servers
@@ -307,7 +307,7 @@
 		t.Errorf("state in the store is %s after the final state %s", final, st)
 	}
 	for name, tn := range rf.fl.nodes {
-		ro := tn.Board.Rollouts.Get().Of(rf.service)
+		ro := tn.Board.Rollouts.Get().Get(rf.service)
 		if ro == nil || ro.State != rf.storedState() {
 			t.Errorf("%s has the rollout %+v, the store has %s", name, ro, rf.storedState())
 		}
--- a/internal/mesh/ctrl/watcher.go
+++ b/internal/mesh/ctrl/watcher.go
@@ -29,15 +29,15 @@
 	turnPollFast = 50 * time.Millisecond
 	turnPollSlow = 500 * time.Millisecond
 	// relaySilence is how long a daemon may hear no relay before it follows the store itself: one
-	// and a half times link.Beat, so that a version accepted while all its relays are frozen is
+	// and a half times link.HeartbeatInterval, so that a version accepted while all its relays are frozen is
 	// still in force within two seconds.
-	relaySilence = link.Beat + link.Beat/2
+	relaySilence = link.HeartbeatInterval + link.HeartbeatInterval/2
 )
 
 // watcher follows the platform's store for the mesh while it is this daemon's turn.
 type watcher struct {
 	nd       *Node
-	turn     follow.Turn
+	turn     follow.Candidate
 	failures int
 	// lastAnnounced is when the other relays were last told that this daemon follows the store.
 	lastAnnounced time.Time
@@ -101,7 +101,7 @@
 func (wt *watcher) turnPollInterval(isRelay bool) time.Duration {
 	nd := wt.nd
 	switch {
-	case isRelay && wt.turn.Vacant(), !isRelay && time.Since(nd.started) < startRelayWait:
+	case isRelay && wt.turn.HasVacancy(), !isRelay && time.Since(nd.started) < startRelayWait:
 		return turnPollFast
 	case isRelay:
 		return turnPollSlow
@@ -112,7 +112,7 @@
 // maxRetry returns the upper bound of the wait after failed calls. The regular followers use the
 // shorter one, so that they soon notice when the store answers again, and tell the others.
 func (wt *watcher) maxRetry(isRelay bool) time.Duration {
-	if isRelay && follow.Position(wt.nd.cf.VM, wt.relayOrder()) >= follow.Enough {
+	if isRelay && follow.Position(wt.nd.cf.VM, wt.relayOrder()) >= follow.FollowerCount {
 		return maxStandbyRetry
 	}
 	return maxRetry
@@ -126,7 +126,7 @@
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	for pr := range nd.peers {
-		if at := pr.Heard(); pr.Relay && at.After(last) {
+		if at := pr.LastHeard(); pr.Relay && at.After(last) {
 			last = at
 		}
 	}
@@ -139,7 +139,7 @@
 	src := &nd.cf.Source
 	last, version := nd.lastObserved()
 	began := time.Now()
-	ent, err := nd.cf.Store.Watch(ctx, src.Key, last, follow.Wait)
+	ent, err := nd.cf.Store.Watch(ctx, src.Key, last, follow.WatchTimeout)
 	if err != nil {
 		return err
 	}
@@ -225,7 +225,7 @@
 		case <-newer:
 		case <-raised:
 		case <-time.After(compilerCacheTTL):
-			nd.compiler.Forget()
+			nd.compiler.Reset()
 			select {
 			case <-ctx.Done():
 				return
@@ -272,9 +272,9 @@
 func (nd *Node) pruneMembers(vw *member.View) *member.View {
 	sn := nd.Board.Held.Get()
 	if len(sn.VMs) == 0 {
-		return vw.WithoutOldest(maxDeadRecords)
+		return vw.LimitDead(maxDeadRecords)
 	}
-	return vw.Without(func(vm string) bool {
+	return vw.WithoutDead(func(vm string) bool {
 		_, declared := sn.VMs[vm]
 		return !declared
 	})
