--- a/internal/node/admin/admin.go
+++ b/internal/node/admin/admin.go
@@ -126,7 +126,7 @@
 	rt := httprouter.New()
 	rt.POST("/announce", hs.announce)
 	rt.DELETE("/announce", hs.withdraw)
-	rt.GET("/healthz", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) { hs.text(w, "ok") })
+	rt.GET("/healthz", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) { hs.writeText(w, "ok") })
 	rt.GET("/readyz", hs.ready)
 	rt.GET("/status", hs.status)
 	rt.POST("/drain/:vm", hs.drain)
@@ -136,23 +136,23 @@
 	return rt
 }
 
-// maxAnnouncement bounds the body of an announcement in bytes.
-const maxAnnouncement = 4 << 10
+// maxAnnouncementBytes bounds the body of an announcement in bytes.
+const maxAnnouncementBytes = 4 << 10
 
 func (hs *Handlers) announce(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var an Announcement
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncement))
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes))
 	dec.DisallowUnknownFields()
 	err := dec.Decode(&an)
 	if err == nil {
 		err = an.Check()
 	}
 	if err != nil {
-		hs.fail(w, http.StatusBadRequest, err)
+		hs.writeError(w, http.StatusBadRequest, err)
 		return
 	}
 	if err := hs.Announce(r.Context(), an); err != nil {
-		hs.fail(w, http.StatusConflict, err)
+		hs.writeError(w, http.StatusConflict, err)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
@@ -165,37 +165,37 @@
 
 func (hs *Handlers) ready(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	if err := hs.Ready(); err != nil {
-		hs.fail(w, http.StatusServiceUnavailable, err)
+		hs.writeError(w, http.StatusServiceUnavailable, err)
 		return
 	}
-	hs.text(w, "ready")
+	hs.writeText(w, "ready")
 }
 
 func (hs *Handlers) status(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	hs.reply(w, hs.Status(r.Context()))
+	hs.writeJSON(w, hs.Status(r.Context()))
 }
 
 func (hs *Handlers) drain(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
 	running, err := hs.Drain(r.Context(), ps.ByName("vm"))
 	if err != nil {
-		hs.fail(w, http.StatusBadGateway, err)
+		hs.writeError(w, http.StatusBadGateway, err)
 		return
 	}
-	hs.reply(w, Drained{VM: ps.ByName("vm"), Running: running})
+	hs.writeJSON(w, DrainResult{VM: ps.ByName("vm"), Running: running})
 }
 
 func (hs *Handlers) sample(w http.ResponseWriter, _ *http.Request, ps httprouter.Params) {
 	share, err := strconv.ParseFloat(ps.ByName("share"), 64)
 	if err != nil || !(share >= 0 && share <= 1) {
-		hs.fail(w, http.StatusBadRequest, fmt.Errorf("the share is %q; set it to a number from 0 to 1", ps.ByName("share")))
+		hs.writeError(w, http.StatusBadRequest, fmt.Errorf("the share is %q; set it to a number from 0 to 1", ps.ByName("share")))
 		return
 	}
 	hs.Sample(share)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Drained answers an order to drain.
-type Drained struct {
+// DrainResult answers an order to drain.
+type DrainResult struct {
 	VM      string `json:"vm"`
 	Running int    `json:"running"`
 }
@@ -210,22 +210,22 @@
 func (hs *Handlers) metrics(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 	if err := expo.Write(w, hs.Vars); err != nil {
-		hs.fail(w, http.StatusInternalServerError, err)
+		hs.writeError(w, http.StatusInternalServerError, err)
 	}
 }
 
-func (hs *Handlers) reply(w http.ResponseWriter, v any) {
+func (hs *Handlers) writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	hs.sent(json.NewEncoder(w).Encode(v))
+	hs.reportWrite(json.NewEncoder(w).Encode(v))
 }
 
-func (hs *Handlers) text(w http.ResponseWriter, line string) {
+func (hs *Handlers) writeText(w http.ResponseWriter, line string) {
 	_, err := fmt.Fprintln(w, line)
-	hs.sent(err)
+	hs.reportWrite(err)
 }
 
-// sent notes how sending an answer ended.
-func (hs *Handlers) sent(err error) {
+// reportWrite notes how sending an answer ended.
+func (hs *Handlers) reportWrite(err error) {
 	if err != nil && hs.Unsent != nil {
 		hs.Unsent(err)
 	}
@@ -236,8 +236,8 @@
 	Error string `json:"error"`
 }
 
-func (hs *Handlers) fail(w http.ResponseWriter, status int, err error) {
+func (hs *Handlers) writeError(w http.ResponseWriter, status int, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	hs.sent(json.NewEncoder(w).Encode(Failure{Error: err.Error()}))
+	hs.reportWrite(json.NewEncoder(w).Encode(Failure{Error: err.Error()}))
 }
--- a/internal/node/admin/admin_test.go
+++ b/internal/node/admin/admin_test.go
@@ -65,7 +65,7 @@
 	}
 	var got []string
 	for _, al := range st.Alarms() {
-		got = append(got, al.What)
+		got = append(got, al.Problem)
 	}
 	want := []string{
 		"the platform shows version 4, the fleet knows version 9: the platform was set back",
@@ -79,12 +79,12 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
-	if well := (&Status{Domains: st.Domains[:1]}).Alarms(); well != nil {
-		t.Errorf("alarms of a fleet that is well: %v", well)
+	if alarms := (&Status{Domains: st.Domains[:1]}).Alarms(); alarms != nil {
+		t.Errorf("alarms of a fleet that is well: %v", alarms)
 	}
 }
 
-func TestLacking(t *testing.T) {
+func TestMissing(t *testing.T) {
 	st := Status{Domains: []DomainStatus{
 		{Name: "a", Members: 2, Lowest: 5, Highest: 5},
 		{Name: "b", Members: 2, Lowest: 4, Highest: 5, Behind: []string{"b1"}},
@@ -93,7 +93,7 @@
 		{Name: "e", Unknown: true},
 		{Name: "f"},
 	}}
-	if diff := cmp.Diff([]string{"VM b1", "failure domain c", "failure domain d (cut off)"}, st.Lacking(5)); diff != "" {
+	if diff := cmp.Diff([]string{"VM b1", "failure domain c", "failure domain d (cut off)"}, st.Missing(5)); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 }
--- a/internal/node/admin/alarm.go
+++ b/internal/node/admin/alarm.go
@@ -7,16 +7,16 @@
 
 // Alarm is something in a status that an operator should look at.
 type Alarm struct {
-	What string `json:"what"`
-	Do   string `json:"do"`
+	Problem string `json:"what"`
+	Action  string `json:"do"`
 }
 
 // Alarms returns what is wrong in a status and what to do about it, the
 // gravest first. Drains and versions on their way are no alarms.
 func (st *Status) Alarms() []Alarm {
 	var list []Alarm
-	add := func(do, format string, args ...any) {
-		list = append(list, Alarm{What: fmt.Sprintf(format, args...), Do: do})
+	add := func(action, format string, args ...any) {
+		list = append(list, Alarm{Problem: fmt.Sprintf(format, args...), Action: action})
 	}
 	if st.PlatformBehind {
 		add("check the declarations, then apply them with --resume",
--- a/internal/node/admin/status.go
+++ b/internal/node/admin/status.go
@@ -89,9 +89,9 @@
 	return st
 }
 
-// Lacking returns the failure domains and VMs that are not known to hold
+// Missing returns the failure domains and VMs that are not known to hold
 // version. A failure domain without any living member lacks nothing.
-func (st *Status) Lacking(version uint64) []string {
+func (st *Status) Missing(version uint64) []string {
 	var list []string
 	for _, ds := range st.Domains {
 		switch {
--- a/internal/node/cmds/account.go
+++ b/internal/node/cmds/account.go
@@ -17,7 +17,7 @@
 )
 
 func (ap *app) accountCmd() *ffcli.Command {
-	fs := ap.flags("account")
+	fs := ap.newFlagSet("account")
 	ap.jsonFlag(fs)
 	return &ffcli.Command{
 		Name: "account", ShortUsage: "flamingomast account LOG...", FlagSet: fs, Options: envOption(),
@@ -44,10 +44,10 @@
 }
 
 // readFile hands a file that the command verb was given to read.
-func readFile(verb, name string, read func(io.Reader) error) error {
+func readFile(command, name string, read func(io.Reader) error) error {
 	file, err := os.Open(name)
 	if err != nil {
-		return usageError("flamingomast " + verb + ": " + err.Error())
+		return usageError("flamingomast " + command + ": " + err.Error())
 	}
 	// It was only read.
 	defer file.Close()
@@ -59,7 +59,7 @@
 	fmt.Fprintln(tw, "route\tservice\tin time\tlate\trefused\tfailed\tcame back\tsent again\tbeside free\tbefore\twait\theld\ttook\t")
 	for _, rt := range ac.Routes {
 		fmt.Fprintf(tw, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t\n", rt.Name, rt.Service, rt.InTime, rt.Late, rt.Refused, rt.Failed,
-			rt.Back, rt.Again, rt.BesideFree, middleAndNinth(rt.Before), middleAndNinth(rt.Wait), middleAndNinth(rt.Held), middleAndNinth(rt.Took))
+			rt.Back, rt.Again, rt.BesideFree, formatQuantiles(rt.Before), formatQuantiles(rt.Wait), formatQuantiles(rt.Held), formatQuantiles(rt.Took))
 	}
 	fmt.Fprintln(tw)
 	fmt.Fprintln(tw, "from\tin time\tlate\trefused\tfailed\t")
@@ -71,10 +71,10 @@
 	}
 	for _, rt := range ac.Routes {
 		if len(rt.Reasons) > 0 {
-			fmt.Fprintf(ap.out, "\n%s was not answered: %s\n", rt.Name, counts(rt.Reasons))
+			fmt.Fprintf(ap.out, "\n%s was not answered: %s\n", rt.Name, formatCounts(rt.Reasons))
 		}
 		if len(rt.ByCall) > 0 {
-			fmt.Fprintf(ap.out, "%s failed after a call that was not answered: %s\n", rt.Name, counts(rt.ByCall))
+			fmt.Fprintf(ap.out, "%s failed after a call that was not answered: %s\n", rt.Name, formatCounts(rt.ByCall))
 		}
 		if rt.NotReached > 0 {
 			fmt.Fprintf(ap.out, "%s failed %d times though no backend server got the request\n", rt.Name, rt.NotReached)
@@ -84,7 +84,7 @@
 	if ac.LeftOut > 0 {
 		fmt.Fprintf(ap.out, "\nthe daemons left out %d lines, so all counts are lower limits\n", ac.LeftOut)
 	}
-	ap.printPassed(ac.Passed)
+	ap.printSkipped(ac.Passed)
 	return nil
 }
 
@@ -101,17 +101,17 @@
 		by   map[string]int64
 	}{{"calls to the platform", fl.Calls}, {"bytes read there", fl.Read}, {"bytes of links", fl.Links}} {
 		if len(row.by) > 0 {
-			fmt.Fprintf(ap.out, "%s: %s\n", row.name, counts(row.by))
+			fmt.Fprintf(ap.out, "%s: %s\n", row.name, formatCounts(row.by))
 		}
 	}
 }
 
-// middleAndNinth gives the middle and the nine-in-ten value in milliseconds.
-func middleAndNinth(ti acct.Times) string {
+// formatQuantiles gives the middle and the nine-in-ten value in milliseconds.
+func formatQuantiles(ti acct.Times) string {
 	return fmt.Sprintf("%d/%d ms", ti.Middle.Round(time.Millisecond).Milliseconds(), ti.Ninth.Round(time.Millisecond).Milliseconds())
 }
 
-func counts[N int | int64](by map[string]N) string {
+func formatCounts[N int | int64](by map[string]N) string {
 	var parts []string
 	for _, name := range slices.Sorted(maps.Keys(by)) {
 		parts = append(parts, fmt.Sprintf("%s %d", name, by[name]))
--- a/internal/node/cmds/change.go
+++ b/internal/node/cmds/change.go
@@ -31,8 +31,8 @@
 	for _, rs := range dt.Set {
 		ch := change{Change: "add", Resource: rs.Key.String()}
 		if old != nil {
-			if was := old.Get(rs.Key); was != nil {
-				ch.Change, ch.Fields = "change", fields(was, rs.Body)
+			if oldBody := old.Get(rs.Key); oldBody != nil {
+				ch.Change, ch.Fields = "change", diffFields(oldBody, rs.Body)
 			}
 		}
 		list = append(list, ch)
@@ -43,9 +43,9 @@
 	return list
 }
 
-// fields compares two encodings of a resource, field by field. Bodies come from
+// diffFields compares two encodings of a resource, field by field. Bodies come from
 // checked contents; one that is no object has no fields to compare.
-func fields(old, next []byte) []field {
+func diffFields(old, next []byte) []field {
 	var a, b map[string]json.RawMessage
 	if json.Unmarshal(old, &a) != nil || json.Unmarshal(next, &b) != nil {
 		return nil
--- a/internal/node/cmds/cmds.go
+++ b/internal/node/cmds/cmds.go
@@ -43,9 +43,9 @@
 // whole process may take with its program text.
 const memoryLimit = 22 << 20
 
-// memoryPart is the part of a larger allowance that the runtime may take. Below
+// memoryFraction is the part of a larger allowance that the runtime may take. Below
 // what the load needs the collector runs all the time.
-const memoryPart = 0.7
+const memoryFraction = 0.7
 
 // app holds what the commands share.
 type app struct {
@@ -80,11 +80,11 @@
 		fmt.Fprintln(errOut, "flamingomast:", err)
 		return ExitUsage
 	}
-	return ap.code(root.Run(ctx))
+	return ap.exitCode(root.Run(ctx))
 }
 
-// code prints an error and returns its exit code.
-func (ap *app) code(err error) int {
+// exitCode prints an error and returns its exit code.
+func (ap *app) exitCode(err error) int {
 	if err == nil {
 		return ExitOK
 	}
@@ -144,8 +144,8 @@
 	}
 }
 
-// flags returns a flag set whose flags can also be given by environment.
-func (ap *app) flags(name string) *flag.FlagSet {
+// addFlags returns a flag set whose flags can also be given by environment.
+func (ap *app) newFlagSet(name string) *flag.FlagSet {
 	fs := flag.NewFlagSet("flamingomast "+name, flag.ContinueOnError)
 	fs.SetOutput(ap.err)
 	return fs
@@ -154,7 +154,7 @@
 func envOption() []ff.Option { return []ff.Option{ff.WithEnvVarPrefix(setup.EnvPrefix)} }
 
 func (ap *app) daemonCmd() *ffcli.Command {
-	fs := ap.flags("daemon")
+	fs := ap.newFlagSet("daemon")
 	rd := setup.New(fs)
 	return &ffcli.Command{
 		Name: "daemon", ShortUsage: "flamingomast daemon [--config FILE] [--SETTING VALUE ...]", FlagSet: fs, Options: rd.Options(),
@@ -171,21 +171,21 @@
 			}
 			// The profile of allocations costs memory, and nothing reads it.
 			runtime.MemProfileRate = 0
-			debug.SetMemoryLimit(max(memoryLimit, int64(memoryPart*float64(se.Memory))))
+			debug.SetMemoryLimit(max(memoryLimit, int64(memoryFraction*float64(se.Memory))))
 			var level slog.LevelVar
 			level.Set(se.LogLevel)
 			wr := logs.NewWriter(ap.out)
-			life, end := context.WithCancel(context.WithoutCancel(ctx))
+			bgCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 			var wg conc.WaitGroup
-			wg.Go(func() { wr.Run(life) })
-			wg.Go(func() { heap.Run(life) })
+			wg.Go(func() { wr.Run(bgCtx) })
+			wg.Go(func() { heap.Run(bgCtx) })
 			defer wg.Wait()
-			defer end()
+			defer cancel()
 			log := slog.New(logs.NewHandler(slog.NewJSONHandler(wr, &slog.HandlerOptions{Level: &level})))
 			// What libraries log by themselves becomes JSON lines too.
 			slog.SetDefault(log)
 			dm := daemon.New(se, daemon.Options{Log: log, Adapter: ad})
-			wg.Go(func() { ap.reload(life, dm, fs, &level, log) })
+			wg.Go(func() { ap.watchSettings(bgCtx, dm, fs, &level, log) })
 			return dm.Run(ctx)
 		},
 	}
--- a/internal/node/cmds/declare.go
+++ b/internal/node/cmds/declare.go
@@ -44,7 +44,7 @@
 // printJSON prints v as one line of JSON.
 func (ap *app) printJSON(v any) error { return json.NewEncoder(ap.out).Encode(v) }
 
-func oneDir(args []string) (string, error) {
+func dirArg(args []string) (string, error) {
 	if len(args) != 1 {
 		return "", usageError("name one directory that holds the declarations")
 	}
@@ -52,7 +52,7 @@
 }
 
 func readDir(args []string) (*decl.Mesh, *pack.Content, error) {
-	dir, err := oneDir(args)
+	dir, err := dirArg(args)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -65,8 +65,8 @@
 }
 
 func (ap *app) checkCmd() *ffcli.Command {
-	fs := ap.flags("check")
-	canon := fs.Bool("print", false, "print the declarations in their canonical form")
+	fs := ap.newFlagSet("check")
+	canonical := fs.Bool("print", false, "print the declarations in their canonical form")
 	return &ffcli.Command{
 		Name: "check", ShortUsage: "flamingomast check [--print] DIR", FlagSet: fs, Options: envOption(),
 		ShortHelp: "Check declarations and list all that is wrong with them.",
@@ -75,7 +75,7 @@
 			if err != nil {
 				return err
 			}
-			if *canon {
+			if *canonical {
 				text, err := decl.Print(ms)
 				if err != nil {
 					return err
@@ -90,7 +90,7 @@
 }
 
 func (ap *app) planCmd() *ffcli.Command {
-	fs := ap.flags("plan")
+	fs := ap.newFlagSet("plan")
 	ap.platformFlag(fs)
 	ap.jsonFlag(fs)
 	return &ffcli.Command{
@@ -140,20 +140,20 @@
 // applyOptions are the flags of apply.
 type applyOptions struct {
 	base, author, commit, submission string
-	wait, give                       time.Duration
+	wait, timeout                    time.Duration
 	resume                           bool
 }
 
-// flags declares what apply and revert have in common.
-func (op *applyOptions) flags(fs *flag.FlagSet) {
+// addFlags declares what apply and revert have in common.
+func (op *applyOptions) addFlags(fs *flag.FlagSet) {
 	fs.StringVar(&op.author, "author", os.Getenv("USER"), "who makes the version")
 	fs.StringVar(&op.submission, "submission", "", "id of the submission; give the same one to repeat it (drawn if empty)")
 	fs.DurationVar(&op.wait, "wait", 0, "wait until the version is in force everywhere, and name the VMs that lack it after this time (needs --daemon)")
-	fs.DurationVar(&op.give, "timeout", 30*time.Second, "how long to try while the platform does not answer")
+	fs.DurationVar(&op.timeout, "timeout", 30*time.Second, "how long to try while the platform does not answer")
 }
 
-// id returns the submission's id, a drawn one if none was given.
-func (op *applyOptions) id() string {
+// submissionID returns the submission's id, a drawn one if none was given.
+func (op *applyOptions) submissionID() string {
 	if op.submission == "" {
 		op.submission = strings.ToLower(rand.Text())
 	}
@@ -162,12 +162,12 @@
 
 func (ap *app) applyCmd() *ffcli.Command {
 	var op applyOptions
-	fs := ap.flags("apply")
+	fs := ap.newFlagSet("apply")
 	ap.platformFlag(fs)
 	ap.daemonFlag(fs)
 	ap.jsonFlag(fs)
 	fs.StringVar(&op.base, "base", "", "version that the declarations were made from: its number, or the commit it was applied with")
-	op.flags(fs)
+	op.addFlags(fs)
 	fs.StringVar(&op.commit, "commit", "", "commit of the declarations in version control")
 	fs.BoolVar(&op.resume, "resume", false, "go on above the highest version that the fleet holds after the platform was set back (needs --daemon)")
 	return &ffcli.Command{
@@ -193,9 +193,9 @@
 		return usageError("--wait and --resume need --daemon, to ask what the fleet holds")
 	}
 	sub := accept.Submission{
-		ID: op.id(), Content: co, Author: op.author, Commit: op.commit, Resume: op.resume,
+		ID: op.submissionID(), Content: co, Author: op.author, Commit: op.commit, Resume: op.resume,
 	}
-	tctx, cancel := context.WithTimeout(ctx, op.give)
+	tctx, cancel := context.WithTimeout(ctx, op.timeout)
 	defer cancel()
 	if sub.Base, err = resolveBase(tctx, kv, op.base); err != nil {
 		return err
@@ -219,7 +219,7 @@
 		}
 		sub.Floor = st.Latest
 	}
-	began := time.Now()
+	start := time.Now()
 	res, err := accept.Submit(tctx, kv, sub)
 	if err != nil {
 		return err
@@ -238,7 +238,7 @@
 			Rebased bool         `json:"rebased"`
 			Entry   accept.Entry `json:"version"`
 			TookMs  int64        `json:"took-ms"`
-		}{res.Status.String(), res.Rebased, res.Entry, time.Since(began).Milliseconds()})
+		}{res.Status.String(), res.Rebased, res.Entry, time.Since(start).Milliseconds()})
 	}
 	return nil
 }
@@ -247,7 +247,7 @@
 // default once a version is in force: taking the newest for it would let an
 // operator with an old checkout undo the changes of others unawares.
 func resolveBase(ctx context.Context, kv store.Store, base string) (uint64, error) {
-	hd, err := loadHeadPatiently(ctx, kv)
+	hd, err := loadHeadWithRetry(ctx, kv)
 	if err != nil {
 		return 0, fmt.Errorf("not accepted: %w", err)
 	}
@@ -260,21 +260,21 @@
 	if n, err := strconv.ParseUint(base, 10, 64); err == nil {
 		return n, nil
 	}
-	entries, err := entries(ctx, kv, hd, searchBack)
+	entries, err := entries(ctx, kv, hd, commitSearchDepth)
 	if err != nil {
 		return 0, err
 	}
 	i := slices.IndexFunc(entries, func(en accept.Entry) bool { return en.Commit == base })
 	if i < 0 {
-		return 0, usageError(fmt.Sprintf("--base %q is neither a version nor the commit of one of the last %d", base, searchBack))
+		return 0, usageError(fmt.Sprintf("--base %q is neither a version nor the commit of one of the last %d", base, commitSearchDepth))
 	}
 	return entries[i].Version, nil
 }
 
-// searchBack is how many versions are searched for a commit.
-const searchBack = 100
+// commitSearchDepth is how many versions are searched for a commit.
+const commitSearchDepth = 100
 
-func loadHeadPatiently(ctx context.Context, kv store.Store) (*accept.Head, error) {
+func loadHeadWithRetry(ctx context.Context, kv store.Store) (*accept.Head, error) {
 	for {
 		hd, _, err := accept.Load(ctx, kv)
 		var se *store.Error
@@ -290,11 +290,11 @@
 }
 
 // entries returns up to most versions, the newest first.
-func entries(ctx context.Context, kv store.Store, hd *accept.Head, most int) ([]accept.Entry, error) {
+func entries(ctx context.Context, kv store.Store, hd *accept.Head, limit int) ([]accept.Entry, error) {
 	var list []accept.Entry
 	for en := hd.Last; en.Version > 0; {
 		list = append(list, en)
-		if len(list) == most || en.Parent == 0 {
+		if len(list) == limit || en.Parent == 0 {
 			break
 		}
 		parent, err := accept.Find(ctx, kv, hd, en.Parent)
@@ -311,10 +311,10 @@
 }
 
 func (ap *app) historyCmd() *ffcli.Command {
-	fs := ap.flags("history")
+	fs := ap.newFlagSet("history")
 	ap.platformFlag(fs)
 	ap.jsonFlag(fs)
-	most := fs.Int("most", 20, "how many versions to list")
+	limit := fs.Int("most", 20, "how many versions to list")
 	return &ffcli.Command{
 		Name: "history", ShortUsage: "flamingomast history --platform ADDR", FlagSet: fs, Options: envOption(),
 		ShortHelp: "List the accepted versions, the newest first.",
@@ -327,7 +327,7 @@
 			if err != nil {
 				return err
 			}
-			list, err := entries(ctx, kv, hd, *most)
+			list, err := entries(ctx, kv, hd, *limit)
 			if err != nil {
 				return err
 			}
@@ -346,7 +346,7 @@
 }
 
 func (ap *app) showCmd() *ffcli.Command {
-	fs := ap.flags("show")
+	fs := ap.newFlagSet("show")
 	ap.platformFlag(fs)
 	return &ffcli.Command{
 		Name: "show", ShortUsage: "flamingomast show --platform ADDR VERSION", FlagSet: fs, Options: envOption(),
--- a/internal/node/cmds/dev.go
+++ b/internal/node/cmds/dev.go
@@ -26,7 +26,7 @@
 const defaultExample = "examples/vale-sul"
 
 func (ap *app) devCmd() *ffcli.Command {
-	fs := ap.flags("dev")
+	fs := ap.newFlagSet("dev")
 	dur := fs.Duration("for", 10*time.Second, "how long to send requests")
 	return &ffcli.Command{
 		Name: "dev", ShortUsage: "flamingomast dev [--for DURATION] [DIR]", FlagSet: fs, Options: envOption(),
@@ -37,13 +37,13 @@
 				dir = args[0]
 			}
 			log := slog.New(slog.NewJSONHandler(ap.out, nil))
-			sm, err := demo.Run(ctx, demo.Options{Dir: dir, For: *dur, Log: log})
-			if sm != nil {
-				if perr := ap.printJSON(sm); perr != nil {
+			summary, err := demo.Run(ctx, demo.Options{Dir: dir, For: *dur, Log: log})
+			if summary != nil {
+				if perr := ap.printJSON(summary); perr != nil {
 					return perr
 				}
 			}
-			if err == nil && !sm.OK() {
+			if err == nil && !summary.OK() {
 				err = errors.New("requests failed or doubled, or a daemon is behind; see the log above")
 			}
 			return err
@@ -52,7 +52,7 @@
 }
 
 func (ap *app) devPlatformCmd() *ffcli.Command {
-	fs := ap.flags("dev-platform")
+	fs := ap.newFlagSet("dev-platform")
 	listen := fs.String("listen", "127.0.0.1:7070", "address to serve, IP:PORT")
 	return &ffcli.Command{
 		Name: "dev-platform", ShortUsage: "flamingomast dev-platform [--listen ADDR]", FlagSet: fs, Options: envOption(),
@@ -64,15 +64,15 @@
 				return err
 			}
 			st := stand.New()
-			go copyOnSignals(ctx, st, ap.out)
+			go backupOnSignals(ctx, st, ap.out)
 			return demo.ServePlatform(ctx, ln, st)
 		},
 	}
 }
 
-// copyOnSignals takes a copy of a stand-in at SIGUSR1, and comes back from the last one at
+// backupOnSignals takes a copy of a stand-in at SIGUSR1, and comes back from the last one at
 // SIGUSR2, until ctx ends.
-func copyOnSignals(ctx context.Context, st *stand.Stand, out io.Writer) {
+func backupOnSignals(ctx context.Context, st *stand.Stand, out io.Writer) {
 	log := slog.New(slog.NewJSONHandler(out, nil))
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR1, syscall.SIGUSR2)
@@ -95,7 +95,7 @@
 }
 
 func (ap *app) devServerCmd() *ffcli.Command {
-	fs := ap.flags("dev-server")
+	fs := ap.newFlagSet("dev-server")
 	sr := &demo.Server{Ledger: &demo.Ledger{}}
 	fs.StringVar(&sr.VM, "vm", "", "name of the VM")
 	fs.StringVar(&sr.Service, "service", "", "service to announce")
@@ -108,7 +108,7 @@
 	fs.DurationVar(&sr.FailingAfter, "failing-after", 0, "time from its start until it fails any")
 	fs.StringVar(&sr.Calls, "calls", "", "service to call once for each request")
 	fs.StringVar(&sr.Outlet, "outlet", "", "outlet of the VM's daemon for these calls, IP:PORT")
-	runs := fs.Bool("print-runs", false, "print a line for each request that it begins")
+	printRuns := fs.Bool("print-runs", false, "print a line for each request that it begins")
 	fault := fs.String("fault", "", "fail in this way in place of answering: "+faultNames())
 	return &ffcli.Command{
 		Name: "dev-server", ShortUsage: "flamingomast dev-server --vm VM --service SERVICE --daemon ADDR", FlagSet: fs, Options: envOption(),
@@ -127,10 +127,10 @@
 				}
 				sr.Fault = fa.Behave
 			}
-			if *runs {
-				sr.Began = func(ran demo.Ran) {
+			if *printRuns {
+				sr.Began = func(run demo.Ran) {
 					// Whoever reads the lines has gone if they cannot be written.
-					_ = ap.printJSON(ran)
+					_ = ap.printJSON(run)
 				}
 			}
 			if err := sr.Run(ctx); err != nil {
@@ -141,12 +141,12 @@
 	}
 }
 
-// mostSample bounds each number of a sample; beyond it the declarations would
+// maxSampleSize bounds each number of a sample; beyond it the declarations would
 // not fit into a file.
-const mostSample = 10_000
+const maxSampleSize = 10_000
 
 func (ap *app) devMeshCmd() *ffcli.Command {
-	fs := ap.flags("dev-mesh")
+	fs := ap.newFlagSet("dev-mesh")
 	vms := fs.Int("vms", 9, "how many VMs")
 	domains := fs.Int("failure-domains", 3, "how many failure domains")
 	services := fs.Int("services", 2, "how many services")
@@ -155,8 +155,8 @@
 		ShortHelp: "Print declarations of any size, for trials.",
 		Exec: func(_ context.Context, _ []string) error {
 			for name, n := range map[string]int{"vms": *vms, "failure-domains": *domains, "services": *services} {
-				if n < 1 || n > mostSample {
-					return usageError(fmt.Sprintf("--%s is %d; set it from 1 to %d", name, n, mostSample))
+				if n < 1 || n > maxSampleSize {
+					return usageError(fmt.Sprintf("--%s is %d; set it from 1 to %d", name, n, maxSampleSize))
 				}
 			}
 			text, err := decl.Print(sample.Mesh(*vms, *domains, *services))
@@ -179,7 +179,7 @@
 }
 
 func (ap *app) devLoadCmd() *ffcli.Command {
-	fs := ap.flags("dev-load")
+	fs := ap.newFlagSet("dev-load")
 	op := demo.LoadOptions{}
 	fs.StringVar(&op.Host, "host", "booking", "host of each request")
 	fs.StringVar(&op.Path, "path", "/", "path of each request")
--- a/internal/node/cmds/explain.go
+++ b/internal/node/cmds/explain.go
@@ -11,7 +11,7 @@
 )
 
 func (ap *app) explainCmd() *ffcli.Command {
-	fs := ap.flags("explain")
+	fs := ap.newFlagSet("explain")
 	ap.jsonFlag(fs)
 	id := fs.String("id", "", "the caller's id of the request (required)")
 	return &ffcli.Command{
@@ -54,10 +54,10 @@
 	}
 	ap.printLines("its lines, and those of calls made for it", rp.Lines)
 	ap.printLines("what the daemons went by", rp.Beliefs)
-	ap.printPassed(rp.Passed)
+	ap.printSkipped(rp.Passed)
 }
 
-func (ap *app) printPassed(pa trail.Passed) {
+func (ap *app) printSkipped(pa trail.Passed) {
 	if pa.Foreign+pa.Broken > 0 {
 		fmt.Fprintf(ap.out, "\npassed over: %d lines of others, %d that cannot be read\n", pa.Foreign, pa.Broken)
 	}
--- a/internal/node/cmds/fleet.go
+++ b/internal/node/cmds/fleet.go
@@ -15,15 +15,15 @@
 	"github.com/flamingomast/flamingomast/internal/node/admin"
 )
 
-// askTimeout bounds a question to a daemon.
-const askTimeout = 5 * time.Second
+// daemonTimeout bounds a question to a daemon.
+const daemonTimeout = 5 * time.Second
 
-// ask calls a page of the daemon's admin address.
-func (ap *app) ask(ctx context.Context, method, path string, into any) error {
+// callDaemon calls a page of the daemon's admin address.
+func (ap *app) callDaemon(ctx context.Context, method, path string, result any) error {
 	if ap.daemon == "" {
 		return usageError("--daemon is not set; give the admin address of any daemon")
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, daemonTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+ap.daemon+path, nil)
 	if err != nil {
@@ -39,12 +39,12 @@
 		_ = json.NewDecoder(res.Body).Decode(&fl)
 		return fmt.Errorf("the daemon answered %s: %s", res.Status, fl.Error)
 	}
-	return json.NewDecoder(res.Body).Decode(into)
+	return json.NewDecoder(res.Body).Decode(result)
 }
 
 func (ap *app) fetchStatus(ctx context.Context) (*admin.Status, error) {
 	var st admin.Status
-	if err := ap.ask(ctx, http.MethodGet, "/status", &st); err != nil {
+	if err := ap.callDaemon(ctx, http.MethodGet, "/status", &st); err != nil {
 		return nil, err
 	}
 	return &st, nil
@@ -54,43 +54,43 @@
 // everywhere.
 type waitError struct {
 	Version uint64
-	Lacking []string
+	Missing []string
 }
 
 // Error names what lacks the version.
 func (we *waitError) Error() string {
-	return fmt.Sprintf("version %d is accepted; not known to be in force in: %s", we.Version, strings.Join(we.Lacking, ", "))
+	return fmt.Sprintf("version %d is accepted; not known to be in force in: %s", we.Version, strings.Join(we.Missing, ", "))
 }
 
-// waitPoll is how often the fleet is looked at while waiting.
-const waitPoll = 100 * time.Millisecond
+// waitPollInterval is how often the fleet is looked at while waiting.
+const waitPollInterval = 100 * time.Millisecond
 
 // waitInForce waits until every failure domain holds the version.
-func (ap *app) waitInForce(ctx context.Context, version uint64, wait time.Duration) error {
-	began := time.Now()
-	limit := time.After(wait)
+func (ap *app) waitInForce(ctx context.Context, version uint64, timeout time.Duration) error {
+	start := time.Now()
+	expired := time.After(timeout)
 	terminal := isTerminal(ap.err)
-	lacking := []string{"the daemon asked"}
+	missing := []string{"the daemon asked"}
 	for {
 		st, err := ap.fetchStatus(ctx)
 		if err == nil && st.Version > 0 {
-			lacking = st.Lacking(version)
-			if len(lacking) == 0 && st.Version >= version {
+			missing = st.Missing(version)
+			if len(missing) == 0 && st.Version >= version {
 				if !ap.json {
-					fmt.Fprintf(ap.out, "in force everywhere after %s\n", time.Since(began).Round(time.Millisecond))
+					fmt.Fprintf(ap.out, "in force everywhere after %s\n", time.Since(start).Round(time.Millisecond))
 				}
 				return nil
 			}
 		}
 		if terminal {
-			fmt.Fprintf(ap.err, "\rwaiting for %d …\033[K", len(lacking))
+			fmt.Fprintf(ap.err, "\rwaiting for %d …\033[K", len(missing))
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-limit:
-			return &waitError{Version: version, Lacking: lacking}
-		case <-time.After(waitPoll):
+		case <-expired:
+			return &waitError{Version: version, Missing: missing}
+		case <-time.After(waitPollInterval):
 		}
 	}
 }
@@ -105,7 +105,7 @@
 }
 
 func (ap *app) statusCmd() *ffcli.Command {
-	fs := ap.flags("status")
+	fs := ap.newFlagSet("status")
 	ap.daemonFlag(fs)
 	ap.jsonFlag(fs)
 	check := fs.Bool("check", false, "print only alarms and what to do, and end with status 1 if there are any")
@@ -139,7 +139,7 @@
 			}
 			continue
 		}
-		fmt.Fprintf(ap.out, "%s\n  -> %s\n", al.What, al.Do)
+		fmt.Fprintf(ap.out, "%s\n  -> %s\n", al.Problem, al.Action)
 	}
 	if len(alarms) > 0 {
 		return fmt.Errorf("%d alarms", len(alarms))
@@ -150,7 +150,7 @@
 func (ap *app) printStatus(st *admin.Status) {
 	fmt.Fprintf(ap.out, "asked %s, which holds version %d; newest known %d, platform shows %d\n", st.VM, st.Version, st.Latest, st.Platform)
 	for _, al := range st.Alarms() {
-		fmt.Fprintf(ap.out, "! %s\n  -> %s\n", al.What, al.Do)
+		fmt.Fprintf(ap.out, "! %s\n  -> %s\n", al.Problem, al.Action)
 	}
 	fmt.Fprintf(ap.out, "%-20s %-10s %8s %8s  %s\n", "FAILURE DOMAIN", "VERSIONS", "MEMBERS", "SERVING", "REMARKS")
 	for _, ds := range st.Domains {
@@ -158,29 +158,29 @@
 		if ds.Highest != ds.Lowest {
 			versions = fmt.Sprintf("%d-%d", ds.Lowest, ds.Highest)
 		}
-		var notes []string
-		note := func(name string, list []string) {
+		var remarks []string
+		addRemark := func(name string, list []string) {
 			if len(list) > 0 {
-				notes = append(notes, name+": "+strings.Join(list, " "))
+				remarks = append(remarks, name+": "+strings.Join(list, " "))
 			}
 		}
 		if ds.Cut {
-			notes = append(notes, "cut off")
+			remarks = append(remarks, "cut off")
 		}
 		if ds.Unknown {
 			versions = "?"
-			notes = append(notes, "nothing reported")
+			remarks = append(remarks, "nothing reported")
 		}
-		note("behind", ds.Behind)
-		note("draining", ds.Draining)
-		note("silent", ds.Silent)
-		note("refused", ds.Refused)
-		fmt.Fprintf(ap.out, "%-20s %-10s %8d %8d  %s\n", ds.Name, versions, ds.Members, ds.Serving, strings.Join(notes, "; "))
+		addRemark("behind", ds.Behind)
+		addRemark("draining", ds.Draining)
+		addRemark("silent", ds.Silent)
+		addRemark("refused", ds.Refused)
+		fmt.Fprintf(ap.out, "%-20s %-10s %8d %8d  %s\n", ds.Name, versions, ds.Members, ds.Serving, strings.Join(remarks, "; "))
 	}
 }
 
 func (ap *app) drainCmd() *ffcli.Command {
-	fs := ap.flags("drain")
+	fs := ap.newFlagSet("drain")
 	ap.daemonFlag(fs)
 	ap.jsonFlag(fs)
 	return &ffcli.Command{
@@ -190,8 +190,8 @@
 			if len(args) != 1 {
 				return usageError("name one VM")
 			}
-			var dr admin.Drained
-			if err := ap.ask(ctx, http.MethodPost, "/drain/"+url.PathEscape(args[0]), &dr); err != nil {
+			var dr admin.DrainResult
+			if err := ap.callDaemon(ctx, http.MethodPost, "/drain/"+url.PathEscape(args[0]), &dr); err != nil {
 				return err
 			}
 			if ap.json {
--- a/internal/node/cmds/reload.go
+++ b/internal/node/cmds/reload.go
@@ -16,15 +16,15 @@
 	"github.com/flamingomast/flamingomast/internal/node/setup"
 )
 
-// lookEvery is how often the settings file is looked at. It may change without a
+// filePollInterval is how often the settings file is looked at. It may change without a
 // signal; one look costs a system call.
-const lookEvery = 5 * time.Second
+const filePollInterval = 5 * time.Second
 
-// reload takes changed settings, at a SIGHUP or when the file has changed, until
+// watchSettings takes changed settings, at a SIGHUP or when the file has changed, until
 // ctx ends. The log level, the share of requests that is logged and the drain
 // timeout take effect; all else, such as addresses, holds for the next start.
 // Settings that cannot be read change nothing.
-func (ap *app) reload(ctx context.Context, dm *daemon.Daemon, fs *flag.FlagSet, level *slog.LevelVar, log *slog.Logger) {
+func (ap *app) watchSettings(ctx context.Context, dm *daemon.Daemon, fs *flag.FlagSet, level *slog.LevelVar, log *slog.Logger) {
 	file := fs.Lookup("config").Value.String()
 	if file == "" {
 		return
@@ -32,9 +32,9 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(filePollInterval)
 	defer tick.Stop()
-	last := modified(file)
+	last := modTime(file)
 	for {
 		cause := "file"
 		select {
@@ -43,12 +43,12 @@
 		case <-hup:
 			cause = "signal"
 		case <-tick.C:
-			if modified(file).Equal(last) {
+			if modTime(file).Equal(last) {
 				continue
 			}
 		}
-		last = modified(file)
-		se, err := reread(file)
+		last = modTime(file)
+		se, err := readSettings(file)
 		if err != nil {
 			log.Error("reload-failed", slog.String("cause", cause), slog.Any("error", err))
 			continue
@@ -59,9 +59,9 @@
 	}
 }
 
-// modified returns when a file was changed last, the zero time where that cannot
+// modTime returns when a file was changed last, the zero time where that cannot
 // be told.
-func modified(file string) time.Time {
+func modTime(file string) time.Time {
 	fi, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
@@ -69,8 +69,8 @@
 	return fi.ModTime()
 }
 
-// reread reads settings from the environment and the file as at a start.
-func reread(file string) (setup.Settings, error) {
+// readSettings reads settings from the environment and the file as at a start.
+func readSettings(file string) (setup.Settings, error) {
 	fs := flag.NewFlagSet("daemon", flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
 	rd := setup.New(fs)
--- a/internal/node/cmds/revert.go
+++ b/internal/node/cmds/revert.go
@@ -13,11 +13,11 @@
 
 func (ap *app) revertCmd() *ffcli.Command {
 	var op applyOptions
-	fs := ap.flags("revert")
+	fs := ap.newFlagSet("revert")
 	ap.platformFlag(fs)
 	ap.daemonFlag(fs)
 	ap.jsonFlag(fs)
-	op.flags(fs)
+	op.addFlags(fs)
 	return &ffcli.Command{
 		Name: "revert", ShortUsage: "flamingomast revert --platform ADDR VERSION", FlagSet: fs, Options: envOption(),
 		ShortHelp: "Make what an earlier version said the version in force again, under a new number.",
@@ -49,20 +49,20 @@
 	if err != nil {
 		return err
 	}
-	tctx, cancel := context.WithTimeout(ctx, op.give)
+	tctx, cancel := context.WithTimeout(ctx, op.timeout)
 	defer cancel()
-	sub, err := revertTo(tctx, kv, version)
+	sub, err := revertSubmission(tctx, kv, version)
 	if err != nil {
 		return err
 	}
-	sub.ID, sub.Author = op.id(), op.author
+	sub.ID, sub.Author = op.submissionID(), op.author
 	return ap.submit(ctx, tctx, kv, sub, op.wait)
 }
 
-// revertTo returns a submission with the content of a version, made from the
+// revertSubmission returns a submission with the content of a version, made from the
 // one that is in force now.
-func revertTo(ctx context.Context, kv store.Store, version uint64) (accept.Submission, error) {
-	hd, err := loadHeadPatiently(ctx, kv)
+func revertSubmission(ctx context.Context, kv store.Store, version uint64) (accept.Submission, error) {
+	hd, err := loadHeadWithRetry(ctx, kv)
 	if err != nil {
 		return accept.Submission{}, fmt.Errorf("not accepted: %w", err)
 	}
--- a/internal/node/cmds/rollout.go
+++ b/internal/node/cmds/rollout.go
@@ -15,7 +15,7 @@
 )
 
 func (ap *app) rolloutCmd() *ffcli.Command {
-	fs := ap.flags("rollout")
+	fs := ap.newFlagSet("rollout")
 	return &ffcli.Command{
 		Name: "rollout", ShortUsage: "flamingomast rollout start|status|abort [flags] [arguments]", FlagSet: fs, Options: envOption(),
 		ShortHelp: "Move a service's requests to another version of its software.",
@@ -29,7 +29,7 @@
 }
 
 func (ap *app) rolloutStartCmd() *ffcli.Command {
-	fs := ap.flags("rollout start")
+	fs := ap.newFlagSet("rollout start")
 	ap.platformFlag(fs)
 	within := fs.Duration("within", time.Minute, "time within which the rollout has to end")
 	wait := fs.Bool("wait", false, "wait for the end; status 1 if it was rolled back")
@@ -41,17 +41,17 @@
 				return usageError("name a service and the version that its new servers announce")
 			}
 			or := order.Order{Service: args[0], Target: args[1], DurationMs: within.Milliseconds()}
-			kv, ordered, err := ap.writeOrder(ctx, or)
+			kv, orderRev, err := ap.writeOrder(ctx, or)
 			if err != nil || !*wait {
 				return err
 			}
-			return ap.waitRollout(ctx, kv, or, ordered)
+			return ap.waitRollout(ctx, kv, or, orderRev)
 		},
 	}
 }
 
 func (ap *app) rolloutAbortCmd() *ffcli.Command {
-	fs := ap.flags("rollout abort")
+	fs := ap.newFlagSet("rollout abort")
 	ap.platformFlag(fs)
 	return &ffcli.Command{
 		Name: "abort", ShortUsage: "flamingomast rollout abort --platform ADDR SERVICE", FlagSet: fs, Options: envOption(),
@@ -89,21 +89,21 @@
 
 // writeOrder writes an order over whatever was ordered for the service before, and returns its
 // revision.
-func (ap *app) writeOrder(ctx context.Context, or order.Order) (kv store.Store, ordered store.Revision, err error) {
+func (ap *app) writeOrder(ctx context.Context, or order.Order) (kv store.Store, orderRev store.Revision, err error) {
 	if err := or.Check(); err != nil {
-		return kv, ordered, usageError(err.Error())
+		return kv, orderRev, usageError(err.Error())
 	}
 	kv, err = ap.store()
 	if err != nil {
-		return kv, ordered, err
+		return kv, orderRev, err
 	}
 	value, err := json.Marshal(or)
 	if err != nil {
-		return kv, ordered, err
+		return kv, orderRev, err
 	}
 	cur, err := kv.Get(ctx, or.Key())
 	if err != nil {
-		return kv, ordered, err
+		return kv, orderRev, err
 	}
 	ok, ent, err := kv.Swap(ctx, store.Change{Key: or.Key(), Revision: cur.Revision, Value: value})
 	if err == nil && !ok {
@@ -116,20 +116,20 @@
 }
 
 const (
-	// rolloutPoll is how often the state of a rollout is read while waiting for its end.
-	rolloutPoll = 500 * time.Millisecond
-	// rolloutSlack is how long after its time the end of a rollout is waited for: the store
+	// rolloutPollInterval is how often the state of a rollout is read while waiting for its end.
+	rolloutPollInterval = 500 * time.Millisecond
+	// rolloutWaitMargin is how long after its time the end of a rollout is waited for: the store
 	// may be away as it is to be written.
-	rolloutSlack = time.Minute
+	rolloutWaitMargin = time.Minute
 )
 
 // waitRollout waits for the end of a rollout, also while the store cannot be reached.
-func (ap *app) waitRollout(ctx context.Context, kv store.Store, or order.Order, ordered store.Revision) error {
-	limit := time.Duration(or.DurationMs)*time.Millisecond + rolloutSlack
-	over := time.After(limit)
+func (ap *app) waitRollout(ctx context.Context, kv store.Store, or order.Order, orderRev store.Revision) error {
+	timeout := time.Duration(or.DurationMs)*time.Millisecond + rolloutWaitMargin
+	expired := time.After(timeout)
 	var lastErr error
 	for {
-		st, err := rolloutState(ctx, kv, or, ordered)
+		st, err := rolloutState(ctx, kv, or, orderRev)
 		if err != nil && lastErr == nil {
 			fmt.Fprintf(ap.err, "the state cannot be read, trying again: %v\n", err)
 		}
@@ -144,24 +144,24 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-over:
+		case <-expired:
 			if lastErr != nil {
-				return fmt.Errorf("no end of the rollout was seen in %s: %w", limit, lastErr)
+				return fmt.Errorf("no end of the rollout was seen in %s: %w", timeout, lastErr)
 			}
-			return fmt.Errorf("no end of the rollout was seen in %s; see whether daemons of %s run", limit, or.Service)
-		case <-time.After(rolloutPoll):
+			return fmt.Errorf("no end of the rollout was seen in %s; see whether daemons of %s run", timeout, or.Service)
+		case <-time.After(rolloutPollInterval):
 		}
 	}
 }
 
 // rolloutState returns the state that the store has for an order, 0 for none. What it has from
 // before the order is of another one.
-func rolloutState(ctx context.Context, kv store.Store, or order.Order, ordered store.Revision) (canary.State, error) {
+func rolloutState(ctx context.Context, kv store.Store, or order.Order, orderRev store.Revision) (canary.State, error) {
 	ent, err := kv.Get(ctx, order.StatusKey(or.Service))
 	if err != nil || !ent.Revision.Exists() {
 		return 0, err
 	}
-	if ent.Revision.Epoch == ordered.Epoch && ent.Revision.Number < ordered.Number {
+	if ent.Revision.Epoch == orderRev.Epoch && ent.Revision.Number < orderRev.Number {
 		return 0, nil
 	}
 	target, st, err := order.DecodeStatus(ent.Value)
@@ -172,7 +172,7 @@
 }
 
 func (ap *app) rolloutStatusCmd() *ffcli.Command {
-	fs := ap.flags("rollout status")
+	fs := ap.newFlagSet("rollout status")
 	ap.platformFlag(fs)
 	ap.jsonFlag(fs)
 	return &ffcli.Command{
--- a/internal/node/cmds/rollout_test.go
+++ b/internal/node/cmds/rollout_test.go
@@ -62,9 +62,9 @@
 				time.AfterFunc(10*time.Second, func() { write(tc.state) })
 				var out, errOut bytes.Buffer
 				ap := &app{out: &out, err: &errOut}
-				began := time.Now()
+				start := time.Now()
 				err = ap.waitRollout(t.Context(), kv, or, ent.Revision)
-				if took := time.Since(began); took > tc.within {
+				if took := time.Since(start); took > tc.within {
 					t.Errorf("took %s, want %s at most", took, tc.within)
 				}
 				if out.String() != tc.out || (err == nil) != (tc.err == "") || err != nil && !strings.Contains(err.Error(), tc.err) {
--- a/internal/node/cmds/route.go
+++ b/internal/node/cmds/route.go
@@ -29,17 +29,17 @@
 	return nil
 }
 
-// routed is how a request would be routed.
-type routed struct {
-	Route    string         `json:"route"`
-	Class    string         `json:"class"`
-	Deadline string         `json:"deadline"`
-	Repeat   decl.Repeat    `json:"repeat"`
-	Targets  []routedTarget `json:"targets"`
+// routeResult is how a request would be routed.
+type routeResult struct {
+	Route    string        `json:"route"`
+	Class    string        `json:"class"`
+	Deadline string        `json:"deadline"`
+	Repeat   decl.Repeat   `json:"repeat"`
+	Targets  []routeTarget `json:"targets"`
 }
 
-// routedTarget is a service that may get the request.
-type routedTarget struct {
+// routeTarget is a service that may get the request.
+type routeTarget struct {
 	Service string `json:"service"`
 	// Percent is its share of the route's requests.
 	Percent float64    `json:"percent"`
@@ -49,7 +49,7 @@
 }
 
 func (ap *app) routeCmd() *ffcli.Command {
-	fs := ap.flags("route")
+	fs := ap.newFlagSet("route")
 	ap.jsonFlag(fs)
 	from := fs.String("from", "", "failure domain of the caller's daemon (the first declared one if empty)")
 	hdr := headers{}
@@ -66,14 +66,14 @@
 			if err != nil {
 				return err
 			}
-			rd, err := explain(sn, args[1], args[2], http.Header(hdr))
+			rr, err := matchRoute(sn, args[1], args[2], http.Header(hdr))
 			if err != nil {
 				return err
 			}
 			if ap.json {
-				return ap.printJSON(rd)
+				return ap.printJSON(rr)
 			}
-			ap.printRouted(sn, rd)
+			ap.printRoute(sn, rr)
 			return nil
 		},
 	}
@@ -98,7 +98,7 @@
 	return snap.Compile(0, co, from)
 }
 
-func explain(sn *snap.Snapshot, method, target string, hdr http.Header) (*routed, error) {
+func matchRoute(sn *snap.Snapshot, method, target string, hdr http.Header) (*routeResult, error) {
 	if !strings.Contains(target, "://") {
 		target = "http://" + target
 	}
@@ -114,8 +114,8 @@
 	if rt == nil {
 		return nil, fmt.Errorf("no route takes %s %s%s: callers get 404, not-run, no-route", method, u.Host, path)
 	}
-	rd := &routed{Route: rt.Name, Class: rt.Class.Name, Deadline: rt.Deadline.String(), Repeat: rt.Repeat}
-	last := 0
+	rr := &routeResult{Route: rt.Name, Class: rt.Class.Name, Deadline: rt.Deadline.String(), Repeat: rt.Repeat}
+	prevUpTo := 0
 	for _, tg := range rt.Targets {
 		n := 0
 		for _, vm := range sn.VMs {
@@ -123,36 +123,36 @@
 				n++
 			}
 		}
-		rd.Targets = append(rd.Targets, routedTarget{
-			Service: tg.Service.Name, Percent: 100 * float64(tg.UpTo-last) / float64(rt.Total()),
+		rr.Targets = append(rr.Targets, routeTarget{
+			Service: tg.Service.Name, Percent: 100 * float64(tg.UpTo-prevUpTo) / float64(rt.Total()),
 			Tiers: tg.Service.Tiers, Spill: tg.Service.Spill, VMs: n,
 		})
-		last = tg.UpTo
+		prevUpTo = tg.UpTo
 	}
-	return rd, nil
+	return rr, nil
 }
 
-// repeatWords says what each rule means.
-var repeatWords = map[decl.Repeat]string{
+// repeatDescriptions says what each rule means.
+var repeatDescriptions = map[decl.Repeat]string{
 	decl.RepeatSafe:   "only with a safe method",
 	decl.RepeatNever:  "never",
 	decl.RepeatAlways: "always",
 }
 
-func (ap *app) printRouted(sn *snap.Snapshot, rd *routed) {
-	fmt.Fprintf(ap.out, "route     %s, seen from %s\n", rd.Route, sn.Domain)
-	fmt.Fprintf(ap.out, "class     %s\n", rd.Class)
-	fmt.Fprintf(ap.out, "deadline  %s\n", rd.Deadline)
-	fmt.Fprintf(ap.out, "repeated  %s, after it may have run\n", repeatWords[rd.Repeat])
-	for _, tg := range rd.Targets {
+func (ap *app) printRoute(sn *snap.Snapshot, rr *routeResult) {
+	fmt.Fprintf(ap.out, "route     %s, seen from %s\n", rr.Route, sn.Domain)
+	fmt.Fprintf(ap.out, "class     %s\n", rr.Class)
+	fmt.Fprintf(ap.out, "deadline  %s\n", rr.Deadline)
+	fmt.Fprintf(ap.out, "repeated  %s, after it may have run\n", repeatDescriptions[rr.Repeat])
+	for _, tg := range rr.Targets {
 		var tiers []string
 		for _, tier := range tg.Tiers {
 			tiers = append(tiers, strings.Join(tier, "+"))
 		}
-		then := " then "
+		separator := " then "
 		if !tg.Spill {
-			then = " or, without any backend server there, "
+			separator = " or, without any backend server there, "
 		}
-		fmt.Fprintf(ap.out, "%5.1f%%    %s, %d VMs: %s\n", tg.Percent, tg.Service, tg.VMs, strings.Join(tiers, then))
+		fmt.Fprintf(ap.out, "%5.1f%%    %s, %d VMs: %s\n", tg.Percent, tg.Service, tg.VMs, strings.Join(tiers, separator))
 	}
 }
--- a/internal/node/cmds/soak.go
+++ b/internal/node/cmds/soak.go
@@ -14,11 +14,11 @@
 )
 
 func (ap *app) soakCmd() *ffcli.Command {
-	fs := ap.flags("soak")
+	fs := ap.newFlagSet("soak")
 	ap.jsonFlag(fs)
 	seeds := fs.Int("seeds", 1, "how many seeds to run, one after the other")
 	seed := fs.Uint64("seed", 1, "the first seed")
-	length := fs.Duration("for", 30*time.Second, "how long faults are injected in each run")
+	duration := fs.Duration("for", 30*time.Second, "how long faults are injected in each run")
 	vms := fs.Int("vms", 6, "how many VMs, besides three of the new version")
 	planned := fs.Bool("planned", false, "play only what operators do: stops, reloads, replaced servers and changes, in series")
 	dir := fs.String("dir", "", "directory for the logs of the processes; a new one if empty")
@@ -37,7 +37,7 @@
 			}
 			failed := 0
 			for i := range uint64(*seeds) {
-				op := soak.Options{Binary: binary, Seed: *seed + i, For: *length, VMs: *vms, Planned: *planned, Log: slog.New(slog.NewJSONHandler(ap.err, nil))}
+				op := soak.Options{Binary: binary, Seed: *seed + i, For: *duration, VMs: *vms, Planned: *planned, Log: slog.New(slog.NewJSONHandler(ap.err, nil))}
 				op.Dir = filepath.Join(*dir, fmt.Sprint("seed-", op.Seed))
 				if err := os.MkdirAll(op.Dir, 0o755); err != nil {
 					return err
@@ -49,7 +49,7 @@
 				if len(re.Failed()) > 0 {
 					failed++
 				}
-				if err := ap.printSoak(re, op.Dir); err != nil {
+				if err := ap.printSoakReport(re, op.Dir); err != nil {
 					return err
 				}
 			}
@@ -61,18 +61,18 @@
 	}
 }
 
-// printSoak prints a line a check, or the whole report as JSON.
-func (ap *app) printSoak(re *soak.Report, dir string) error {
+// printSoakReport prints a line a check, or the whole report as JSON.
+func (ap *app) printSoakReport(re *soak.Report, dir string) error {
 	if ap.json {
 		return ap.printJSON(re)
 	}
 	fmt.Fprintf(ap.out, "seed %d: %d requests, rollout %s, logs in %s\n", re.Seed, re.Sent, re.Rollout, dir)
-	for _, one := range re.Results {
+	for _, result := range re.Results {
 		verdict := "ok"
-		if len(one.Failures) > 0 {
-			verdict = fmt.Sprintf("FAILED: %s", one.Failures[0])
+		if len(result.Failures) > 0 {
+			verdict = fmt.Sprintf("FAILED: %s", result.Failures[0])
 		}
-		fmt.Fprintf(ap.out, "  %-14s %6d cases  %s\n", one.Check, one.Cases, verdict)
+		fmt.Fprintf(ap.out, "  %-14s %6d cases  %s\n", result.Check, result.Cases, verdict)
 	}
 	return nil
 }
--- a/internal/node/cmds/stats.go
+++ b/internal/node/cmds/stats.go
@@ -12,8 +12,8 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// vars is what stats reads of a daemon's metrics.
-type vars struct {
+// debugVars is what stats reads of a daemon's metrics.
+type debugVars struct {
 	Flamingomast struct {
 		Held     int64             `json:"version-held"`
 		Latest   int64             `json:"version-latest"`
@@ -45,8 +45,8 @@
 	Max   float64 `json:"max-ms"`
 }
 
-// attemptsPer returns how often a request was sent on average.
-func (sr *series) attemptsPer() float64 {
+// meanAttempts returns how often a request was sent on average.
+func (sr *series) meanAttempts() float64 {
 	var sent, requests int64
 	for times, n := range sr.Attempts {
 		var k int64
@@ -62,15 +62,15 @@
 }
 
 func (ap *app) statsCmd() *ffcli.Command {
-	fs := ap.flags("stats")
+	fs := ap.newFlagSet("stats")
 	ap.daemonFlag(fs)
 	ap.jsonFlag(fs)
 	return &ffcli.Command{
 		Name: "stats", ShortUsage: "flamingomast stats --daemon ADDR", FlagSet: fs, Options: envOption(),
 		ShortHelp: "Show a daemon's requests by service and class.",
 		Exec: func(ctx context.Context, _ []string) error {
-			var vs vars
-			if err := ap.ask(ctx, http.MethodGet, "/debug/vars", &vs); err != nil {
+			var vs debugVars
+			if err := ap.callDaemon(ctx, http.MethodGet, "/debug/vars", &vs); err != nil {
 				return err
 			}
 			if ap.json {
@@ -82,7 +82,7 @@
 	}
 }
 
-func (ap *app) printStats(vs *vars) {
+func (ap *app) printStats(vs *debugVars) {
 	fm := &vs.Flamingomast
 	role := "member"
 	if fm.Relay {
@@ -102,12 +102,12 @@
 	fmt.Fprintf(ap.out, "%-7s %-28s %9s %9s %9s %9s %9s  %s\n", strings.ToUpper(side), "SERVICE/CLASS", "REQUESTS", "P50 MS", "P99 MS", "WAIT P99", "ATTEMPTS", "OUTCOMES")
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		sr := all[name]
-		fmt.Fprintf(ap.out, "%-7s %-28s %9d %9.2f %9.2f %9.2f %9.3f  %s\n", "", name, sr.Latency.Count, sr.Latency.P50, sr.Latency.P99, sr.Queue.P99, sr.attemptsPer(), outcomes(sr.Outcomes))
+		fmt.Fprintf(ap.out, "%-7s %-28s %9d %9.2f %9.2f %9.2f %9.3f  %s\n", "", name, sr.Latency.Count, sr.Latency.P50, sr.Latency.P99, sr.Queue.P99, sr.meanAttempts(), formatOutcomes(sr.Outcomes))
 	}
 }
 
-// outcomes lists counts, the largest first.
-func outcomes(m map[string]int64) string {
+// formatOutcomes lists counts, the largest first.
+func formatOutcomes(m map[string]int64) string {
 	names := slices.SortedFunc(maps.Keys(m), func(a, b string) int {
 		return cmp.Or(cmp.Compare(m[b], m[a]), cmp.Compare(a, b))
 	})
--- a/internal/node/setup/setup.go
+++ b/internal/node/setup/setup.go
@@ -79,21 +79,21 @@
 // LogValue returns the settings without secrets.
 func (se Settings) LogValue() slog.Value { return slog.StringValue(se.String()) }
 
-// raw holds the settings as given.
-type raw struct {
+// rawSettings holds the settings as given.
+type rawSettings struct {
 	vm, domain, outlet, inlet, control, admin string
-	platform, seeds, token, level             string
+	platform, seeds, token, logLevel          string
 	ready, announce, adapter                  string
 	service, server, domains                  string
-	sample                                    string
-	drain                                     string
-	memory, link                              string
-	ratio, spare                              string
-	first                                     string
+	logSample                                 string
+	drainTimeout                              string
+	memoryMB, linkMbps                        string
+	retryRatio, retrySpare                    string
+	firstStart                                string
 }
 
-// flags declares the settings; the text of each is the help a person sees.
-func (rw *raw) flags(fs *flag.FlagSet) {
+// addFlags declares the settings; the text of each is the help a person sees.
+func (rw *rawSettings) addFlags(fs *flag.FlagSet) {
 	fs.StringVar(&rw.vm, "vm", "", "name of this VM in the inventory (required)")
 	fs.StringVar(&rw.domain, "failure-domain", "", "failure domain that this VM is in (required)")
 	fs.StringVar(&rw.outlet, "outlet", "127.0.0.1:8080", "address for callers, IP:PORT")
@@ -109,31 +109,31 @@
 	fs.StringVar(&rw.domains, "failure-domains", "", "all failure domains with their regions, where the platform does not declare them, NAME=REGION,…")
 	fs.StringVar(&rw.seeds, "seeds", "", "control addresses of other daemons to try before the platform is asked, IP:PORT,…")
 	fs.StringVar(&rw.token, "mesh-token", "", "secret that all daemons share; empty for none")
-	fs.StringVar(&rw.level, "log-level", "info", "debug, info, warn or error")
-	fs.StringVar(&rw.sample, "access-log-sample", "1", "share of answered requests that are logged, 0 to 1; their number is bounded in any case")
-	fs.StringVar(&rw.drain, "drain-timeout", "30s", "how long a shutdown waits for running requests")
-	fs.StringVar(&rw.memory, "memory-mb", "32", "how many megabytes the process may take in all")
-	fs.StringVar(&rw.link, "link-mbps", "0", "rate of the VM's link in Mbit/s, by which large answers are paced; 0 for no pacing")
-	fs.StringVar(&rw.ratio, "retry-ratio", "", "how many repeats there may be for each request of a service, over all daemons; 0.2 unless set, 0 for none")
-	fs.StringVar(&rw.spare, "retry-spare", "", "how many more repeats of a service all daemons together may send in some seconds; 50 unless set")
-	fs.StringVar(&rw.first, "first-start", "false", "true while the whole mesh starts for the first time, so that there is nothing to ask the platform for; false at every later start")
+	fs.StringVar(&rw.logLevel, "log-level", "info", "debug, info, warn or error")
+	fs.StringVar(&rw.logSample, "access-log-sample", "1", "share of answered requests that are logged, 0 to 1; their number is bounded in any case")
+	fs.StringVar(&rw.drainTimeout, "drain-timeout", "30s", "how long a shutdown waits for running requests")
+	fs.StringVar(&rw.memoryMB, "memory-mb", "32", "how many megabytes the process may take in all")
+	fs.StringVar(&rw.linkMbps, "link-mbps", "0", "rate of the VM's link in Mbit/s, by which large answers are paced; 0 for no pacing")
+	fs.StringVar(&rw.retryRatio, "retry-ratio", "", "how many repeats there may be for each request of a service, over all daemons; 0.2 unless set, 0 for none")
+	fs.StringVar(&rw.retrySpare, "retry-spare", "", "how many more repeats of a service all daemons together may send in some seconds; 50 unless set")
+	fs.StringVar(&rw.firstStart, "first-start", "false", "true while the whole mesh starts for the first time, so that there is nothing to ask the platform for; false at every later start")
 	fs.String("config", "", "YAML file with any of these settings")
 }
 
 // Reader reads settings and remembers where each stands.
 type Reader struct {
-	raw   raw
-	fs    *flag.FlagSet
-	lines map[string]strict.Pos
-	prs   strict.Problems
-	// unread is set when the file could not be read at all.
-	unread bool
+	raw       rawSettings
+	fs        *flag.FlagSet
+	positions map[string]strict.Pos
+	prs       strict.Problems
+	// unreadable is set when the file could not be read at all.
+	unreadable bool
 }
 
 // New declares the settings as flags of fs.
 func New(fs *flag.FlagSet) *Reader {
-	rd := &Reader{fs: fs, lines: map[string]strict.Pos{}}
-	rd.raw.flags(fs)
+	rd := &Reader{fs: fs, positions: map[string]strict.Pos{}}
+	rd.raw.addFlags(fs)
 	return rd
 }
 
@@ -153,10 +153,10 @@
 	if rd.fs.NArg() > 0 {
 		rd.prs.Add(strict.Pos{File: "command line"}, fmt.Sprintf("unexpected argument %q", rd.fs.Arg(0)), "settings are given as --name value")
 	}
-	if rd.unread {
+	if rd.unreadable {
 		return Settings{}, rd.prs.Err()
 	}
-	se := rd.check(&rd.raw)
+	se := rd.validate(&rd.raw)
 	return se, rd.prs.Err()
 }
 
@@ -174,40 +174,40 @@
 		return err
 	}
 	if prs := strict.Decode(file, data, &struct{}{}); len(prs) > 0 && strings.HasPrefix(prs[0].What, "not YAML") {
-		rd.prs, rd.unread = append(rd.prs, prs[0]), true
+		rd.prs, rd.unreadable = append(rd.prs, prs[0]), true
 		return nil
 	}
 	var root yaml.Node
 	if err := yaml.Unmarshal(data, &root); err != nil || len(root.Content) == 0 {
 		return err
 	}
-	return rd.pairs(file, root.Content[0], set)
+	return rd.readPairs(file, root.Content[0], set)
 }
 
-func (rd *Reader) pairs(file string, n *yaml.Node, set func(name, value string) error) error {
+func (rd *Reader) readPairs(file string, n *yaml.Node, set func(name, value string) error) error {
 	pos := func(n *yaml.Node) strict.Pos { return strict.Pos{File: file, Line: n.Line, Column: n.Column} }
-	given := map[string]bool{}
-	rd.fs.Visit(func(fl *flag.Flag) { given[fl.Name] = true })
+	isSet := map[string]bool{}
+	rd.fs.Visit(func(fl *flag.Flag) { isSet[fl.Name] = true })
 	if n.Kind != yaml.MappingNode {
-		rd.unread = true
+		rd.unreadable = true
 		rd.prs.Add(pos(n), "the settings must be a mapping", "write each as \"name: value\"")
 		return nil
 	}
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		k, v := n.Content[i], n.Content[i+1]
-		first, repeated := rd.lines[k.Value]
+		first, repeated := rd.positions[k.Value]
 		switch {
 		case rd.fs.Lookup(k.Value) == nil || k.Value == "config":
-			rd.prs.Add(pos(k), fmt.Sprintf("unknown setting %q", k.Value), strict.Suggest(k.Value, rd.names()))
+			rd.prs.Add(pos(k), fmt.Sprintf("unknown setting %q", k.Value), strict.Suggest(k.Value, rd.settingNames()))
 		case repeated:
 			rd.prs.Add(pos(k), fmt.Sprintf("setting %q is already on line %d", k.Value, first.Line), "remove one of the two")
 		default:
-			rd.lines[k.Value] = pos(v)
-			if given[k.Value] {
+			rd.positions[k.Value] = pos(v)
+			if isSet[k.Value] {
 				// A flag or the environment goes before the file.
-				rd.lines[k.Value] = strict.Pos{}
+				rd.positions[k.Value] = strict.Pos{}
 			}
-			text, ok := text(v)
+			text, ok := nodeText(v)
 			if !ok {
 				rd.prs.Add(pos(v), fmt.Sprintf("setting %q must be a value or a list of values", k.Value), "")
 				continue
@@ -220,7 +220,7 @@
 	return nil
 }
 
-func text(v *yaml.Node) (string, bool) {
+func nodeText(v *yaml.Node) (string, bool) {
 	switch v.Kind {
 	case yaml.ScalarNode:
 		return v.Value, true
@@ -234,7 +234,7 @@
 	return "", false
 }
 
-func (rd *Reader) names() []string {
+func (rd *Reader) settingNames() []string {
 	var list []string
 	rd.fs.VisitAll(func(fl *flag.Flag) {
 		if fl.Name != "config" {
@@ -244,14 +244,14 @@
 	return list
 }
 
-// where tells where a setting was given.
-func (rd *Reader) where(name string) strict.Pos {
+// position tells where a setting was given.
+func (rd *Reader) position(name string) strict.Pos {
 	env := EnvPrefix + "_" + strings.ToUpper(strings.ReplaceAll(name, "-", "_"))
 	given := false
 	rd.fs.Visit(func(fl *flag.Flag) { given = given || fl.Name == name })
 	switch {
-	case rd.lines[name].File != "":
-		return rd.lines[name]
+	case rd.positions[name].File != "":
+		return rd.positions[name]
 	case os.Getenv(env) != "":
 		return strict.Pos{File: "environment " + env}
 	case given:
@@ -260,11 +260,11 @@
 	return strict.Pos{File: "settings"}
 }
 
-func (rd *Reader) add(name, what, remedy string) { rd.prs.Add(rd.where(name), what, remedy) }
+func (rd *Reader) addProblem(name, what, remedy string) { rd.prs.Add(rd.position(name), what, remedy) }
 
-var nameForm = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
+var nameRegexp = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
-func (rd *Reader) check(rw *raw) Settings {
+func (rd *Reader) validate(rw *rawSettings) Settings {
 	se := Settings{
 		VM: rd.name("vm", rw.vm), Domain: rd.name("failure-domain", rw.domain),
 		Outlet: rd.addr("outlet", rw.outlet), Inlet: rd.addr("inlet", rw.inlet),
@@ -273,87 +273,87 @@
 	}
 	for _, it := range []struct {
 		name, value string
-		to          *string
+		dst         *string
 	}{{"ready", rw.ready, &se.Ready}, {"announce", rw.announce, &se.Announce}, {"server", rw.server, &se.Server}} {
 		if it.value != "" {
-			*it.to = rd.addr(it.name, it.value)
+			*it.dst = rd.addr(it.name, it.value)
 		}
 	}
 	se.Adapter = rd.optionalName("adapter", rw.adapter)
 	se.Service = rd.optionalName("service", rw.service)
 	se.Domains = rd.domains(rw.domains)
-	rd.distinct(&se)
+	rd.checkDistinct(&se)
 	for _, sd := range strings.Split(rw.seeds, ",") {
 		if sd = strings.TrimSpace(sd); sd != "" {
 			se.Seeds = append(se.Seeds, rd.addr("seeds", sd))
 		}
 	}
-	if err := se.LogLevel.UnmarshalText([]byte(rw.level)); err != nil {
-		rd.add("log-level", fmt.Sprintf("log-level is %q", rw.level), "set it to debug, info, warn or error")
+	if err := se.LogLevel.UnmarshalText([]byte(rw.logLevel)); err != nil {
+		rd.addProblem("log-level", fmt.Sprintf("log-level is %q", rw.logLevel), "set it to debug, info, warn or error")
 	}
-	sample, err := strconv.ParseFloat(rw.sample, 64)
+	sample, err := strconv.ParseFloat(rw.logSample, 64)
 	if err != nil || !(sample >= 0 && sample <= 1) {
-		rd.add("access-log-sample", fmt.Sprintf("access-log-sample is %q", rw.sample), "set it to a number from 0 to 1")
+		rd.addProblem("access-log-sample", fmt.Sprintf("access-log-sample is %q", rw.logSample), "set it to a number from 0 to 1")
 	}
 	se.AccessSample = sample
-	mb, err := strconv.ParseInt(rw.memory, 10, 32)
-	if err != nil || mb < minMemory {
-		rd.add("memory-mb", fmt.Sprintf("memory-mb is %q", rw.memory), fmt.Sprintf("set it to a whole number of megabytes, %d or more", minMemory))
+	mb, err := strconv.ParseInt(rw.memoryMB, 10, 32)
+	if err != nil || mb < minMemoryMB {
+		rd.addProblem("memory-mb", fmt.Sprintf("memory-mb is %q", rw.memoryMB), fmt.Sprintf("set it to a whole number of megabytes, %d or more", minMemoryMB))
 	}
 	se.Memory = mb << 20
-	mbps, err := strconv.ParseFloat(rw.link, 64)
-	if err != nil || !(mbps >= 0 && mbps <= maxLink) {
-		rd.add("link-mbps", fmt.Sprintf("link-mbps is %q", rw.link), fmt.Sprintf("set it to a number from 0 to %d", maxLink))
+	mbps, err := strconv.ParseFloat(rw.linkMbps, 64)
+	if err != nil || !(mbps >= 0 && mbps <= maxLinkMbps) {
+		rd.addProblem("link-mbps", fmt.Sprintf("link-mbps is %q", rw.linkMbps), fmt.Sprintf("set it to a number from 0 to %d", maxLinkMbps))
 	}
 	se.Link = mbps * 1e6
-	se.FirstStart, err = strconv.ParseBool(rw.first)
+	se.FirstStart, err = strconv.ParseBool(rw.firstStart)
 	if err != nil {
-		rd.add("first-start", fmt.Sprintf("first-start is %q", rw.first), "set it to true or false")
+		rd.addProblem("first-start", fmt.Sprintf("first-start is %q", rw.firstStart), "set it to true or false")
 	}
-	se.Repeats.Ratio = rd.number("retry-ratio", rw.ratio, retry.Default.Ratio, 1)
-	se.Repeats.Spare = rd.number("retry-spare", rw.spare, retry.Default.Spare, maxSpare)
-	se.DrainTimeout, err = time.ParseDuration(rw.drain)
+	se.Repeats.Ratio = rd.number("retry-ratio", rw.retryRatio, retry.Default.Ratio, 1)
+	se.Repeats.Spare = rd.number("retry-spare", rw.retrySpare, retry.Default.Spare, maxRetrySpare)
+	se.DrainTimeout, err = time.ParseDuration(rw.drainTimeout)
 	if err != nil || se.DrainTimeout < 0 {
-		rd.add("drain-timeout", fmt.Sprintf("drain-timeout is %q", rw.drain), "set it to a duration such as 30s")
+		rd.addProblem("drain-timeout", fmt.Sprintf("drain-timeout is %q", rw.drainTimeout), "set it to a duration such as 30s")
 	}
 	return se
 }
 
-// maxSpare is the highest number of repeats beyond the ratio.
-const maxSpare = 1_000_000
+// maxRetrySpare is the highest number of repeats beyond the ratio.
+const maxRetrySpare = 1_000_000
 
 // number reads a number from 0 to most, or returns the default where none is set.
-func (rd *Reader) number(setting, value string, unset, most float64) float64 {
+func (rd *Reader) number(setting, value string, def, limit float64) float64 {
 	if value == "" {
-		return unset
+		return def
 	}
 	n, err := strconv.ParseFloat(value, 64)
-	if err != nil || !(n >= 0 && n <= most) {
-		rd.add(setting, fmt.Sprintf("%s is %q", setting, value), fmt.Sprintf("set it to a number from 0 to %.0f", most))
+	if err != nil || !(n >= 0 && n <= limit) {
+		rd.addProblem(setting, fmt.Sprintf("%s is %q", setting, value), fmt.Sprintf("set it to a number from 0 to %.0f", limit))
 	}
 	return n
 }
 
-// maxLink is the highest rate of a link, in Mbit/s.
-const maxLink = 1_000_000
+// maxLinkMbps is the highest rate of a link, in Mbit/s.
+const maxLinkMbps = 1_000_000
 
-// minMemory is what a daemon takes at least, in megabytes: when idle, and some room for
+// minMemoryMB is what a daemon takes at least, in megabytes: when idle, and some room for
 // requests.
-const minMemory = 24
+const minMemoryMB = 24
 
 func (rd *Reader) name(setting, value string) string {
 	switch {
 	case value == "":
-		rd.add(setting, setting+" is not set", "set it to the name that the inventory has")
-	case !nameForm.MatchString(value):
-		rd.add(setting, fmt.Sprintf("%s is %q", setting, value), "set it to the name that the inventory has: 1 to 63 of a-z, 0-9, \"-\" and \".\"")
+		rd.addProblem(setting, setting+" is not set", "set it to the name that the inventory has")
+	case !nameRegexp.MatchString(value):
+		rd.addProblem(setting, fmt.Sprintf("%s is %q", setting, value), "set it to the name that the inventory has: 1 to 63 of a-z, 0-9, \"-\" and \".\"")
 	}
 	return value
 }
 
 func (rd *Reader) optionalName(setting, value string) string {
-	if value != "" && !nameForm.MatchString(value) {
-		rd.add(setting, fmt.Sprintf("%s is %q", setting, value), "set it to 1 to 63 of a-z, 0-9, \"-\" and \".\", or leave it out")
+	if value != "" && !nameRegexp.MatchString(value) {
+		rd.addProblem(setting, fmt.Sprintf("%s is %q", setting, value), "set it to 1 to 63 of a-z, 0-9, \"-\" and \".\", or leave it out")
 	}
 	return value
 }
@@ -364,10 +364,10 @@
 		return nil
 	}
 	domains := map[string]string{}
-	for _, one := range strings.Split(text, ",") {
-		name, region, _ := strings.Cut(strings.TrimSpace(one), "=")
-		if !nameForm.MatchString(name) || !nameForm.MatchString(region) {
-			rd.add("failure-domains", fmt.Sprintf("failure-domains has %q", one), "write each as NAME=REGION, separated by commas")
+	for _, item := range strings.Split(text, ",") {
+		name, region, _ := strings.Cut(strings.TrimSpace(item), "=")
+		if !nameRegexp.MatchString(name) || !nameRegexp.MatchString(region) {
+			rd.addProblem("failure-domains", fmt.Sprintf("failure-domains has %q", item), "write each as NAME=REGION, separated by commas")
 		}
 		domains[name] = region
 	}
@@ -378,7 +378,7 @@
 // would bring in a resolver that may be out when it is needed.
 func (rd *Reader) addr(setting, value string) string {
 	if value == "" {
-		rd.add(setting, setting+" is not set", "set it to an address as 10.0.0.1:7000")
+		rd.addProblem(setting, setting+" is not set", "set it to an address as 10.0.0.1:7000")
 		return value
 	}
 	host, port, err := net.SplitHostPort(value)
@@ -389,12 +389,12 @@
 		_, err = strconv.ParseUint(port, 10, 16)
 	}
 	if err != nil {
-		rd.add(setting, fmt.Sprintf("%s is %q", setting, value), "set it to an IP number and a port as 10.0.0.1:7000")
+		rd.addProblem(setting, fmt.Sprintf("%s is %q", setting, value), "set it to an IP number and a port as 10.0.0.1:7000")
 	}
 	return value
 }
 
-func (rd *Reader) distinct(se *Settings) {
+func (rd *Reader) checkDistinct(se *Settings) {
 	seen := map[string]string{}
 	for _, it := range []struct{ name, addr string }{
 		{"outlet", se.Outlet}, {"inlet", se.Inlet}, {"control", se.Control}, {"admin", se.Admin},
@@ -404,7 +404,7 @@
 			continue
 		}
 		if other, ok := seen[it.addr]; ok {
-			rd.add(it.name, fmt.Sprintf("%s and %s have the same address %s", other, it.name, it.addr), "give each its own port")
+			rd.addProblem(it.name, fmt.Sprintf("%s and %s have the same address %s", other, it.name, it.addr), "give each its own port")
 		}
 		seen[it.addr] = it.name
 	}
--- a/internal/node/setup/setup_test.go
+++ b/internal/node/setup/setup_test.go
@@ -12,13 +12,13 @@
 	"github.com/peterbourgon/ff/v3"
 )
 
-// whole has each required setting.
-var whole = map[string]string{
+// required has each required setting.
+var required = map[string]string{
 	"vm": "centro-1", "failure-domain": "sala-centro", "inlet": "127.0.0.1:7001", "control": "127.0.0.1:7002", "platform": "127.0.0.1:7070",
 }
 
-// read reads settings given as a file.
-func read(t *testing.T, text string, args ...string) (Settings, []string) {
+// readText reads settings given as a file.
+func readText(t *testing.T, text string, args ...string) (Settings, []string) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "daemon.yaml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -37,20 +37,20 @@
 	return se, strings.Split(strings.ReplaceAll(err.Error(), file, "daemon.yaml"), "\n")
 }
 
-func settings(without, more string) string {
+func settings(omit, extra string) string {
 	var b strings.Builder
 	for _, name := range []string{"vm", "failure-domain", "inlet", "control", "platform"} {
-		if name != without {
-			b.WriteString(name + ": " + whole[name] + "\n")
+		if name != omit {
+			b.WriteString(name + ": " + required[name] + "\n")
 		}
 	}
-	return b.String() + more
+	return b.String() + extra
 }
 
 // TestMissing starts with each required setting missing.
 func TestMissing(t *testing.T) {
-	for name := range whole {
-		_, got := read(t, settings(name, ""))
+	for name := range required {
+		_, got := readText(t, settings(name, ""))
 		remedy := "set it to an address as 10.0.0.1:7000"
 		if name == "vm" || name == "failure-domain" {
 			remedy = "set it to the name that the inventory has"
@@ -94,7 +94,7 @@
 		{"argument", settings("", ""), []string{"x"}, []string{`command line: unexpected argument "x"; settings are given as --name value`}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			_, got := read(t, tc.text, tc.args...)
+			_, got := readText(t, tc.text, tc.args...)
 			if diff := cmp.Diff(tc.want, got); diff != "" {
 				t.Errorf("(-want +got):\n%s", diff)
 			}
@@ -107,15 +107,15 @@
 func TestPrecedence(t *testing.T) {
 	t.Setenv("FLAMINGOMAST_FAILURE_DOMAIN", "from-environment")
 	t.Setenv("FLAMINGOMAST_VM", "from-environment")
-	se, prs := read(t, settings("", ""), "--vm", "from-flag")
-	if prs != nil || se.VM != "from-flag" || se.Domain != "from-environment" || se.Inlet != whole["inlet"] {
+	se, prs := readText(t, settings("", ""), "--vm", "from-flag")
+	if prs != nil || se.VM != "from-flag" || se.Domain != "from-environment" || se.Inlet != required["inlet"] {
 		t.Errorf("settings %s, problems %v", se, prs)
 	}
 }
 
-// TestSecret: the mesh token is in no printed form of the settings.
-func TestSecret(t *testing.T) {
-	se, _ := read(t, settings("", "mesh-token: hush\n"))
+// TestTokenNotPrinted: the mesh token is in no printed form of the settings.
+func TestTokenNotPrinted(t *testing.T) {
+	se, _ := readText(t, settings("", "mesh-token: hush\n"))
 	if se.Token != "hush" {
 		t.Fatalf("token %q", se.Token)
 	}
