--- a/internal/node/admin/admin.go
+++ b/internal/node/admin/admin.go
@@ -15,43 +15,42 @@
 	"github.com/flamingomast/flamingomast/internal/stat/expo"
 )
 
-// Announcement is how a backend server tells its own daemon that it serves.
-// It must be renewed before TTL has passed.
+// Announcement is sent by a backend server to its own daemon to register. It has to be renewed
+// before TTL has passed.
 type Announcement struct {
 	Service string `json:"service"`
-	// Address is where it listens; empty stands for the service's declared
-	// port on this VM.
+	// Address is the listen address of the server; if empty, it is the service's declared port on
+	// this VM.
 	Address string `json:"address,omitempty"`
-	// Software is the version of its software, where it tells.
+	// Software is the server's software version, if known.
 	Software string `json:"software,omitempty"`
 	// Slots overrides the declared slots when above 0.
 	Slots int `json:"slots,omitempty"`
 	TTLMs int `json:"ttl-ms,omitempty"`
-	// Lifetime names this start of the server. With it, Number rises with each
-	// announcement, so that one that comes late is known as such.
+	// Lifetime identifies this start of the server. Within a lifetime, Number increases with each
+	// announcement, so that one that arrives late is recognized.
 	Lifetime string `json:"lifetime,omitempty"`
 	Number   uint64 `json:"number,omitempty"`
-	// StartedMs is the Unix time in milliseconds of the start. A server may start
-	// again under the same lifetime, and number its announcements anew; 0 where it
-	// does not tell.
+	// StartedMs is the Unix time of the start in milliseconds, 0 if not given. It tells starts
+	// apart when a server starts again under the same lifetime and restarts its numbers.
 	StartedMs int64 `json:"started-ms,omitempty"`
-	// State is StateServing, which the empty string stands for, or
-	// StateDraining: it takes no new requests and will leave.
+	// State is StateServing, also if empty, or StateDraining: the server takes no new requests and
+	// will stop.
 	State string `json:"state,omitempty"`
-	// ColdMs is how much longer the server is slow after its start.
+	// ColdMs is the remaining time in milliseconds for which the server is slow after its start.
 	ColdMs int `json:"cold-ms,omitempty"`
 }
 
-// Withdrawal is how a backend server tells its own daemon that it is to get no more
+// Withdrawal is sent by a backend server to its own daemon to deregister: it is to get no more
 // requests.
 type Withdrawal struct {
-	// Lifetime and StartedMs are those of the announcements, each empty where the
-	// server does not tell.
+	// Lifetime and StartedMs are those of the announcements, each zero if the server does not give
+	// it.
 	Lifetime  string
 	StartedMs int64
 }
 
-// The states of an announcement.
+// States of an announcement.
 const (
 	StateServing  = "serving"
 	StateDraining = "draining"
@@ -60,14 +59,14 @@
 // Draining reports whether the server takes no new requests.
 func (an *Announcement) Draining() bool { return an.State == StateDraining }
 
-// The bounds of an announcement's time.
+// Default and bounds of the TTL of an announcement.
 const (
 	DefaultTTL = 6 * time.Second
 	minTTL     = time.Second
 	maxTTL     = time.Minute
 )
 
-// TTL returns for how long the announcement holds.
+// TTL returns how long the announcement is valid.
 func (an *Announcement) TTL() time.Duration {
 	if an.TTLMs == 0 {
 		return DefaultTTL
@@ -75,7 +74,7 @@
 	return time.Duration(an.TTLMs) * time.Millisecond
 }
 
-// Check returns what is wrong with the announcement.
+// Check returns the first error found in the announcement, or nil.
 func (an *Announcement) Check() error {
 	switch {
 	case an.State != "" && an.State != StateServing && an.State != StateDraining:
@@ -93,35 +92,37 @@
 	}
 	if an.Address != "" {
 		if _, err := netip.ParseAddrPort(an.Address); err != nil {
-			return fmt.Errorf("address is %q; set it to an IP number and a port", an.Address)
+			return fmt.Errorf("address is %q; set it to an IP address and port", an.Address)
 		}
 	}
 	return nil
 }
 
-// Handlers are what the pages call.
+// Handlers holds the functions that the HTTP endpoints call.
 type Handlers struct {
-	// Announce and Withdraw take a backend server in and out.
+	// Announce registers a backend server, Withdraw deregisters it.
 	Announce func(context.Context, Announcement) error
 	Withdraw func(context.Context, Withdrawal)
-	// Refused notes what was announced for a lifetime and cannot be read or is wrong.
+	// OnBadAnnouncement is called when an announcement for a lifetime cannot be decoded or is
+	// invalid.
 	Refused func(lifetime string, err error)
-	// Ready returns why the daemon is not ready, nil when it is.
+	// Ready returns the reason why the daemon is not ready, or nil if it is.
 	Ready func() error
-	// Status returns what is known of the fleet.
+	// Status returns the state of the fleet as this daemon knows it.
 	Status func(context.Context) Status
 	// Drain drains a VM, this one or another, and returns how many requests
 	// are still running there.
 	Drain func(ctx context.Context, vm string) (int, error)
-	// Sample sets the share of requests that are logged.
+	// SetLogSample sets the share of requests that is logged.
 	Sample func(share float64)
 	// Vars are the daemon's metrics.
 	Vars *expvar.Map
-	// Unsent, if set, notes that an answer could not be sent, as when the asker has gone.
+	// OnWriteError, if set, is called when an answer could not be sent, for example because the client
+	// has gone.
 	Unsent func(err error)
 }
 
-// New returns the handler of the pages.
+// New returns the HTTP handler of all endpoints.
 func New(hs Handlers) http.Handler {
 	rt := httprouter.New()
 	rt.POST("/announce", hs.announce)
@@ -136,7 +137,7 @@
 	return rt
 }
 
-// maxAnnouncementBytes bounds the body of an announcement in bytes.
+// maxAnnouncementBytes is the size limit of the body of an announcement.
 const maxAnnouncementBytes = 4 << 10
 
 func (hs *Handlers) announce(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
@@ -194,7 +195,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// DrainResult answers an order to drain.
+// DrainResult is the response to a drain request.
 type DrainResult struct {
 	VM      string `json:"vm"`
 	Running int    `json:"running"`
@@ -224,14 +225,14 @@
 	hs.reportWrite(err)
 }
 
-// reportWrite notes how sending an answer ended.
+// reportWrite reports an error of writing an answer, if any.
 func (hs *Handlers) reportWrite(err error) {
 	if err != nil && hs.Unsent != nil {
 		hs.Unsent(err)
 	}
 }
 
-// Failure is the body of an answer that reports an error.
+// Failure is the body of an error response.
 type Failure struct {
 	Error string `json:"error"`
 }
--- a/internal/node/admin/admin_test.go
+++ b/internal/node/admin/admin_test.go
@@ -32,7 +32,7 @@
 		{"POST", "/announce", `{"service":"booking","adress":"x"}`, 400, `unknown field \"adress\"`},
 		{"POST", "/announce", `{}`, 400, "service is not set; name the service of the inventory"},
 		{"POST", "/announce", `{"service":"b","ttl-ms":1}`, 400, "ttl-ms is 1; set it from 1000 to 60000"},
-		{"POST", "/announce", `{"service":"b","address":"localhost:1"}`, 400, `address is \"localhost:1\"; set it to an IP number and a port`},
+		{"POST", "/announce", `{"service":"b","address":"localhost:1"}`, 400, `address is \"localhost:1\"; set it to an IP address and port`},
 		{"DELETE", "/announce", "", 204, ""},
 		{"POST", "/drain/vm-1", "", 200, `{"vm":"vm-1","running":3}`},
 		{"GET", "/status", "", 200, `"vm":"v"`},
@@ -73,14 +73,14 @@
 		"failure domain b has 3 daemons and no backend server that serves",
 		"failure domain c is cut off from v",
 		"failure domain d has reported nothing",
-		"failure domain e: not heard of z",
+		"failure domain e: no contact with z",
 		"the platform does not answer: down",
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 	if alarms := (&Status{Domains: st.Domains[:1]}).Alarms(); alarms != nil {
-		t.Errorf("alarms of a fleet that is well: %v", alarms)
+		t.Errorf("alarms of a healthy fleet: %v", alarms)
 	}
 }
 
--- a/internal/node/admin/alarm.go
+++ b/internal/node/admin/alarm.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Alarm is something in a status that an operator should look at.
+// Alarm is a problem in a status that needs an operator's attention, and the action to take.
 type Alarm struct {
 	Problem string `json:"what"`
 	Action  string `json:"do"`
 }
 
-// Alarms returns what is wrong in a status and what to do about it, the
-// gravest first. Drains and versions on their way are no alarms.
+// Alarms returns the problems in a status, most severe first. Drains and versions that are still
+// being distributed raise no alarm.
 func (st *Status) Alarms() []Alarm {
 	var list []Alarm
 	add := func(action, format string, args ...any) {
@@ -31,18 +31,18 @@
 	for _, ds := range st.Domains {
 		switch {
 		case ds.Cut:
-			add("look at the network between the failure domains", "failure domain %s is cut off from %s", ds.Name, st.VM)
+			add("check the network between the failure domains", "failure domain %s is cut off from %s", ds.Name, st.VM)
 		case ds.Unknown:
-			add("start daemons there, or look at the network", "failure domain %s has reported nothing", ds.Name)
+			add("start daemons there, or check the network", "failure domain %s has reported nothing", ds.Name)
 		case ds.Members > 0 && ds.Serving == 0:
-			add("look at the backend servers there", "failure domain %s has %d daemons and no backend server that serves", ds.Name, ds.Members)
+			add("check the backend servers there", "failure domain %s has %d daemons and no backend server that serves", ds.Name, ds.Members)
 		}
 		if len(ds.Silent) > 0 {
-			add("look at the network there first, then at these VMs", "failure domain %s: not heard of %s", ds.Name, strings.Join(ds.Silent, ", "))
+			add("check the network there first, then these VMs", "failure domain %s: no contact with %s", ds.Name, strings.Join(ds.Silent, ", "))
 		}
 	}
 	if st.PlatformError != "" {
-		add("daemons go on with what they hold; nothing can be accepted meanwhile", "the platform does not answer: %s", st.PlatformError)
+		add("daemons continue with the version they hold; no submission can be accepted meanwhile", "the platform does not answer: %s", st.PlatformError)
 	}
 	return list
 }
--- a/internal/node/admin/doc.go
+++ b/internal/node/admin/doc.go
@@ -1,3 +1,3 @@
-// Package admin serves what is local to a VM: announcements of its backend
-// server, health, metrics, and the questions and orders of operators.
+// Package admin serves the local HTTP interface of a daemon: announcements of the VM's backend
+// server, health checks, metrics, and the status and drain requests of operators.
 package admin
--- a/internal/node/admin/status.go
+++ b/internal/node/admin/status.go
@@ -8,12 +8,11 @@
 	"github.com/flamingomast/flamingomast/internal/mesh/wirepb"
 )
 
-// Status is what a daemon knows of the fleet.
+// Status is the state of the fleet as one daemon knows it.
 type Status struct {
 	VM      string `json:"vm"`
 	Version uint64 `json:"version"`
-	// Latest is the newest version known here, Platform the one that the
-	// platform shows.
+	// Latest is the newest version known to this daemon, Platform the one stored at the platform.
 	Latest         uint64         `json:"latest"`
 	Platform       uint64         `json:"platform"`
 	PlatformError  string         `json:"platform-error,omitempty"`
@@ -21,10 +20,10 @@
 	Domains        []DomainStatus `json:"failure-domains"`
 }
 
-// DomainStatus is what is known of one failure domain.
+// DomainStatus is the state of one failure domain.
 type DomainStatus struct {
 	Name string `json:"name"`
-	// Lowest and Highest are the versions between which its members are.
+	// Lowest and Highest are the lowest and the highest version that a member holds.
 	Lowest   uint64   `json:"lowest"`
 	Highest  uint64   `json:"highest"`
 	Members  int      `json:"members"`
@@ -33,13 +32,13 @@
 	Refused  []string `json:"refused,omitempty"`
 	Draining []string `json:"draining,omitempty"`
 	Silent   []string `json:"silent,omitempty"`
-	// Cut is set while the reporting relay has no link to it, Unknown while it
-	// has reported nothing.
+	// Unreachable is set while the reporting relay has no link to the failure domain, Unknown while
+	// the failure domain has reported nothing.
 	Cut     bool `json:"cut,omitempty"`
 	Unknown bool `json:"unknown,omitempty"`
 }
 
-// NewStatus puts a status together; domains are the declared ones.
+// NewStatus builds a status from a StatusResponse. domains are the declared failure domains.
 func NewStatus(vm string, version uint64, domains []string, res *wirepb.StatusResponse) Status {
 	st := Status{
 		VM: vm, Version: version, Latest: res.Latest, Platform: res.Platform,
@@ -89,8 +88,8 @@
 	return st
 }
 
-// Missing returns the failure domains and VMs that are not known to hold
-// version. A failure domain without any living member lacks nothing.
+// Missing returns the failure domains and VMs that are not known to hold version. A failure domain
+// without live members is not listed.
 func (st *Status) Missing(version uint64) []string {
 	var list []string
 	for _, ds := range st.Domains {
--- a/internal/node/cmds/account.go
+++ b/internal/node/cmds/account.go
@@ -21,9 +21,9 @@
 	ap.jsonFlag(fs)
 	return &ffcli.Command{
 		Name: "account", ShortUsage: "flamingomast account LOG...", FlagSet: fs, Options: envOption(),
-		ShortHelp: "Sum up from daemons' logs what became of the requests of a span of time.",
-		LongHelp: "The logs of the daemons are given as files, in any order. Daemons leave out lines under\n" +
-			"load; their number is told, and with any the counts are lower limits.",
+		ShortHelp: "Summarize the outcomes of the requests in daemons' logs.",
+		LongHelp: "The daemons' logs are given as files, in any order. Daemons leave out lines under load;\n" +
+			"their number is printed, and the counts are then lower limits.",
 		Exec: func(_ context.Context, files []string) error {
 			if len(files) == 0 {
 				return usageError("flamingomast account: name the logs")
@@ -43,13 +43,13 @@
 	}
 }
 
-// readFile hands a file that the command verb was given to read.
+// readFile opens the file name, an argument of command, and passes it to read.
 func readFile(command, name string, read func(io.Reader) error) error {
 	file, err := os.Open(name)
 	if err != nil {
 		return usageError("flamingomast " + command + ": " + err.Error())
 	}
-	// It was only read.
+	// The file is only read, so an error of Close loses no data.
 	defer file.Close()
 	return read(file)
 }
@@ -88,25 +88,25 @@
 	return nil
 }
 
-// printFleet prints what the daemons took and sent.
+// printFleet prints the memory, processor time and traffic of the daemons.
 func (ap *app) printFleet(fl *acct.Fleet) {
 	if fl == nil {
 		return
 	}
 	const mega = 1e6
-	fmt.Fprintf(ap.out, "\n%d processes: %.1f MB resident in the mean, %.1f at most; %.1f s of processor; %.1f MB of control and %.1f MB of requests sent\n",
+	fmt.Fprintf(ap.out, "\n%d processes: %.1f MB resident on average, %.1f at most; %.1f s of processor time; %.1f MB of control traffic and %.1f MB of requests sent\n",
 		fl.Processes, float64(fl.Resident)/mega, float64(fl.ResidentMost)/mega, fl.Processor.Seconds(), float64(fl.ControlOut)/mega, float64(fl.PathOut)/mega)
 	for _, row := range []struct {
 		name string
 		by   map[string]int64
-	}{{"calls to the platform", fl.Calls}, {"bytes read there", fl.Read}, {"bytes of links", fl.Links}} {
+	}{{"calls to the platform", fl.Calls}, {"bytes read from the platform", fl.Read}, {"bytes on links", fl.Links}} {
 		if len(row.by) > 0 {
 			fmt.Fprintf(ap.out, "%s: %s\n", row.name, formatCounts(row.by))
 		}
 	}
 }
 
-// formatQuantiles gives the middle and the nine-in-ten value in milliseconds.
+// formatQuantiles formats the median and the 90th percentile in milliseconds.
 func formatQuantiles(ti acct.Times) string {
 	return fmt.Sprintf("%d/%d ms", ti.Middle.Round(time.Millisecond).Milliseconds(), ti.Ninth.Round(time.Millisecond).Milliseconds())
 }
--- a/internal/node/cmds/change.go
+++ b/internal/node/cmds/change.go
@@ -9,22 +9,21 @@
 	"github.com/flamingomast/flamingomast/internal/conf/pack"
 )
 
-// change is one resource of a plan.
+// change is the change to one resource in a plan.
 type change struct {
 	Change   string  `json:"change"`
 	Resource string  `json:"resource"`
 	Fields   []field `json:"fields,omitempty"`
 }
 
-// field is a changed field of a resource; an empty side means that the field
-// is not set there.
+// field is a changed field of a resource. Old or New is empty if the field is not set on that side.
 type field struct {
 	Name string `json:"name"`
 	Old  string `json:"old,omitempty"`
 	New  string `json:"new,omitempty"`
 }
 
-// changes returns what leads from old to next; a nil old is an empty one.
+// changes returns the changes from old to next. A nil old is an empty content.
 func changes(old, next *pack.Content) []change {
 	var list []change
 	dt := pack.Diff(old, next)
@@ -43,8 +42,8 @@
 	return list
 }
 
-// diffFields compares two encodings of a resource, field by field. Bodies come from
-// checked contents; one that is no object has no fields to compare.
+// diffFields compares two JSON encodings of a resource field by field. Bodies come from validated
+// contents; one that is not a JSON object yields no fields.
 func diffFields(old, next []byte) []field {
 	var a, b map[string]json.RawMessage
 	if json.Unmarshal(old, &a) != nil || json.Unmarshal(next, &b) != nil {
--- a/internal/node/cmds/cmds.go
+++ b/internal/node/cmds/cmds.go
@@ -28,48 +28,49 @@
 	"github.com/flamingomast/flamingomast/internal/stat/logs"
 )
 
-// The exit codes, for pipelines.
+// Exit codes, which scripts can rely on.
 const (
 	ExitOK       = 0
 	ExitFailed   = 1
 	ExitUsage    = 2 // the command line, settings or declarations are wrong
 	ExitConflict = 3 // another submission changed the same resources
 	ExitWaiting  = 4 // accepted, but not yet in force everywhere
-	ExitUnknown  = 5 // it is not known whether the submission was accepted
-	ExitPlatform = 6 // the platform does not answer, or was set back
+	ExitUnknown  = 5 // whether the submission was accepted is not known
+	ExitPlatform = 6 // the platform does not answer or was set back
 )
 
-// memoryLimit is the soft limit of what the runtime takes, below the 32 MB that the
-// whole process may take with its program text.
+// memoryLimit is the lowest soft memory limit set for the Go runtime. It lies below the 32 MB that
+// the whole process may use, which include the program text.
 const memoryLimit = 22 << 20
 
-// memoryFraction is the part of a larger allowance that the runtime may take. Below
-// what the load needs the collector runs all the time.
+// memoryFraction is the fraction of a larger memory setting that the runtime may use. With a limit
+// below what the load needs, the garbage collector would run all the time.
 const memoryFraction = 0.7
 
-// app holds what the commands share.
+// app holds the state that the commands share.
 type app struct {
 	out, err io.Writer
-	// platform and daemons are set by flags of the operators' commands.
+	// platform and daemon are addresses set by the flags of the operators' commands.
 	platform, daemon string
 	adapters         Adapters
 	json             bool
 }
 
-// Adapters are the platforms that a daemon can be joined to, by name.
+// Adapters maps names to the platform adapters that a daemon can use.
 type Adapters map[string]daemon.Adapter
 
 // Main runs the command line and returns the exit code.
 func Main(args []string, out, errOut io.Writer, ads Adapters) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	// Left to itself the runtime ends the process at a SIGHUP. The daemon takes
-	// it as news of changed settings; other commands have none.
+	// By default SIGHUP ends the process. The daemon reloads its settings on it, and the other
+	// commands ignore it.
 	signal.Ignore(syscall.SIGHUP)
 	return Run(ctx, args, out, errOut, ads)
 }
 
-// Run runs the command line until it is done or ctx ends.
+// Run runs the command line until the command returns or ctx is canceled, and returns the exit
+// code.
 func Run(ctx context.Context, args []string, out, errOut io.Writer, ads Adapters) int {
 	ap := &app{out: out, err: errOut, adapters: ads}
 	root := ap.root()
@@ -83,7 +84,7 @@
 	return ap.exitCode(root.Run(ctx))
 }
 
-// exitCode prints an error and returns its exit code.
+// exitCode prints err and returns the exit code for it.
 func (ap *app) exitCode(err error) int {
 	if err == nil {
 		return ExitOK
@@ -117,10 +118,10 @@
 	return ExitFailed
 }
 
-// usageError says that a command was called in a wrong way.
+// usageError reports wrong arguments or flags.
 type usageError string
 
-// Error returns the text.
+// Error returns the message.
 func (ue usageError) Error() string { return string(ue) }
 
 func (ap *app) root() *ffcli.Command {
@@ -144,7 +145,7 @@
 	}
 }
 
-// addFlags returns a flag set whose flags can also be given by environment.
+// newFlagSet returns an empty flag set for the command name.
 func (ap *app) newFlagSet(name string) *flag.FlagSet {
 	fs := flag.NewFlagSet("flamingomast "+name, flag.ContinueOnError)
 	fs.SetOutput(ap.err)
@@ -169,7 +170,7 @@
 			if !ok && se.Adapter != "" {
 				return usageError(fmt.Sprintf("no adapter %q; %s", se.Adapter, strict.Suggest(se.Adapter, slices.Sorted(maps.Keys(ap.adapters)))))
 			}
-			// The profile of allocations costs memory, and nothing reads it.
+			// Allocation profiling costs memory, and nothing reads the profile.
 			runtime.MemProfileRate = 0
 			debug.SetMemoryLimit(max(memoryLimit, int64(memoryFraction*float64(se.Memory))))
 			var level slog.LevelVar
@@ -182,7 +183,7 @@
 			defer wg.Wait()
 			defer cancel()
 			log := slog.New(logs.NewHandler(slog.NewJSONHandler(wr, &slog.HandlerOptions{Level: &level})))
-			// What libraries log by themselves becomes JSON lines too.
+			// Lines that libraries log through the default logger become JSON too.
 			slog.SetDefault(log)
 			dm := daemon.New(se, daemon.Options{Log: log, Adapter: ad})
 			wg.Go(func() { ap.watchSettings(bgCtx, dm, fs, &level, log) })
--- a/internal/node/cmds/cmds_test.go
+++ b/internal/node/cmds/cmds_test.go
@@ -21,8 +21,8 @@
 	})
 }
 
-// TestScripts runs the operators' commands against a stand-in of the platform,
-// whose address is in $PLATFORM.
+// TestScripts runs the operators' commands against an in-memory stand-in for the platform, whose
+// address is in $PLATFORM.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: filepath.Join("testdata", "script"),
@@ -38,7 +38,7 @@
 			return nil
 		},
 		Cmds: map[string]func(ts *testscript.TestScript, neg bool, args []string){
-			// exit STATUS ARGS... runs the command and compares its status.
+			// exits STATUS ARGS... runs the command and compares its exit status.
 			"exits": func(ts *testscript.TestScript, _ bool, args []string) {
 				var out, errOut bytes.Buffer
 				for i, a := range args[1:] {
@@ -55,7 +55,7 @@
 	})
 }
 
-// TestHelp: each command has a help that names its arguments.
+// TestHelp checks that each command has a help text with its usage.
 func TestHelp(t *testing.T) {
 	ap := &app{out: &bytes.Buffer{}, err: &bytes.Buffer{}}
 	for _, sub := range ap.root().Subcommands {
--- a/internal/node/cmds/declare.go
+++ b/internal/node/cmds/declare.go
@@ -41,7 +41,7 @@
 	return remote.New(ap.platform).Store(), nil
 }
 
-// printJSON prints v as one line of JSON.
+// printJSON writes v as one line of JSON.
 func (ap *app) printJSON(v any) error { return json.NewEncoder(ap.out).Encode(v) }
 
 func dirArg(args []string) (string, error) {
@@ -69,7 +69,7 @@
 	canonical := fs.Bool("print", false, "print the declarations in their canonical form")
 	return &ffcli.Command{
 		Name: "check", ShortUsage: "flamingomast check [--print] DIR", FlagSet: fs, Options: envOption(),
-		ShortHelp: "Check declarations and list all that is wrong with them.",
+		ShortHelp: "Check declarations and list all errors in them.",
 		Exec: func(_ context.Context, args []string) error {
 			ms, co, err := readDir(args)
 			if err != nil {
@@ -95,7 +95,7 @@
 	ap.jsonFlag(fs)
 	return &ffcli.Command{
 		Name: "plan", ShortUsage: "flamingomast plan --platform ADDR DIR", FlagSet: fs, Options: envOption(),
-		ShortHelp: "Show what applying declarations would change, from the version in force.",
+		ShortHelp: "Show what applying the declarations would change in the version in force.",
 		Exec: func(ctx context.Context, args []string) error {
 			_, co, err := readDir(args)
 			if err != nil {
@@ -137,22 +137,22 @@
 	return hd, co, err
 }
 
-// applyOptions are the flags of apply.
+// applyOptions holds the flags of apply and revert.
 type applyOptions struct {
 	base, author, commit, submission string
 	wait, timeout                    time.Duration
 	resume                           bool
 }
 
-// addFlags declares what apply and revert have in common.
+// addFlags registers the flags that apply and revert have in common.
 func (op *applyOptions) addFlags(fs *flag.FlagSet) {
-	fs.StringVar(&op.author, "author", os.Getenv("USER"), "who makes the version")
-	fs.StringVar(&op.submission, "submission", "", "id of the submission; give the same one to repeat it (drawn if empty)")
-	fs.DurationVar(&op.wait, "wait", 0, "wait until the version is in force everywhere, and name the VMs that lack it after this time (needs --daemon)")
-	fs.DurationVar(&op.timeout, "timeout", 30*time.Second, "how long to try while the platform does not answer")
+	fs.StringVar(&op.author, "author", os.Getenv("USER"), "author of the version")
+	fs.StringVar(&op.submission, "submission", "", "id of the submission; repeat a submission with the same id (random if empty)")
+	fs.DurationVar(&op.wait, "wait", 0, "wait up to this long until the version is in force everywhere, and list the VMs that lack it after that (needs --daemon)")
+	fs.DurationVar(&op.timeout, "timeout", 30*time.Second, "how long to retry while the platform does not answer")
 }
 
-// submissionID returns the submission's id, a drawn one if none was given.
+// submissionID returns the id of the submission. It generates a random one if none was given.
 func (op *applyOptions) submissionID() string {
 	if op.submission == "" {
 		op.submission = strings.ToLower(rand.Text())
@@ -166,14 +166,14 @@
 	ap.platformFlag(fs)
 	ap.daemonFlag(fs)
 	ap.jsonFlag(fs)
-	fs.StringVar(&op.base, "base", "", "version that the declarations were made from: its number, or the commit it was applied with")
+	fs.StringVar(&op.base, "base", "", "version that the declarations are based on: its number, or the commit it was applied with")
 	op.addFlags(fs)
 	fs.StringVar(&op.commit, "commit", "", "commit of the declarations in version control")
-	fs.BoolVar(&op.resume, "resume", false, "go on above the highest version that the fleet holds after the platform was set back (needs --daemon)")
+	fs.BoolVar(&op.resume, "resume", false, "continue above the highest version that the fleet holds after the platform was set back (needs --daemon)")
 	return &ffcli.Command{
 		Name: "apply", ShortUsage: "flamingomast apply --platform ADDR [--base VERSION] [--daemon ADDR [--wait DURATION]] DIR",
 		ShortHelp: "Make declarations the version in force.", FlagSet: fs, Options: envOption(),
-		LongHelp: "The declarations in DIR are the whole. Changes that others have made since the base are kept\nwhere they concern other resources; where they concern the same ones, nothing is applied.\n\nExit status: 0 done, 2 bad input, 3 conflict, 4 accepted but not yet in force everywhere,\n5 unknown (repeat with the same --submission), 6 the platform does not answer or was set back.",
+		LongHelp: "DIR holds the complete set of declarations. Changes that others have made since the base are kept\nif they concern other resources; if they concern the same ones, nothing is applied.\n\nExit status: 0 done, 2 bad input, 3 conflict, 4 accepted but not yet in force everywhere,\n5 unknown (repeat with the same --submission), 6 the platform does not answer or was set back.",
 		Exec: func(ctx context.Context, args []string) error {
 			return ap.apply(ctx, args, op)
 		},
@@ -203,19 +203,19 @@
 	return ap.submit(ctx, tctx, kv, sub, op.wait)
 }
 
-// submit makes a submission within tctx, says what became of it and waits for
-// it to be in force.
+// submit sends a submission within tctx, prints the result and, if wait is above 0, waits until the
+// version is in force.
 func (ap *app) submit(ctx, tctx context.Context, kv store.Store, sub accept.Submission, wait time.Duration) error {
 	if wait > 0 && ap.daemon == "" {
 		return usageError("--wait and --resume need --daemon, to ask what the fleet holds")
 	}
 	sub.Kept = func(key string, err error) {
-		fmt.Fprintf(ap.err, "the old key %s stays at the platform: %v\n", key, err)
+		fmt.Fprintf(ap.err, "the old key %s could not be deleted from the platform: %v\n", key, err)
 	}
 	if ap.daemon != "" {
 		st, err := ap.fetchStatus(ctx)
 		if err != nil {
-			return fmt.Errorf("asking the daemon what the fleet holds: %w", err)
+			return fmt.Errorf("asking the daemon which versions the fleet holds: %w", err)
 		}
 		sub.Floor = st.Latest
 	}
@@ -243,9 +243,9 @@
 	return nil
 }
 
-// resolveBase returns the version that a submission was made from. There is no
-// default once a version is in force: taking the newest for it would let an
-// operator with an old checkout undo the changes of others unawares.
+// resolveBase returns the version that a submission is based on. There is no default once a version
+// is in force: with the newest version as the default, an operator with an old checkout would
+// silently undo the changes of others.
 func resolveBase(ctx context.Context, kv store.Store, base string) (uint64, error) {
 	hd, err := loadHeadWithRetry(ctx, kv)
 	if err != nil {
@@ -271,9 +271,10 @@
 	return entries[i].Version, nil
 }
 
-// commitSearchDepth is how many versions are searched for a commit.
+// commitSearchDepth is the number of versions searched for a commit.
 const commitSearchDepth = 100
 
+// loadHeadWithRetry loads the head, and retries while the store returns errors, until ctx is done.
 func loadHeadWithRetry(ctx context.Context, kv store.Store) (*accept.Head, error) {
 	for {
 		hd, _, err := accept.Load(ctx, kv)
@@ -289,7 +290,7 @@
 	}
 }
 
-// entries returns up to most versions, the newest first.
+// entries returns up to limit versions, newest first.
 func entries(ctx context.Context, kv store.Store, hd *accept.Head, limit int) ([]accept.Entry, error) {
 	var list []accept.Entry
 	for en := hd.Last; en.Version > 0; {
@@ -314,10 +315,10 @@
 	fs := ap.newFlagSet("history")
 	ap.platformFlag(fs)
 	ap.jsonFlag(fs)
-	limit := fs.Int("most", 20, "how many versions to list")
+	limit := fs.Int("most", 20, "number of versions to list")
 	return &ffcli.Command{
 		Name: "history", ShortUsage: "flamingomast history --platform ADDR", FlagSet: fs, Options: envOption(),
-		ShortHelp: "List the accepted versions, the newest first.",
+		ShortHelp: "List the accepted versions, newest first.",
 		Exec: func(ctx context.Context, _ []string) error {
 			kv, err := ap.store()
 			if err != nil {
--- a/internal/node/cmds/dev.go
+++ b/internal/node/cmds/dev.go
@@ -22,7 +22,7 @@
 	"github.com/flamingomast/flamingomast/internal/plat/stand"
 )
 
-// defaultExample is what dev shows when no directory is named.
+// defaultExample is the directory that dev uses when none is given.
 const defaultExample = "examples/vale-sul"
 
 func (ap *app) devCmd() *ffcli.Command {
@@ -30,7 +30,7 @@
 	dur := fs.Duration("for", 10*time.Second, "how long to send requests")
 	return &ffcli.Command{
 		Name: "dev", ShortUsage: "flamingomast dev [--for DURATION] [DIR]", FlagSet: fs, Options: envOption(),
-		ShortHelp: "A first look: run the declarations of DIR on loopback, with requests, a change and a replaced VM.",
+		ShortHelp: "Demo: run the declarations of DIR on loopback, with requests, a configuration change and a replaced VM.",
 		Exec: func(ctx context.Context, args []string) error {
 			dir := defaultExample
 			if len(args) > 0 {
@@ -44,7 +44,7 @@
 				}
 			}
 			if err == nil && !summary.OK() {
-				err = errors.New("requests failed or doubled, or a daemon is behind; see the log above")
+				err = errors.New("requests failed or ran twice, or a daemon is behind; see the log above")
 			}
 			return err
 		},
@@ -56,8 +56,8 @@
 	listen := fs.String("listen", "127.0.0.1:7070", "address to serve, IP:PORT")
 	return &ffcli.Command{
 		Name: "dev-platform", ShortUsage: "flamingomast dev-platform [--listen ADDR]", FlagSet: fs, Options: envOption(),
-		ShortHelp: "Run a stand-in of the platform's key-value service, in memory, for tests.",
-		LongHelp:  "SIGUSR1 takes a copy of what it holds, SIGUSR2 comes back from the last copy in a new epoch.",
+		ShortHelp: "Run an in-memory stand-in for the platform's key-value service, for tests.",
+		LongHelp:  "SIGUSR1 takes a backup of its content, SIGUSR2 restores the last backup in a new epoch.",
 		Exec: func(ctx context.Context, _ []string) error {
 			ln, err := net.Listen("tcp", *listen)
 			if err != nil {
@@ -70,8 +70,8 @@
 	}
 }
 
-// backupOnSignals takes a copy of a stand-in at SIGUSR1, and comes back from the last one at
-// SIGUSR2, until ctx ends.
+// backupOnSignals backs up the stand-in on SIGUSR1 and restores the last backup, in a new epoch, on
+// SIGUSR2, until ctx is done.
 func backupOnSignals(ctx context.Context, st *stand.Stand, out io.Writer) {
 	log := slog.New(slog.NewJSONHandler(out, nil))
 	signals := make(chan os.Signal, 1)
@@ -101,15 +101,15 @@
 	fs.StringVar(&sr.Service, "service", "", "service to announce")
 	fs.StringVar(&sr.Listen, "listen", "127.0.0.1:0", "address to serve, IP:PORT")
 	fs.StringVar(&sr.Admin, "daemon", "", "admin address of the VM's daemon, IP:PORT")
-	fs.DurationVar(&sr.Work, "work", 0, "mean time that a request takes")
-	fs.StringVar(&sr.Software, "software", "", "version of its software to announce")
-	fs.Float64Var(&sr.Failing, "failing", 0, "share of the requests, 0 to 1, that it answers with 500")
-	fs.StringVar(&sr.FailingPath, "failing-path", "/", "prefix of the paths of the requests that it fails")
-	fs.DurationVar(&sr.FailingAfter, "failing-after", 0, "time from its start until it fails any")
+	fs.DurationVar(&sr.Work, "work", 0, "mean processing time of a request")
+	fs.StringVar(&sr.Software, "software", "", "software version to announce")
+	fs.Float64Var(&sr.Failing, "failing", 0, "share of the requests, 0 to 1, that are answered with 500")
+	fs.StringVar(&sr.FailingPath, "failing-path", "/", "path prefix of the requests that --failing applies to")
+	fs.DurationVar(&sr.FailingAfter, "failing-after", 0, "time after the start before --failing applies")
 	fs.StringVar(&sr.Calls, "calls", "", "service to call once for each request")
 	fs.StringVar(&sr.Outlet, "outlet", "", "outlet of the VM's daemon for these calls, IP:PORT")
-	printRuns := fs.Bool("print-runs", false, "print a line for each request that it begins")
-	fault := fs.String("fault", "", "fail in this way in place of answering: "+faultNames())
+	printRuns := fs.Bool("print-runs", false, "print a line for each request that starts")
+	fault := fs.String("fault", "", "fault to produce instead of an answer: "+faultNames())
 	return &ffcli.Command{
 		Name: "dev-server", ShortUsage: "flamingomast dev-server --vm VM --service SERVICE --daemon ADDR", FlagSet: fs, Options: envOption(),
 		ShortHelp: "Run a small backend server that announces itself, for tests.",
@@ -129,7 +129,7 @@
 			}
 			if *printRuns {
 				sr.Began = func(run demo.Ran) {
-					// Whoever reads the lines has gone if they cannot be written.
+					// A failed write means that the reader of the lines is gone.
 					_ = ap.printJSON(run)
 				}
 			}
@@ -141,18 +141,18 @@
 	}
 }
 
-// maxSampleSize bounds each number of a sample; beyond it the declarations would
-// not fit into a file.
+// maxSampleSize is the upper bound of each count of a sample. With larger counts the declarations
+// would not fit into a file.
 const maxSampleSize = 10_000
 
 func (ap *app) devMeshCmd() *ffcli.Command {
 	fs := ap.newFlagSet("dev-mesh")
-	vms := fs.Int("vms", 9, "how many VMs")
-	domains := fs.Int("failure-domains", 3, "how many failure domains")
-	services := fs.Int("services", 2, "how many services")
+	vms := fs.Int("vms", 9, "number of VMs")
+	domains := fs.Int("failure-domains", 3, "number of failure domains")
+	services := fs.Int("services", 2, "number of services")
 	return &ffcli.Command{
 		Name: "dev-mesh", ShortUsage: "flamingomast dev-mesh [--vms N] [--failure-domains N] [--services N]", FlagSet: fs, Options: envOption(),
-		ShortHelp: "Print declarations of any size, for trials.",
+		ShortHelp: "Print sample declarations of a given size, for tests.",
 		Exec: func(_ context.Context, _ []string) error {
 			for name, n := range map[string]int{"vms": *vms, "failure-domains": *domains, "services": *services} {
 				if n < 1 || n > maxSampleSize {
@@ -169,7 +169,7 @@
 	}
 }
 
-// faultNames lists the faults that a backend server can be told to have.
+// faultNames lists the faults that dev-server can produce.
 func faultNames() string {
 	var names []string
 	for _, fa := range faulty.Faults {
@@ -183,12 +183,12 @@
 	op := demo.LoadOptions{}
 	fs.StringVar(&op.Host, "host", "booking", "host of each request")
 	fs.StringVar(&op.Path, "path", "/", "path of each request")
-	fs.IntVar(&op.Requests, "requests", 5000, "how many requests each target gets")
-	fs.IntVar(&op.Workers, "workers", 1, "how many requests are under way at once")
-	fs.DurationVar(&op.Pause, "pause", 400*time.Microsecond, "most time between two requests of a worker")
+	fs.IntVar(&op.Requests, "requests", 5000, "number of requests to each target")
+	fs.IntVar(&op.Workers, "workers", 1, "number of concurrent requests")
+	fs.DurationVar(&op.Pause, "pause", 400*time.Microsecond, "longest pause between two requests of a worker")
 	return &ffcli.Command{
 		Name: "dev-load", ShortUsage: "flamingomast dev-load [flags] NAME=ADDR...", FlagSet: fs, Options: envOption(),
-		ShortHelp: "Send requests to addresses in turn, and compare their latencies with the first one's.",
+		ShortHelp: "Send requests to the addresses in turn, and compare their latencies with those of the first.",
 		Exec: func(ctx context.Context, args []string) error {
 			for _, arg := range args {
 				name, addr, ok := strings.Cut(arg, "=")
--- a/internal/node/cmds/doc.go
+++ b/internal/node/cmds/doc.go
@@ -1,3 +1,3 @@
-// Package cmds is the command line: each command as a function that returns an
+// Package cmds implements the command line. Each subcommand returns an error, which Run maps to an
 // exit code.
 package cmds
--- a/internal/node/cmds/explain.go
+++ b/internal/node/cmds/explain.go
@@ -13,12 +13,12 @@
 func (ap *app) explainCmd() *ffcli.Command {
 	fs := ap.newFlagSet("explain")
 	ap.jsonFlag(fs)
-	id := fs.String("id", "", "the caller's id of the request (required)")
+	id := fs.String("id", "", "id that the caller gave the request (required)")
 	return &ffcli.Command{
 		Name: "explain", ShortUsage: "flamingomast explain --id ID LOG...", FlagSet: fs, Options: envOption(),
-		ShortHelp: "Tell from daemons' logs what became of a request, and why.",
-		LongHelp: "The logs of all daemons that may have taken part are given as files, in any order.\n" +
-			"It ends with status 0 where a line bears the id, with 1 where none does.",
+		ShortHelp: "Explain the outcome of a request from daemons' logs.",
+		LongHelp: "The logs of all daemons that may have been involved are given as files, in any order.\n" +
+			"The exit status is 0 if a line has the id, and 1 if none has.",
 		Exec: func(_ context.Context, files []string) error {
 			switch {
 			case *id == "":
@@ -41,7 +41,7 @@
 				ap.printReport(rp)
 			}
 			if len(rp.Lines) == 0 {
-				return fmt.Errorf("flamingomast explain: no line bears the id %s", *id)
+				return fmt.Errorf("flamingomast explain: no line has the id %s", *id)
 			}
 			return nil
 		},
@@ -52,8 +52,8 @@
 	for _, cause := range rp.Causes {
 		fmt.Fprintln(ap.out, cause)
 	}
-	ap.printLines("its lines, and those of calls made for it", rp.Lines)
-	ap.printLines("what the daemons went by", rp.Beliefs)
+	ap.printLines("lines of the request and of the calls made for it", rp.Lines)
+	ap.printLines("state that the daemons acted on", rp.Beliefs)
 	ap.printSkipped(rp.Passed)
 }
 
--- a/internal/node/cmds/fleet.go
+++ b/internal/node/cmds/fleet.go
@@ -15,10 +15,10 @@
 	"github.com/flamingomast/flamingomast/internal/node/admin"
 )
 
-// daemonTimeout bounds a question to a daemon.
+// daemonTimeout is the time limit of a request to a daemon.
 const daemonTimeout = 5 * time.Second
 
-// callDaemon calls a page of the daemon's admin address.
+// callDaemon sends a request to the daemon's admin address and decodes the answer into result.
 func (ap *app) callDaemon(ctx context.Context, method, path string, result any) error {
 	if ap.daemon == "" {
 		return usageError("--daemon is not set; give the admin address of any daemon")
@@ -50,19 +50,18 @@
 	return &st, nil
 }
 
-// waitError says that a version was accepted and is not yet in force
-// everywhere.
+// waitError reports that a version was accepted but is not yet in force everywhere.
 type waitError struct {
 	Version uint64
 	Missing []string
 }
 
-// Error names what lacks the version.
+// Error names the VMs and failure domains that are not known to hold the version.
 func (we *waitError) Error() string {
 	return fmt.Sprintf("version %d is accepted; not known to be in force in: %s", we.Version, strings.Join(we.Missing, ", "))
 }
 
-// waitPollInterval is how often the fleet is looked at while waiting.
+// waitPollInterval is the interval between status requests while waiting.
 const waitPollInterval = 100 * time.Millisecond
 
 // waitInForce waits until every failure domain holds the version.
@@ -108,10 +107,10 @@
 	fs := ap.newFlagSet("status")
 	ap.daemonFlag(fs)
 	ap.jsonFlag(fs)
-	check := fs.Bool("check", false, "print only alarms and what to do, and end with status 1 if there are any")
+	check := fs.Bool("check", false, "print only alarms and what to do about them, and exit with status 1 if there are any")
 	return &ffcli.Command{
 		Name: "status", ShortUsage: "flamingomast status [--check] --daemon ADDR", FlagSet: fs, Options: envOption(),
-		ShortHelp: "Show what the fleet holds, by failure domain, and what is wrong.",
+		ShortHelp: "Show the versions that the fleet holds, by failure domain, and the alarms.",
 		Exec: func(ctx context.Context, _ []string) error {
 			st, err := ap.fetchStatus(ctx)
 			if err != nil {
@@ -129,7 +128,7 @@
 	}
 }
 
-// checkStatus prints the alarms of a status; any is an error.
+// checkStatus prints the alarms of a status, and returns an error if there are any.
 func (ap *app) checkStatus(st *admin.Status) error {
 	alarms := st.Alarms()
 	for _, al := range alarms {
@@ -185,7 +184,7 @@
 	ap.jsonFlag(fs)
 	return &ffcli.Command{
 		Name: "drain", ShortUsage: "flamingomast drain --daemon ADDR VM", FlagSet: fs, Options: envOption(),
-		ShortHelp: "Let a VM take no new requests; those it has go on to their end.",
+		ShortHelp: "Stop new requests to a VM, and let the running ones finish.",
 		Exec: func(ctx context.Context, args []string) error {
 			if len(args) != 1 {
 				return usageError("name one VM")
--- a/internal/node/cmds/reload.go
+++ b/internal/node/cmds/reload.go
@@ -16,14 +16,13 @@
 	"github.com/flamingomast/flamingomast/internal/node/setup"
 )
 
-// filePollInterval is how often the settings file is looked at. It may change without a
-// signal; one look costs a system call.
+// filePollInterval is the interval at which the settings file is checked for changes, as it may
+// change without a signal. A check costs one system call.
 const filePollInterval = 5 * time.Second
 
-// watchSettings takes changed settings, at a SIGHUP or when the file has changed, until
-// ctx ends. The log level, the share of requests that is logged and the drain
-// timeout take effect; all else, such as addresses, holds for the next start.
-// Settings that cannot be read change nothing.
+// watchSettings reloads the settings on SIGHUP or when the file has changed, until ctx is done. The
+// log level, the share of logged requests and the drain timeout take effect at once; all other
+// settings, such as addresses, take effect at the next start. Settings with errors change nothing.
 func (ap *app) watchSettings(ctx context.Context, dm *daemon.Daemon, fs *flag.FlagSet, level *slog.LevelVar, log *slog.Logger) {
 	file := fs.Lookup("config").Value.String()
 	if file == "" {
@@ -59,8 +58,7 @@
 	}
 }
 
-// modTime returns when a file was changed last, the zero time where that cannot
-// be told.
+// modTime returns the modification time of a file, or the zero time if it cannot be read.
 func modTime(file string) time.Time {
 	fi, err := os.Stat(file)
 	if err != nil {
@@ -69,7 +67,7 @@
 	return fi.ModTime()
 }
 
-// readSettings reads settings from the environment and the file as at a start.
+// readSettings reads the settings from the environment and the file as at startup.
 func readSettings(file string) (setup.Settings, error) {
 	fs := flag.NewFlagSet("daemon", flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
--- a/internal/node/cmds/revert.go
+++ b/internal/node/cmds/revert.go
@@ -20,8 +20,8 @@
 	op.addFlags(fs)
 	return &ffcli.Command{
 		Name: "revert", ShortUsage: "flamingomast revert --platform ADDR VERSION", FlagSet: fs, Options: envOption(),
-		ShortHelp: "Make what an earlier version said the version in force again, under a new number.",
-		LongHelp:  "Versions never go back: the fleet gets a new, higher one with the old content. It replaces\nwhatever is in force now; if that changes meanwhile, nothing is applied.",
+		ShortHelp: "Put the content of an earlier version in force again, under a new version number.",
+		LongHelp:  "Version numbers never go back: the fleet gets a new, higher one with the old content. It replaces\nwhatever is in force now; if that changes meanwhile, nothing is applied.",
 		Exec: func(ctx context.Context, args []string) error {
 			version, err := versionArg(args)
 			if err != nil {
@@ -32,7 +32,7 @@
 	}
 }
 
-// versionArg reads the one argument of a command that takes a version.
+// versionArg parses the only argument of a command that takes a version.
 func versionArg(args []string) (uint64, error) {
 	if len(args) != 1 {
 		return 0, usageError("name one version")
@@ -59,8 +59,8 @@
 	return ap.submit(ctx, tctx, kv, sub, op.wait)
 }
 
-// revertSubmission returns a submission with the content of a version, made from the
-// one that is in force now.
+// revertSubmission returns a submission with the content of the given version, based on the version
+// in force.
 func revertSubmission(ctx context.Context, kv store.Store, version uint64) (accept.Submission, error) {
 	hd, err := loadHeadWithRetry(ctx, kv)
 	if err != nil {
--- a/internal/node/cmds/rollout.go
+++ b/internal/node/cmds/rollout.go
@@ -18,9 +18,9 @@
 	fs := ap.newFlagSet("rollout")
 	return &ffcli.Command{
 		Name: "rollout", ShortUsage: "flamingomast rollout start|status|abort [flags] [arguments]", FlagSet: fs, Options: envOption(),
-		ShortHelp: "Move a service's requests to another version of its software.",
+		ShortHelp: "Move the requests of a service to another version of its software.",
 		LongHelp: "The servers of the new version are started beside the others and announce it. The fleet sends\n" +
-			"them few requests, compares both versions, and ends the rollout complete or rolled back.",
+			"them a few requests, compares both versions, and completes the rollout or rolls it back.",
 		Subcommands: []*ffcli.Command{ap.rolloutStartCmd(), ap.rolloutStatusCmd(), ap.rolloutAbortCmd()},
 		Exec: func(context.Context, []string) error {
 			return usageError("flamingomast rollout: name start, status or abort")
@@ -31,8 +31,8 @@
 func (ap *app) rolloutStartCmd() *ffcli.Command {
 	fs := ap.newFlagSet("rollout start")
 	ap.platformFlag(fs)
-	within := fs.Duration("within", time.Minute, "time within which the rollout has to end")
-	wait := fs.Bool("wait", false, "wait for the end; status 1 if it was rolled back")
+	within := fs.Duration("within", time.Minute, "time limit of the rollout")
+	wait := fs.Bool("wait", false, "wait for the end; exit status 1 if it was rolled back")
 	return &ffcli.Command{
 		Name: "start", ShortUsage: "flamingomast rollout start --platform ADDR [--within DURATION] [--wait] SERVICE VERSION", FlagSet: fs, Options: envOption(),
 		ShortHelp: "Order a rollout.",
@@ -55,7 +55,7 @@
 	ap.platformFlag(fs)
 	return &ffcli.Command{
 		Name: "abort", ShortUsage: "flamingomast rollout abort --platform ADDR SERVICE", FlagSet: fs, Options: envOption(),
-		ShortHelp: "End a rollout at once, with the servers of before.",
+		ShortHelp: "End a rollout at once, and keep the servers of the previous version.",
 		Exec: func(ctx context.Context, args []string) error {
 			if len(args) != 1 {
 				return usageError("name one service")
@@ -87,7 +87,7 @@
 	return or, json.Unmarshal(ent.Value, &or)
 }
 
-// writeOrder writes an order over whatever was ordered for the service before, and returns its
+// writeOrder writes an order, which replaces an earlier one for the service, and returns its
 // revision.
 func (ap *app) writeOrder(ctx context.Context, or order.Order) (kv store.Store, orderRev store.Revision, err error) {
 	if err := or.Check(); err != nil {
@@ -107,7 +107,7 @@
 	}
 	ok, ent, err := kv.Swap(ctx, store.Change{Key: or.Key(), Revision: cur.Revision, Value: value})
 	if err == nil && !ok {
-		err = fmt.Errorf("another order for %q was written at the same time; look at flamingomast rollout status", or.Service)
+		err = fmt.Errorf("another order for %q was written at the same time; see flamingomast rollout status", or.Service)
 	}
 	if err == nil {
 		fmt.Fprintf(ap.out, "ordered: %s to %s within %s\n", or.Service, or.Target, time.Duration(or.DurationMs)*time.Millisecond)
@@ -116,14 +116,15 @@
 }
 
 const (
-	// rolloutPollInterval is how often the state of a rollout is read while waiting for its end.
+	// rolloutPollInterval is the interval at which the state of a rollout is read while waiting
+	// for its end.
 	rolloutPollInterval = 500 * time.Millisecond
-	// rolloutWaitMargin is how long after its time the end of a rollout is waited for: the store
-	// may be away as it is to be written.
+	// rolloutWaitMargin is added to the time limit of a rollout when waiting for its end, as the
+	// store may be unavailable when the end is to be written.
 	rolloutWaitMargin = time.Minute
 )
 
-// waitRollout waits for the end of a rollout, also while the store cannot be reached.
+// waitRollout waits for the end of a rollout, and keeps waiting while the store cannot be reached.
 func (ap *app) waitRollout(ctx context.Context, kv store.Store, or order.Order, orderRev store.Revision) error {
 	timeout := time.Duration(or.DurationMs)*time.Millisecond + rolloutWaitMargin
 	expired := time.After(timeout)
@@ -131,7 +132,7 @@
 	for {
 		st, err := rolloutState(ctx, kv, or, orderRev)
 		if err != nil && lastErr == nil {
-			fmt.Fprintf(ap.err, "the state cannot be read, trying again: %v\n", err)
+			fmt.Fprintf(ap.err, "cannot read the state of the rollout, retrying: %v\n", err)
 		}
 		lastErr = err
 		if st.Final() {
@@ -148,14 +149,14 @@
 			if lastErr != nil {
 				return fmt.Errorf("no end of the rollout was seen in %s: %w", timeout, lastErr)
 			}
-			return fmt.Errorf("no end of the rollout was seen in %s; see whether daemons of %s run", timeout, or.Service)
+			return fmt.Errorf("no end of the rollout was seen in %s; check that daemons of %s are running", timeout, or.Service)
 		case <-time.After(rolloutPollInterval):
 		}
 	}
 }
 
-// rolloutState returns the state that the store has for an order, 0 for none. What it has from
-// before the order is of another one.
+// rolloutState returns the stored state of the rollout that the order started, or 0 if there is
+// none. A state written before the order belongs to an earlier order.
 func rolloutState(ctx context.Context, kv store.Store, or order.Order, orderRev store.Revision) (canary.State, error) {
 	ent, err := kv.Get(ctx, order.StatusKey(or.Service))
 	if err != nil || !ent.Revision.Exists() {
@@ -182,7 +183,7 @@
 	}
 }
 
-// rolloutLine is a rollout as it is printed.
+// rolloutLine is the printed form of a rollout.
 type rolloutLine struct {
 	order.Order
 	State string `json:"state"`
@@ -203,7 +204,7 @@
 	for _, it := range items {
 		line := rolloutLine{State: "not-seen-yet"}
 		if err := json.Unmarshal(it.Value, &line.Order); err != nil {
-			fmt.Fprintf(ap.err, "%s cannot be read: %v\n", strings.TrimPrefix(it.Key, order.Prefix), err)
+			fmt.Fprintf(ap.err, "the order for %s cannot be decoded: %v\n", strings.TrimPrefix(it.Key, order.Prefix), err)
 			continue
 		}
 		ent, err := kv.Get(ctx, order.StatusKey(line.Service))
--- a/internal/node/cmds/rollout_test.go
+++ b/internal/node/cmds/rollout_test.go
@@ -14,22 +14,22 @@
 	"github.com/flamingomast/flamingomast/internal/roll/order"
 )
 
-// TestWaitRollout guards against a wait for a rollout that ends as the store is away for a
-// moment, or with the end of an earlier rollout.
+// TestWaitRollout guards against a wait for a rollout that ends too early: because the store is
+// unavailable for a moment, or because it reads the result of an earlier rollout.
 func TestWaitRollout(t *testing.T) {
 	or := order.Order{Service: "booking", Target: "v2", DurationMs: 10_000}
 	for _, tc := range []struct {
 		name string
-		// earlier is the state of a rollout before, state what is written after a while.
+		// earlier is the state that an earlier rollout left, state the one written after 10 s.
 		earlier, state  canary.State
 		downFor, within time.Duration
 		out, err        string
 	}{
 		{"complete", 0, canary.Complete, 0, 11 * time.Second, "complete\n", ""},
 		{"rolled back", 0, canary.RolledBack, 0, 11 * time.Second, "rolled-back\n", "was rolled back"},
-		{"the store is away", 0, canary.Complete, 4 * time.Second, 11 * time.Second, "complete\n", ""},
-		{"the store stays away", 0, 0, time.Hour, 71 * time.Second, "", "unavailable"},
-		{"nobody decides", 0, 0, 0, 71 * time.Second, "", "no end of the rollout was seen in 1m10s"},
+		{"the store is unavailable for a while", 0, canary.Complete, 4 * time.Second, 11 * time.Second, "complete\n", ""},
+		{"the store stays unavailable", 0, 0, time.Hour, 71 * time.Second, "", "unavailable"},
+		{"no state is written", 0, 0, 0, 71 * time.Second, "", "no end of the rollout was seen in 1m10s"},
 		{"the same target again", canary.RolledBack, canary.Complete, 0, 11 * time.Second, "complete\n", ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/node/cmds/route.go
+++ b/internal/node/cmds/route.go
@@ -13,13 +13,13 @@
 	"github.com/flamingomast/flamingomast/internal/conf/snap"
 )
 
-// headers is a flag that may be given more than once, as "Name: value".
+// headers is a repeatable flag of the form "Name: value".
 type headers http.Header
 
-// String returns nothing: there is no default to show.
+// String returns the empty string, as there is no default to show in the usage text.
 func (hs headers) String() string { return "" }
 
-// Set adds a header.
+// Set parses and adds a header.
 func (hs headers) Set(s string) error {
 	name, value, ok := strings.Cut(s, ":")
 	if !ok {
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// routeResult is how a request would be routed.
+// routeResult describes how a request would be routed.
 type routeResult struct {
 	Route    string        `json:"route"`
 	Class    string        `json:"class"`
@@ -38,7 +38,7 @@
 	Targets  []routeTarget `json:"targets"`
 }
 
-// routeTarget is a service that may get the request.
+// routeTarget is a service that may receive the request.
 type routeTarget struct {
 	Service string `json:"service"`
 	// Percent is its share of the route's requests.
@@ -56,7 +56,7 @@
 	fs.Var(hdr, "header", "a header of the request, \"Name: value\"; may be given more than once")
 	return &ffcli.Command{
 		Name: "route", ShortUsage: "flamingomast route [--from DOMAIN] [--header H]... DIR METHOD URL", FlagSet: fs, Options: envOption(),
-		ShortHelp: "Show how a request would be routed by declarations.",
+		ShortHelp: "Show how the declarations would route a request.",
 		LongHelp:  "URL may be http://HOST/PATH or HOST/PATH.",
 		Exec: func(_ context.Context, args []string) error {
 			if len(args) != 3 {
@@ -79,7 +79,7 @@
 	}
 }
 
-// compileDir compiles declarations as a daemon in the failure domain from does.
+// compileDir compiles the declarations in dir as a daemon in the failure domain from does.
 func compileDir(dir, from string) (*snap.Snapshot, error) {
 	ms, co, err := readDir([]string{dir})
 	if err != nil {
@@ -132,7 +132,7 @@
 	return rr, nil
 }
 
-// repeatDescriptions says what each rule means.
+// repeatDescriptions describes the retry rules.
 var repeatDescriptions = map[decl.Repeat]string{
 	decl.RepeatSafe:   "only with a safe method",
 	decl.RepeatNever:  "never",
--- a/internal/node/cmds/soak.go
+++ b/internal/node/cmds/soak.go
@@ -16,15 +16,15 @@
 func (ap *app) soakCmd() *ffcli.Command {
 	fs := ap.newFlagSet("soak")
 	ap.jsonFlag(fs)
-	seeds := fs.Int("seeds", 1, "how many seeds to run, one after the other")
-	seed := fs.Uint64("seed", 1, "the first seed")
+	seeds := fs.Int("seeds", 1, "number of seeds to run, one after the other")
+	seed := fs.Uint64("seed", 1, "first seed")
 	duration := fs.Duration("for", 30*time.Second, "how long faults are injected in each run")
-	vms := fs.Int("vms", 6, "how many VMs, besides three of the new version")
-	planned := fs.Bool("planned", false, "play only what operators do: stops, reloads, replaced servers and changes, in series")
+	vms := fs.Int("vms", 6, "number of VMs, besides three of the new version")
+	planned := fs.Bool("planned", false, "run only planned operations: stops, reloads, replaced servers and changes, in series")
 	dir := fs.String("dir", "", "directory for the logs of the processes; a new one if empty")
 	return &ffcli.Command{
 		Name: "soak", ShortUsage: "flamingomast soak [--seeds N] [--seed S] [--for DURATION] [--vms N] [--planned] [--dir DIR]", FlagSet: fs, Options: envOption(),
-		ShortHelp: "Run a mesh of real processes under faults drawn from seeds, and check its promises.",
+		ShortHelp: "Run a mesh of real processes under random faults from seeds, and check its guarantees.",
 		Exec: func(ctx context.Context, _ []string) error {
 			binary, err := os.Executable()
 			if err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// printSoakReport prints a line a check, or the whole report as JSON.
+// printSoakReport prints one line per check, or the whole report as JSON.
 func (ap *app) printSoakReport(re *soak.Report, dir string) error {
 	if ap.json {
 		return ap.printJSON(re)
--- a/internal/node/cmds/stats.go
+++ b/internal/node/cmds/stats.go
@@ -12,7 +12,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// debugVars is what stats reads of a daemon's metrics.
+// debugVars holds the metrics of a daemon that stats prints.
 type debugVars struct {
 	Flamingomast struct {
 		Held     int64             `json:"version-held"`
@@ -30,7 +30,7 @@
 	} `json:"flamingomast"`
 }
 
-// series is one service and class on one side of the path.
+// series holds the metrics of one service and class at the outlet or the inlet.
 type series struct {
 	Latency  quantiles        `json:"latency"`
 	Queue    quantiles        `json:"queue"`
@@ -45,7 +45,7 @@
 	Max   float64 `json:"max-ms"`
 }
 
-// meanAttempts returns how often a request was sent on average.
+// meanAttempts returns the average number of attempts per request.
 func (sr *series) meanAttempts() float64 {
 	var sent, requests int64
 	for times, n := range sr.Attempts {
@@ -67,7 +67,7 @@
 	ap.jsonFlag(fs)
 	return &ffcli.Command{
 		Name: "stats", ShortUsage: "flamingomast stats --daemon ADDR", FlagSet: fs, Options: envOption(),
-		ShortHelp: "Show a daemon's requests by service and class.",
+		ShortHelp: "Show the request metrics of a daemon by service and class.",
 		Exec: func(ctx context.Context, _ []string) error {
 			var vs debugVars
 			if err := ap.callDaemon(ctx, http.MethodGet, "/debug/vars", &vs); err != nil {
@@ -106,7 +106,7 @@
 	}
 }
 
-// formatOutcomes lists counts, the largest first.
+// formatOutcomes lists the outcomes with their counts, largest first.
 func formatOutcomes(m map[string]int64) string {
 	names := slices.SortedFunc(maps.Keys(m), func(a, b string) int {
 		return cmp.Or(cmp.Compare(m[b], m[a]), cmp.Compare(a, b))
--- a/internal/node/setup/setup.go
+++ b/internal/node/setup/setup.go
@@ -20,49 +20,46 @@
 	"github.com/flamingomast/flamingomast/internal/path/retry"
 )
 
-// EnvPrefix begins the names of the environment variables: the setting
-// failure-domain is FLAMINGOMAST_FAILURE_DOMAIN.
+// EnvPrefix is the prefix of the environment variables: the setting failure-domain is read from
+// FLAMINGOMAST_FAILURE_DOMAIN.
 const EnvPrefix = "FLAMINGOMAST"
 
-// Settings is what a daemon is told at its start.
+// Settings holds the settings of a daemon.
 type Settings struct {
 	VM, Domain string
-	// Outlet, Inlet, Control and Admin are the addresses (host:port) to listen
-	// on; Inlet and Control are also those that other VMs connect to.
+	// Outlet, Inlet, Control and Admin are the addresses (host:port) to listen on. Other VMs connect
+	// to Inlet and Control.
 	Outlet, Inlet, Control, Admin string
-	// Ready and Announce are addresses to listen on, beside Admin, for questions
-	// whether the daemon is ready and for the backend server's announcements;
-	// empty for none.
+	// Ready and Announce are additional addresses to listen on, besides Admin, for readiness checks
+	// and for announcements of the backend server; empty for none.
 	Ready, Announce string
-	// Adapter names the platform that the daemon is joined to; empty for the
-	// project's own interface.
+	// Adapter names the platform adapter; empty for the project's own interface.
 	Adapter string
 	// Platform is the address of the key-value service.
 	Platform string
-	// Service is the service that runs on this VM, where it is known
-	// beforehand.
+	// Service is the service that runs on this VM, if known at startup.
 	Service string
-	// Server is the address of the backend server on this VM, where it is known
-	// beforehand. A daemon that starts asks it whether it serves.
+	// Server is the address of the backend server on this VM, if known at startup. A starting
+	// daemon asks it whether it serves.
 	Server string
-	// Domains are all failure domains with their regions, for platforms whose
-	// configurations do not declare them.
+	// Domains maps all failure domains to their regions, for platforms whose configurations do not
+	// declare them.
 	Domains map[string]string
-	// Seeds are control addresses of other daemons.
+	// Seeds are the control addresses of other daemons to try before the platform is asked.
 	Seeds []string
-	// Token is the secret that all daemons share.
+	// Token is the secret shared by all daemons.
 	Token        string
 	LogLevel     slog.Level
 	AccessSample float64
 	DrainTimeout time.Duration
-	// Memory is how many bytes the process may take in all.
+	// MemoryLimit is the memory limit of the whole process in bytes.
 	Memory int64
-	// Link is the rate of the VM's link in bits a second, 0 where it is not known.
+	// LinkRate is the rate of the VM's network link in bit/s, 0 if unknown.
 	Link float64
-	// FirstStart says that the whole mesh starts for the first time, so that no former
-	// process has acknowledged anything.
+	// FirstStart is set if the whole mesh starts for the first time, so that no earlier process has
+	// acknowledged anything.
 	FirstStart bool
-	// Repeats bounds the repeats of all daemons together, for each service.
+	// RetryBound limits the retries of all daemons together, per service.
 	Repeats retry.Bound
 }
 
@@ -79,7 +76,7 @@
 // LogValue returns the settings without secrets.
 func (se Settings) LogValue() slog.Value { return slog.StringValue(se.String()) }
 
-// rawSettings holds the settings as given.
+// rawSettings holds the settings as strings, before validation.
 type rawSettings struct {
 	vm, domain, outlet, inlet, control, admin string
 	platform, seeds, token, logLevel          string
@@ -92,7 +89,7 @@
 	firstStart                                string
 }
 
-// addFlags declares the settings; the text of each is the help a person sees.
+// addFlags registers the settings as flags.
 func (rw *rawSettings) addFlags(fs *flag.FlagSet) {
 	fs.StringVar(&rw.vm, "vm", "", "name of this VM in the inventory (required)")
 	fs.StringVar(&rw.domain, "failure-domain", "", "failure domain that this VM is in (required)")
@@ -101,44 +98,44 @@
 	fs.StringVar(&rw.control, "control", "", "address for the daemons of other VMs, IP:PORT (required)")
 	fs.StringVar(&rw.admin, "admin", "127.0.0.1:8081", "address for announcements, health, metrics and operators, IP:PORT")
 	fs.StringVar(&rw.platform, "platform", "", "address of the platform's key-value service, IP:PORT (required)")
-	fs.StringVar(&rw.ready, "ready", "", "another address for questions whether the daemon is ready, IP:PORT")
-	fs.StringVar(&rw.announce, "announce", "", "another address for announcements of the backend server, IP:PORT")
-	fs.StringVar(&rw.adapter, "adapter", "", "platform that the daemon is joined to; empty for flamingomast's own interface")
-	fs.StringVar(&rw.service, "service", "", "service that runs on this VM, told to the backend servers that it calls")
-	fs.StringVar(&rw.server, "server", "", "address of the backend server on this VM, which is asked at the start whether it serves, IP:PORT")
+	fs.StringVar(&rw.ready, "ready", "", "additional address for readiness checks, IP:PORT")
+	fs.StringVar(&rw.announce, "announce", "", "additional address for announcements of the backend server, IP:PORT")
+	fs.StringVar(&rw.adapter, "adapter", "", "name of the platform adapter; empty for flamingomast's own interface")
+	fs.StringVar(&rw.service, "service", "", "service that runs on this VM, reported to the backend servers that it calls")
+	fs.StringVar(&rw.server, "server", "", "address of the backend server on this VM, which is asked at startup whether it serves, IP:PORT")
 	fs.StringVar(&rw.domains, "failure-domains", "", "all failure domains with their regions, where the platform does not declare them, NAME=REGION,…")
 	fs.StringVar(&rw.seeds, "seeds", "", "control addresses of other daemons to try before the platform is asked, IP:PORT,…")
-	fs.StringVar(&rw.token, "mesh-token", "", "secret that all daemons share; empty for none")
+	fs.StringVar(&rw.token, "mesh-token", "", "secret shared by all daemons; empty for none")
 	fs.StringVar(&rw.logLevel, "log-level", "info", "debug, info, warn or error")
 	fs.StringVar(&rw.logSample, "access-log-sample", "1", "share of answered requests that are logged, 0 to 1; their number is bounded in any case")
 	fs.StringVar(&rw.drainTimeout, "drain-timeout", "30s", "how long a shutdown waits for running requests")
-	fs.StringVar(&rw.memoryMB, "memory-mb", "32", "how many megabytes the process may take in all")
-	fs.StringVar(&rw.linkMbps, "link-mbps", "0", "rate of the VM's link in Mbit/s, by which large answers are paced; 0 for no pacing")
-	fs.StringVar(&rw.retryRatio, "retry-ratio", "", "how many repeats there may be for each request of a service, over all daemons; 0.2 unless set, 0 for none")
-	fs.StringVar(&rw.retrySpare, "retry-spare", "", "how many more repeats of a service all daemons together may send in some seconds; 50 unless set")
-	fs.StringVar(&rw.firstStart, "first-start", "false", "true while the whole mesh starts for the first time, so that there is nothing to ask the platform for; false at every later start")
+	fs.StringVar(&rw.memoryMB, "memory-mb", "32", "memory limit of the whole process in megabytes")
+	fs.StringVar(&rw.linkMbps, "link-mbps", "0", "rate of the VM's network link in Mbit/s, used to pace large answers; 0 for no pacing")
+	fs.StringVar(&rw.retryRatio, "retry-ratio", "", "retries allowed per request of a service, over all daemons; 0.2 unless set, 0 for none")
+	fs.StringVar(&rw.retrySpare, "retry-spare", "", "additional retries of a service that all daemons together may send within a few seconds; 50 unless set")
+	fs.StringVar(&rw.firstStart, "first-start", "false", "true while the whole mesh starts for the first time, so that nothing has to be read from the platform; false at every later start")
 	fs.String("config", "", "YAML file with any of these settings")
 }
 
-// Reader reads settings and remembers where each stands.
+// Reader reads settings and records the position of each.
 type Reader struct {
 	raw       rawSettings
 	fs        *flag.FlagSet
 	positions map[string]strict.Pos
 	prs       strict.Problems
-	// unreadable is set when the file could not be read at all.
+	// unreadable is set if the file could not be parsed at all.
 	unreadable bool
 }
 
-// New declares the settings as flags of fs.
+// New registers the settings as flags of fs.
 func New(fs *flag.FlagSet) *Reader {
 	rd := &Reader{fs: fs, positions: map[string]strict.Pos{}}
 	rd.raw.addFlags(fs)
 	return rd
 }
 
-// Options tells ff where settings come from: flags, then the environment, then
-// the file that --config names.
+// Options returns the ff options that read settings from flags, then the environment, then the file
+// named by --config.
 func (rd *Reader) Options() []ff.Option {
 	return []ff.Option{
 		ff.WithEnvVarPrefix(EnvPrefix),
@@ -147,8 +144,8 @@
 	}
 }
 
-// Settings returns the settings once the flags were parsed. The error is a
-// strict.Problems that lists all that is wrong.
+// Settings returns the settings after the flags were parsed. The error is a strict.Problems that
+// lists all errors found.
 func (rd *Reader) Settings() (Settings, error) {
 	if rd.fs.NArg() > 0 {
 		rd.prs.Add(strict.Pos{File: "command line"}, fmt.Sprintf("unexpected argument %q", rd.fs.Arg(0)), "settings are given as --name value")
@@ -160,10 +157,10 @@
 	return se, rd.prs.Err()
 }
 
-// namedReader is a file with a name, which ff opens.
+// namedReader is implemented by the files that ff opens.
 type namedReader interface{ Name() string }
 
-// parse is an ff.ConfigFileParser.
+// parse implements ff.ConfigFileParser.
 func (rd *Reader) parse(r io.Reader, set func(name, value string) error) error {
 	file := "settings"
 	if nr, ok := r.(namedReader); ok {
@@ -204,7 +201,7 @@
 		default:
 			rd.positions[k.Value] = pos(v)
 			if isSet[k.Value] {
-				// A flag or the environment goes before the file.
+				// Flags and the environment take precedence over the file.
 				rd.positions[k.Value] = strict.Pos{}
 			}
 			text, ok := nodeText(v)
@@ -244,7 +241,7 @@
 	return list
 }
 
-// position tells where a setting was given.
+// position returns where a setting was given.
 func (rd *Reader) position(name string) strict.Pos {
 	env := EnvPrefix + "_" + strings.ToUpper(strings.ReplaceAll(name, "-", "_"))
 	given := false
@@ -319,10 +316,10 @@
 	return se
 }
 
-// maxRetrySpare is the highest number of repeats beyond the ratio.
+// maxRetrySpare is the highest accepted retry-spare: retries allowed beyond the ratio.
 const maxRetrySpare = 1_000_000
 
-// number reads a number from 0 to most, or returns the default where none is set.
+// number parses a number from 0 to limit, or returns def if value is empty.
 func (rd *Reader) number(setting, value string, def, limit float64) float64 {
 	if value == "" {
 		return def
@@ -334,11 +331,11 @@
 	return n
 }
 
-// maxLinkMbps is the highest rate of a link, in Mbit/s.
+// maxLinkMbps is the highest accepted link rate in Mbit/s.
 const maxLinkMbps = 1_000_000
 
-// minMemoryMB is what a daemon takes at least, in megabytes: when idle, and some room for
-// requests.
+// minMemoryMB is the lowest accepted memory limit in megabytes: the memory of an idle daemon and some
+// room for requests.
 const minMemoryMB = 24
 
 func (rd *Reader) name(setting, value string) string {
@@ -358,7 +355,7 @@
 	return value
 }
 
-// domains reads failure domains with their regions.
+// domains parses failure domains and their regions.
 func (rd *Reader) domains(text string) map[string]string {
 	if text == "" {
 		return nil
@@ -374,11 +371,11 @@
 	return domains
 }
 
-// addr checks an address. Daemons reach each other by IP number; a host name
-// would bring in a resolver that may be out when it is needed.
+// addr checks that value is an IP address and a port. Host names are rejected: they would make
+// daemons depend on a resolver, which may be down when it is needed.
 func (rd *Reader) addr(setting, value string) string {
 	if value == "" {
-		rd.addProblem(setting, setting+" is not set", "set it to an address as 10.0.0.1:7000")
+		rd.addProblem(setting, setting+" is not set", "set it to an address such as 10.0.0.1:7000")
 		return value
 	}
 	host, port, err := net.SplitHostPort(value)
@@ -389,11 +386,12 @@
 		_, err = strconv.ParseUint(port, 10, 16)
 	}
 	if err != nil {
-		rd.addProblem(setting, fmt.Sprintf("%s is %q", setting, value), "set it to an IP number and a port as 10.0.0.1:7000")
+		rd.addProblem(setting, fmt.Sprintf("%s is %q", setting, value), "set it to an IP address and port such as 10.0.0.1:7000")
 	}
 	return value
 }
 
+// checkDistinct checks that no two listen addresses are the same.
 func (rd *Reader) checkDistinct(se *Settings) {
 	seen := map[string]string{}
 	for _, it := range []struct{ name, addr string }{
--- a/internal/node/setup/setup_test.go
+++ b/internal/node/setup/setup_test.go
@@ -12,12 +12,12 @@
 	"github.com/peterbourgon/ff/v3"
 )
 
-// required has each required setting.
+// required holds a value for each required setting.
 var required = map[string]string{
 	"vm": "centro-1", "failure-domain": "sala-centro", "inlet": "127.0.0.1:7001", "control": "127.0.0.1:7002", "platform": "127.0.0.1:7070",
 }
 
-// readText reads settings given as a file.
+// readText writes text to a settings file and reads it with args.
 func readText(t *testing.T, text string, args ...string) (Settings, []string) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "daemon.yaml")
@@ -37,6 +37,7 @@
 	return se, strings.Split(strings.ReplaceAll(err.Error(), file, "daemon.yaml"), "\n")
 }
 
+// settings returns a file with all required settings but omit, followed by extra.
 func settings(omit, extra string) string {
 	var b strings.Builder
 	for _, name := range []string{"vm", "failure-domain", "inlet", "control", "platform"} {
@@ -47,11 +48,11 @@
 	return b.String() + extra
 }
 
-// TestMissing starts with each required setting missing.
+// TestMissing leaves out each required setting in turn.
 func TestMissing(t *testing.T) {
 	for name := range required {
 		_, got := readText(t, settings(name, ""))
-		remedy := "set it to an address as 10.0.0.1:7000"
+		remedy := "set it to an address such as 10.0.0.1:7000"
 		if name == "vm" || name == "failure-domain" {
 			remedy = "set it to the name that the inventory has"
 		}
@@ -66,21 +67,21 @@
 		name, text string
 		args, want []string
 	}{
-		{"none wrong", settings("", ""), nil, nil},
+		{"valid", settings("", ""), nil, nil},
 		{"unknown", settings("", "seed: 127.0.0.1:1\n"), nil, []string{`daemon.yaml:6:1: unknown setting "seed"; did you mean "seeds"?`}},
 		{"twice", settings("", "vm: b\n"), nil, []string{`daemon.yaml:6:1: setting "vm" is already on line 1; remove one of the two`}},
-		{"no mapping", "- a", nil, []string{
+		{"not a mapping", "- a", nil, []string{
 			`daemon.yaml:1:1: the settings must be a mapping; write each as "name: value"`,
 		}},
 		{"not YAML", settings("", "seeds: [\n"), nil, []string{
 			`daemon.yaml:6: not YAML: did not find expected node content; mend the syntax on that line`,
 		}},
 		{"host name", settings("inlet", "inlet: localhost:7001\n"), nil, []string{
-			`daemon.yaml:5:8: inlet is "localhost:7001"; set it to an IP number and a port as 10.0.0.1:7000`,
+			`daemon.yaml:5:8: inlet is "localhost:7001"; set it to an IP address and port such as 10.0.0.1:7000`,
 		}},
-		{"all listed", settings("control", "control: 127.0.0.1\nseeds: [127.0.0.1:1, x]\nlog-level: loud\naccess-log-sample: 2\ndrain-timeout: soon\n"), nil, []string{
-			`daemon.yaml:5:10: control is "127.0.0.1"; set it to an IP number and a port as 10.0.0.1:7000`,
-			`daemon.yaml:6:8: seeds is "x"; set it to an IP number and a port as 10.0.0.1:7000`,
+		{"several errors", settings("control", "control: 127.0.0.1\nseeds: [127.0.0.1:1, x]\nlog-level: loud\naccess-log-sample: 2\ndrain-timeout: soon\n"), nil, []string{
+			`daemon.yaml:5:10: control is "127.0.0.1"; set it to an IP address and port such as 10.0.0.1:7000`,
+			`daemon.yaml:6:8: seeds is "x"; set it to an IP address and port such as 10.0.0.1:7000`,
 			`daemon.yaml:7:12: log-level is "loud"; set it to debug, info, warn or error`,
 			`daemon.yaml:8:20: access-log-sample is "2"; set it to a number from 0 to 1`,
 			`daemon.yaml:9:16: drain-timeout is "soon"; set it to a duration such as 30s`,
@@ -102,7 +103,7 @@
 	}
 }
 
-// TestPrecedence: a flag goes before the environment, which goes before the
+// TestPrecedence checks that flags take precedence over the environment, and the environment over the
 // file.
 func TestPrecedence(t *testing.T) {
 	t.Setenv("FLAMINGOMAST_FAILURE_DOMAIN", "from-environment")
@@ -113,7 +114,7 @@
 	}
 }
 
-// TestTokenNotPrinted: the mesh token is in no printed form of the settings.
+// TestTokenNotPrinted checks that no printed form of the settings contains the mesh token.
 func TestTokenNotPrinted(t *testing.T) {
 	se, _ := readText(t, settings("", "mesh-token: hush\n"))
 	if se.Token != "hush" {
