--- a/internal/node/admin/admin_test.go
+++ b/internal/node/admin/admin_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestPages(t *testing.T) {
+func TestEndpoints(t *testing.T) {
 	share := -1.0
 	hs := Handlers{
 		Announce: func(context.Context, Announcement) error { return nil },
--- a/internal/node/cmds/cmds.go
+++ b/internal/node/cmds/cmds.go
@@ -39,9 +39,9 @@
 	ExitPlatform = 6 // the platform does not answer or was set back
 )
 
-// memoryLimit is the lowest soft memory limit set for the Go runtime. It lies below the 32 MB that
+// minMemoryLimit is the lowest soft memory limit set for the Go runtime. It lies below the 32 MB that
 // the whole process may use, which include the program text.
-const memoryLimit = 22 << 20
+const minMemoryLimit = 22 << 20
 
 // memoryFraction is the fraction of a larger memory setting that the runtime may use. With a limit
 // below what the load needs, the garbage collector would run all the time.
@@ -172,7 +172,7 @@
 			}
 			// Allocation profiling costs memory, and nothing reads the profile.
 			runtime.MemProfileRate = 0
-			debug.SetMemoryLimit(max(memoryLimit, int64(memoryFraction*float64(se.Memory))))
+			debug.SetMemoryLimit(max(minMemoryLimit, int64(memoryFraction*float64(se.Memory))))
 			var level slog.LevelVar
 			level.Set(se.LogLevel)
 			wr := logs.NewWriter(ap.out)
