--- a/internal/node/cmds/route.go
+++ b/internal/node/cmds/route.go
@@ -124,10 +124,10 @@
 			}
 		}
 		rr.Targets = append(rr.Targets, routeTarget{
-			Service: tg.Service.Name, Percent: 100 * float64(tg.UpTo-prevUpTo) / float64(rt.Total()),
+			Service: tg.Service.Name, Percent: 100 * float64(tg.CumulativeWeight-prevUpTo) / float64(rt.TotalWeight()),
 			Tiers: tg.Service.Tiers, Spill: tg.Service.Spill, VMs: n,
 		})
-		prevUpTo = tg.UpTo
+		prevUpTo = tg.CumulativeWeight
 	}
 	return rr, nil
 }
--- a/internal/node/setup/setup.go
+++ b/internal/node/setup/setup.go
@@ -170,7 +170,7 @@
 	if err != nil {
 		return err
 	}
-	if prs := strict.Decode(file, data, &struct{}{}); len(prs) > 0 && strings.HasPrefix(prs[0].What, "not YAML") {
+	if prs := strict.Decode(file, data, &struct{}{}); len(prs) > 0 && strings.HasPrefix(prs[0].Message, "not YAML") {
 		rd.prs, rd.unreadable = append(rd.prs, prs[0]), true
 		return nil
 	}
