--- a/internal/node/cmds/change.go
+++ b/internal/node/cmds/change.go
@@ -9,30 +9,29 @@
 	"github.com/flamingomast/flamingomast/internal/conf/pack"
 )
 
-// change is one resource of a plan.
+// change is the change to one resource in a plan.
 type change struct {
 	Change   string  `json:"change"`
 	Resource string  `json:"resource"`
 	Fields   []field `json:"fields,omitempty"`
 }
 
-// field is a changed field of a resource; an empty side means that the field
-// is not set there.
+// field is a changed field of a resource. Old or New is empty if the field is not set on that side.
 type field struct {
 	Name string `json:"name"`
 	Old  string `json:"old,omitempty"`
 	New  string `json:"new,omitempty"`
 }
 
-// changes returns what leads from old to next; a nil old is an empty one.
+// changes returns the changes from old to next. A nil old is an empty content.
 func changes(old, next *pack.Content) []change {
 	var list []change
 	dt := pack.Diff(old, next)
 	for _, rs := range dt.Set {
 		ch := change{Change: "add", Resource: rs.Key.String()}
 		if old != nil {
-			if was := old.Get(rs.Key); was != nil {
-				ch.Change, ch.Fields = "change", fields(was, rs.Body)
+			if oldBody := old.Get(rs.Key); oldBody != nil {
+				ch.Change, ch.Fields = "change", diffFields(oldBody, rs.Body)
 			}
 		}
 		list = append(list, ch)
@@ -43,9 +42,9 @@
 	return list
 }
 
-// fields compares two encodings of a resource, field by field. Bodies come from
-// checked contents; one that is no object has no fields to compare.
-func fields(old, next []byte) []field {
+// diffFields compares two JSON encodings of a resource field by field. Bodies come from validated
+// contents; one that is not a JSON object yields no fields.
+func diffFields(old, next []byte) []field {
 	var a, b map[string]json.RawMessage
 	if json.Unmarshal(old, &a) != nil || json.Unmarshal(next, &b) != nil {
 		return nil
--- a/internal/node/setup/setup_test.go
+++ b/internal/node/setup/setup_test.go
@@ -12,13 +12,13 @@
 	"github.com/peterbourgon/ff/v3"
 )
 
-// whole has each required setting.
-var whole = map[string]string{
+// required holds a value for each required setting.
+var required = map[string]string{
 	"vm": "centro-1", "failure-domain": "sala-centro", "inlet": "127.0.0.1:7001", "control": "127.0.0.1:7002", "platform": "127.0.0.1:7070",
 }
 
-// read reads settings given as a file.
-func read(t *testing.T, text string, args ...string) (Settings, []string) {
+// readText writes text to a settings file and reads it with args.
+func readText(t *testing.T, text string, args ...string) (Settings, []string) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "daemon.yaml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -37,21 +37,22 @@
 	return se, strings.Split(strings.ReplaceAll(err.Error(), file, "daemon.yaml"), "\n")
 }
 
-func settings(without, more string) string {
+// settings returns a file with all required settings but omit, followed by extra.
+func settings(omit, extra string) string {
 	var b strings.Builder
 	for _, name := range []string{"vm", "failure-domain", "inlet", "control", "platform"} {
-		if name != without {
-			b.WriteString(name + ": " + whole[name] + "\n")
+		if name != omit {
+			b.WriteString(name + ": " + required[name] + "\n")
 		}
 	}
-	return b.String() + more
+	return b.String() + extra
 }
 
-// TestMissing starts with each required setting missing.
+// TestMissing leaves out each required setting in turn.
 func TestMissing(t *testing.T) {
-	for name := range whole {
-		_, got := read(t, settings(name, ""))
-		remedy := "set it to an address as 10.0.0.1:7000"
+	for name := range required {
+		_, got := readText(t, settings(name, ""))
+		remedy := "set it to an address such as 10.0.0.1:7000"
 		if name == "vm" || name == "failure-domain" {
 			remedy = "set it to the name that the inventory has"
 		}
@@ -66,21 +67,21 @@
 		name, text string
 		args, want []string
 	}{
-		{"none wrong", settings("", ""), nil, nil},
+		{"valid", settings("", ""), nil, nil},
 		{"unknown", settings("", "seed: 127.0.0.1:1\n"), nil, []string{`daemon.yaml:6:1: unknown setting "seed"; did you mean "seeds"?`}},
 		{"twice", settings("", "vm: b\n"), nil, []string{`daemon.yaml:6:1: setting "vm" is already on line 1; remove one of the two`}},
-		{"no mapping", "- a", nil, []string{
+		{"not a mapping", "- a", nil, []string{
 			`daemon.yaml:1:1: the settings must be a mapping; write each as "name: value"`,
 		}},
 		{"not YAML", settings("", "seeds: [\n"), nil, []string{
 			`daemon.yaml:6: not YAML: did not find expected node content; mend the syntax on that line`,
 		}},
 		{"host name", settings("inlet", "inlet: localhost:7001\n"), nil, []string{
-			`daemon.yaml:5:8: inlet is "localhost:7001"; set it to an IP number and a port as 10.0.0.1:7000`,
+			`daemon.yaml:5:8: inlet is "localhost:7001"; set it to an IP address and port such as 10.0.0.1:7000`,
 		}},
-		{"all listed", settings("control", "control: 127.0.0.1\nseeds: [127.0.0.1:1, x]\nlog-level: loud\naccess-log-sample: 2\ndrain-timeout: soon\n"), nil, []string{
-			`daemon.yaml:5:10: control is "127.0.0.1"; set it to an IP number and a port as 10.0.0.1:7000`,
-			`daemon.yaml:6:8: seeds is "x"; set it to an IP number and a port as 10.0.0.1:7000`,
+		{"several errors", settings("control", "control: 127.0.0.1\nseeds: [127.0.0.1:1, x]\nlog-level: loud\naccess-log-sample: 2\ndrain-timeout: soon\n"), nil, []string{
+			`daemon.yaml:5:10: control is "127.0.0.1"; set it to an IP address and port such as 10.0.0.1:7000`,
+			`daemon.yaml:6:8: seeds is "x"; set it to an IP address and port such as 10.0.0.1:7000`,
 			`daemon.yaml:7:12: log-level is "loud"; set it to debug, info, warn or error`,
 			`daemon.yaml:8:20: access-log-sample is "2"; set it to a number from 0 to 1`,
 			`daemon.yaml:9:16: drain-timeout is "soon"; set it to a duration such as 30s`,
@@ -94,7 +95,7 @@
 		{"argument", settings("", ""), []string{"x"}, []string{`command line: unexpected argument "x"; settings are given as --name value`}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			_, got := read(t, tc.text, tc.args...)
+			_, got := readText(t, tc.text, tc.args...)
 			if diff := cmp.Diff(tc.want, got); diff != "" {
 				t.Errorf("(-want +got):\n%s", diff)
 			}
@@ -102,20 +103,20 @@
 	}
 }
 
-// TestPrecedence: a flag goes before the environment, which goes before the
+// TestPrecedence checks that flags take precedence over the environment, and the environment over the
 // file.
 func TestPrecedence(t *testing.T) {
 	t.Setenv("FLAMINGOMAST_FAILURE_DOMAIN", "from-environment")
 	t.Setenv("FLAMINGOMAST_VM", "from-environment")
-	se, prs := read(t, settings("", ""), "--vm", "from-flag")
-	if prs != nil || se.VM != "from-flag" || se.Domain != "from-environment" || se.Inlet != whole["inlet"] {
+	se, prs := readText(t, settings("", ""), "--vm", "from-flag")
+	if prs != nil || se.VM != "from-flag" || se.Domain != "from-environment" || se.Inlet != required["inlet"] {
 		t.Errorf("settings %s, problems %v", se, prs)
 	}
 }
 
-// TestSecret: the mesh token is in no printed form of the settings.
-func TestSecret(t *testing.T) {
-	se, _ := read(t, settings("", "mesh-token: hush\n"))
+// TestTokenNotPrinted checks that no printed form of the settings contains the mesh token.
+func TestTokenNotPrinted(t *testing.T) {
+	se, _ := readText(t, settings("", "mesh-token: hush\n"))
 	if se.Token != "hush" {
 		t.Fatalf("token %q", se.Token)
 	}
