--- a/internal/node/admin/admin.go
+++ b/internal/node/admin/admin.go
@@ -74,8 +74,8 @@
 	return time.Duration(an.TTLMs) * time.Millisecond
 }
 
-// Check returns the first error found in the announcement, or nil.
-func (an *Announcement) Check() error {
+// Validate returns the first error found in the announcement, or nil.
+func (an *Announcement) Validate() error {
 	switch {
 	case an.State != "" && an.State != StateServing && an.State != StateDraining:
 		return fmt.Errorf("state is %q; set it to %s or %s, or leave it out", an.State, StateServing, StateDraining)
@@ -105,7 +105,7 @@
 	Withdraw func(context.Context, Withdrawal)
 	// OnBadAnnouncement is called when an announcement for a lifetime cannot be decoded or is
 	// invalid.
-	Refused func(lifetime string, err error)
+	OnBadAnnouncement func(lifetime string, err error)
 	// Ready returns the reason why the daemon is not ready, or nil if it is.
 	Ready func() error
 	// Status returns the state of the fleet as this daemon knows it.
@@ -114,12 +114,12 @@
 	// are still running there.
 	Drain func(ctx context.Context, vm string) (int, error)
 	// SetLogSample sets the share of requests that is logged.
-	Sample func(share float64)
+	SetLogSample func(share float64)
 	// Vars are the daemon's metrics.
 	Vars *expvar.Map
 	// OnWriteError, if set, is called when an answer could not be sent, for example because the client
 	// has gone.
-	Unsent func(err error)
+	OnWriteError func(err error)
 }
 
 // New returns the HTTP handler of all endpoints.
@@ -146,7 +146,7 @@
 	dec.DisallowUnknownFields()
 	err := dec.Decode(&an)
 	if err == nil {
-		err = an.Check()
+		err = an.Validate()
 	}
 	if err != nil {
 		hs.writeError(w, http.StatusBadRequest, err)
@@ -191,7 +191,7 @@
 		hs.writeError(w, http.StatusBadRequest, fmt.Errorf("the share is %q; set it to a number from 0 to 1", ps.ByName("share")))
 		return
 	}
-	hs.Sample(share)
+	hs.SetLogSample(share)
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -227,18 +227,18 @@
 
 // reportWrite reports an error of writing an answer, if any.
 func (hs *Handlers) reportWrite(err error) {
-	if err != nil && hs.Unsent != nil {
-		hs.Unsent(err)
+	if err != nil && hs.OnWriteError != nil {
+		hs.OnWriteError(err)
 	}
 }
 
-// Failure is the body of an error response.
-type Failure struct {
+// ErrorResponse is the body of an error response.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
 func (hs *Handlers) writeError(w http.ResponseWriter, status int, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	hs.reportWrite(json.NewEncoder(w).Encode(Failure{Error: err.Error()}))
+	hs.reportWrite(json.NewEncoder(w).Encode(ErrorResponse{Error: err.Error()}))
 }
--- a/internal/node/admin/status.go
+++ b/internal/node/admin/status.go
@@ -34,8 +34,8 @@
 	Silent   []string `json:"silent,omitempty"`
 	// Unreachable is set while the reporting relay has no link to the failure domain, Unknown while
 	// the failure domain has reported nothing.
-	Cut     bool `json:"cut,omitempty"`
-	Unknown bool `json:"unknown,omitempty"`
+	Unreachable bool `json:"cut,omitempty"`
+	Unknown     bool `json:"unknown,omitempty"`
 }
 
 // NewStatus builds a status from a StatusResponse. domains are the declared failure domains.
@@ -61,7 +61,7 @@
 		ds.Behind, ds.Refused = su.Behind, su.Refused
 	}
 	for _, dm := range res.Cut {
-		get(dm).Cut = true
+		get(dm).Unreachable = true
 	}
 	for _, pb := range res.Records {
 		rc := member.FromWire(pb)
@@ -94,7 +94,7 @@
 	var list []string
 	for _, ds := range st.Domains {
 		switch {
-		case ds.Cut:
+		case ds.Unreachable:
 			list = append(list, "failure domain "+ds.Name+" (cut off)")
 		case ds.Unknown || ds.Members == 0 || ds.Lowest >= version:
 		case ds.Highest < version:
--- a/internal/node/cmds/cmds.go
+++ b/internal/node/cmds/cmds.go
@@ -172,7 +172,7 @@
 			}
 			// Allocation profiling costs memory, and nothing reads the profile.
 			runtime.MemProfileRate = 0
-			debug.SetMemoryLimit(max(minMemoryLimit, int64(memoryFraction*float64(se.Memory))))
+			debug.SetMemoryLimit(max(minMemoryLimit, int64(memoryFraction*float64(se.MemoryLimit))))
 			var level slog.LevelVar
 			level.Set(se.LogLevel)
 			wr := logs.NewWriter(ap.out)
--- a/internal/node/cmds/fleet.go
+++ b/internal/node/cmds/fleet.go
@@ -35,7 +35,7 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		var fl admin.Failure
+		var fl admin.ErrorResponse
 		_ = json.NewDecoder(res.Body).Decode(&fl)
 		return fmt.Errorf("the daemon answered %s: %s", res.Status, fl.Error)
 	}
@@ -163,7 +163,7 @@
 				remarks = append(remarks, name+": "+strings.Join(list, " "))
 			}
 		}
-		if ds.Cut {
+		if ds.Unreachable {
 			remarks = append(remarks, "cut off")
 		}
 		if ds.Unknown {
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -123,7 +123,7 @@
 		kv = &st
 	}
 	dm.guard = guard.New(*kv)
-	link := pacer.New(se.Link)
+	link := pacer.New(se.LinkRate)
 	dm.controlBytes.Sent, dm.pathBytes.Sent = link.Sent, link.Sent
 	var src ctrl.Source
 	if dm.adapter.Source != nil {
@@ -131,13 +131,13 @@
 	}
 	dm.Node = ctrl.New(ctrl.Config{
 		Source: src,
-		VM:     se.VM, Domain: se.Domain, Control: se.Control, Inlet: se.Inlet, Seeds: se.Seeds, Token: se.Token, Capacity: uint32(se.Link / 1e6),
+		VM:     se.VM, Domain: se.Domain, Control: se.Control, Inlet: se.Inlet, Seeds: se.Seeds, Token: se.Token, Capacity: uint32(se.LinkRate / 1e6),
 		Store: dm.guard.Store(), OnNewEpoch: dm.guard.Close, Counts: dm.counts, FirstStart: se.FirstStart, Log: dm.log, Dial: dm.controlBytes.Dialer(dialer.Dial), Drain: dm.Drain,
 	})
 	dm.store = dm.Node.Store()
 	dm.Outlet = outlet.New(outlet.Options{
-		Log: dm.log, LogSample: se.AccessSample, Token: se.Token, Names: dm.adapter.Names, Service: se.Service, LinkRate: se.Link,
-		Work: func() limit.Activity { return dm.Inlet.Gate.Activity() }, RetryBound: &se.Repeats, Poison: dm.Node.Board.Poison.Get,
+		Log: dm.log, LogSample: se.LogSample, Token: se.Token, Names: dm.adapter.Names, Service: se.Service, LinkRate: se.LinkRate,
+		Work: func() limit.Activity { return dm.Inlet.Gate.Activity() }, RetryBound: &se.RetryBound, Poison: dm.Node.Board.Poison.Get,
 		Forwarder: proxy.New(proxy.Options{Dial: dm.pathBytes.Dialer(dialer.Dial), MaxIdle: maxIdlePerInlet, IdleTimeout: inletIdleTimeout}),
 	})
 	dm.Inlet = inlet.New(proxy.Options{}, link)
@@ -157,7 +157,7 @@
 
 // Reload applies those changed settings that can change while the daemon runs.
 func (dm *Daemon) Reload(se setup.Settings) {
-	dm.Outlet.SetLogSample(se.AccessSample)
+	dm.Outlet.SetLogSample(se.LogSample)
 	dm.drainTimeout.Store(int64(se.DrainTimeout))
 }
 
@@ -262,9 +262,9 @@
 
 func (dm *Daemon) handlers() admin.Handlers {
 	return admin.Handlers{
-		Announce: dm.announce, Withdraw: dm.withdraw, Refused: dm.announcementRefused, Ready: dm.ready, Status: dm.Status, Drain: dm.drainVM,
-		Sample: dm.Outlet.SetLogSample, Vars: dm.vars(),
-		Unsent: func(err error) { dm.log.Debug("page-unsent", slog.Any("error", err)) },
+		Announce: dm.announce, Withdraw: dm.withdraw, OnBadAnnouncement: dm.announcementRefused, Ready: dm.ready, Status: dm.Status, Drain: dm.drainVM,
+		SetLogSample: dm.Outlet.SetLogSample, Vars: dm.vars(),
+		OnWriteError: func(err error) { dm.log.Debug("page-unsent", slog.Any("error", err)) },
 	}
 }
 
--- a/internal/node/setup/setup.go
+++ b/internal/node/setup/setup.go
@@ -50,17 +50,17 @@
 	// Token is the secret shared by all daemons.
 	Token        string
 	LogLevel     slog.Level
-	AccessSample float64
+	LogSample    float64
 	DrainTimeout time.Duration
 	// MemoryLimit is the memory limit of the whole process in bytes.
-	Memory int64
+	MemoryLimit int64
 	// LinkRate is the rate of the VM's network link in bit/s, 0 if unknown.
-	Link float64
+	LinkRate float64
 	// FirstStart is set if the whole mesh starts for the first time, so that no earlier process has
 	// acknowledged anything.
 	FirstStart bool
 	// RetryBound limits the retries of all daemons together, per service.
-	Repeats retry.Bound
+	RetryBound retry.Bound
 }
 
 // String returns the settings without secrets.
@@ -292,23 +292,23 @@
 	if err != nil || !(sample >= 0 && sample <= 1) {
 		rd.addProblem("access-log-sample", fmt.Sprintf("access-log-sample is %q", rw.logSample), "set it to a number from 0 to 1")
 	}
-	se.AccessSample = sample
+	se.LogSample = sample
 	mb, err := strconv.ParseInt(rw.memoryMB, 10, 32)
 	if err != nil || mb < minMemoryMB {
 		rd.addProblem("memory-mb", fmt.Sprintf("memory-mb is %q", rw.memoryMB), fmt.Sprintf("set it to a whole number of megabytes, %d or more", minMemoryMB))
 	}
-	se.Memory = mb << 20
+	se.MemoryLimit = mb << 20
 	mbps, err := strconv.ParseFloat(rw.linkMbps, 64)
 	if err != nil || !(mbps >= 0 && mbps <= maxLinkMbps) {
 		rd.addProblem("link-mbps", fmt.Sprintf("link-mbps is %q", rw.linkMbps), fmt.Sprintf("set it to a number from 0 to %d", maxLinkMbps))
 	}
-	se.Link = mbps * 1e6
+	se.LinkRate = mbps * 1e6
 	se.FirstStart, err = strconv.ParseBool(rw.firstStart)
 	if err != nil {
 		rd.addProblem("first-start", fmt.Sprintf("first-start is %q", rw.firstStart), "set it to true or false")
 	}
-	se.Repeats.Ratio = rd.number("retry-ratio", rw.retryRatio, retry.Default.Ratio, 1)
-	se.Repeats.Spare = rd.number("retry-spare", rw.retrySpare, retry.Default.Spare, maxRetrySpare)
+	se.RetryBound.Ratio = rd.number("retry-ratio", rw.retryRatio, retry.Default.Ratio, 1)
+	se.RetryBound.Spare = rd.number("retry-spare", rw.retrySpare, retry.Default.Spare, maxRetrySpare)
 	se.DrainTimeout, err = time.ParseDuration(rw.drainTimeout)
 	if err != nil || se.DrainTimeout < 0 {
 		rd.addProblem("drain-timeout", fmt.Sprintf("drain-timeout is %q", rw.drainTimeout), "set it to a duration such as 30s")
