--- a/internal/plat/dialer/stale.go
+++ b/internal/plat/dialer/stale.go
@@ -15,10 +15,10 @@
 func DoFresh(hc *http.Client, req *http.Request) (*http.Response, error) {
 	for {
 		stale := false
-		ctx := httptrace.WithClientTrace(req.Context(), &httptrace.ClientTrace{GotConn: func(in httptrace.GotConnInfo) {
-			if stale = in.Reused && IsStale(in.Conn); stale {
+		ctx := httptrace.WithClientTrace(req.Context(), &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
+			if stale = info.Reused && IsStale(info.Conn); stale {
 				// Its error ends the request before anything was sent.
-				_ = in.Conn.Close()
+				_ = info.Conn.Close()
 			}
 		}})
 		res, err := hc.Do(req.WithContext(ctx))
@@ -45,15 +45,15 @@
 	if err != nil {
 		return false
 	}
-	var found error
+	var peekErr error
 	err = rc.Control(func(fd uintptr) {
-		var next [1]byte
-		_, _, found = unix.Recvfrom(int(fd), next[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		var buf [1]byte
+		_, _, peekErr = unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	})
 	if err != nil {
 		return false
 	}
-	switch found {
+	switch peekErr {
 	case nil, unix.ECONNRESET, unix.EPIPE, unix.ETIMEDOUT:
 		return true
 	}
--- a/internal/plat/faulty/faulty.go
+++ b/internal/plat/faulty/faulty.go
@@ -19,11 +19,11 @@
 	// Addr is where it listens.
 	Addr string
 
-	ln     net.Listener
-	behave Behave
-	mu     sync.Mutex
-	seen   int
-	conns  map[net.Conn]bool
+	ln       net.Listener
+	handler  Behave
+	mu       sync.Mutex
+	requests int
+	conns    map[net.Conn]bool
 }
 
 // New starts a server on a free loopback port; Close ends it.
@@ -37,7 +37,7 @@
 
 // Serve starts a server on ln; Close ends it.
 func Serve(ln net.Listener, fn Behave) *Server {
-	sr := &Server{Addr: ln.Addr().String(), ln: ln, behave: fn, conns: map[net.Conn]bool{}}
+	sr := &Server{Addr: ln.Addr().String(), ln: ln, handler: fn, conns: map[net.Conn]bool{}}
 	go sr.accept()
 	return sr
 }
@@ -69,9 +69,9 @@
 			return
 		}
 		sr.mu.Lock()
-		sr.seen++
+		sr.requests++
 		sr.mu.Unlock()
-		if !sr.behave(cn, n, req) {
+		if !sr.handler(cn, n, req) {
 			return
 		}
 	}
@@ -81,7 +81,7 @@
 func (sr *Server) Seen() int {
 	sr.mu.Lock()
 	defer sr.mu.Unlock()
-	return sr.seen
+	return sr.requests
 }
 
 // Close ends the server and all its connections.
@@ -115,8 +115,8 @@
 	}
 }
 
-// resets returns what does as fn says and ends the connection by a TCP reset.
-func resets(fn Behave) Behave {
+// withReset returns what does as fn says and ends the connection by a TCP reset.
+func withReset(fn Behave) Behave {
 	return func(cn net.Conn, n int, req *http.Request) bool {
 		fn(cn, n, req)
 		if tc, ok := cn.(*net.TCPConn); ok {
@@ -135,40 +135,40 @@
 }
 
 const (
-	head = "HTTP/1.1 200 OK\r\n"
-	// half is an answer that ends before its length.
-	half = head + "Content-Length: 10\r\n\r\nhalf"
+	statusLine = "HTTP/1.1 200 OK\r\n"
+	// truncated is an answer that ends before its length.
+	truncated = statusLine + "Content-Length: 10\r\n\r\nhalf"
 )
 
 // Faults are the ways known. In each the server has read the request.
 var Faults = []Fault{
 	{Name: "closes-after-head", Behave: func(net.Conn, int, *http.Request) bool { return false }},
 	{Name: "closes-after-body", Behave: Sends("", false)},
-	{Name: "resets-after-body", Behave: resets(Sends("", false))},
-	{Name: "closes-in-answer-head", Behave: Sends(head+"Content-Le", false)},
-	{Name: "conflicting-lengths", Behave: Sends(head+"Content-Length: 2\r\nContent-Length: 5\r\n\r\nokokok", false)},
+	{Name: "resets-after-body", Behave: withReset(Sends("", false))},
+	{Name: "closes-in-answer-head", Behave: Sends(statusLine+"Content-Le", false)},
+	{Name: "conflicting-lengths", Behave: Sends(statusLine+"Content-Length: 2\r\nContent-Length: 5\r\n\r\nokokok", false)},
 	{Name: "huge-head", Behave: hugeHead},
 	{Name: "endless-interim", Behave: endlessInterim},
 	{Name: "no-http", Behave: Sends("220 mail ready\r\n", false)},
-	{Name: "closes-after-answer-head", Behave: Sends(head+"Content-Length: 10\r\n\r\n", false), Broken: true},
-	{Name: "closes-in-answer-body", Behave: Sends(half, false), Broken: true},
-	{Name: "resets-in-answer-body", Behave: resets(Sends(half, false)), Broken: true},
-	{Name: "closes-in-chunked-body", Behave: Sends(head+"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", false), Broken: true},
-	{Name: "bad-chunk", Behave: Sends(head+"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\nzz\r\n", false), Broken: true},
+	{Name: "closes-after-answer-head", Behave: Sends(statusLine+"Content-Length: 10\r\n\r\n", false), Broken: true},
+	{Name: "closes-in-answer-body", Behave: Sends(truncated, false), Broken: true},
+	{Name: "resets-in-answer-body", Behave: withReset(Sends(truncated, false)), Broken: true},
+	{Name: "closes-in-chunked-body", Behave: Sends(statusLine+"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", false), Broken: true},
+	{Name: "bad-chunk", Behave: Sends(statusLine+"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\nzz\r\n", false), Broken: true},
 }
 
 // hugeHead makes its megabyte when it is used, not when a process starts: every
 // daemon has this package in it.
 func hugeHead(cn net.Conn, n int, req *http.Request) bool {
-	return Sends(head+"X: "+strings.Repeat("x", 1<<20)+"\r\n\r\n", false)(cn, n, req)
+	return Sends(statusLine+"X: "+strings.Repeat("x", 1<<20)+"\r\n\r\n", false)(cn, n, req)
 }
 
-// interims is how many interim answers an endless series has.
-const interims = 100_000
+// interimCount is how many interim answers an endless series has.
+const interimCount = 100_000
 
 func endlessInterim(cn net.Conn, _ int, req *http.Request) bool {
 	ReadBody(req)
-	for range interims {
+	for range interimCount {
 		if _, err := io.WriteString(cn, "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"); err != nil {
 			break
 		}
--- a/internal/plat/guard/guard.go
+++ b/internal/plat/guard/guard.go
@@ -19,10 +19,10 @@
 const (
 	callRate  = 10
 	callBurst = 40
-	// trip is how many failures in a row open the breaker, and rest how long
+	// failureThreshold is how many failures in a row open the breaker, and rest how long
 	// it stays open before one call tries again.
-	trip = 5
-	rest = 2 * time.Second
+	failureThreshold = 5
+	openTimeout      = 2 * time.Second
 )
 
 // Guard counts and limits calls.
@@ -33,38 +33,38 @@
 	// key, Read the bytes of values that came back by the same.
 	Purposes, Read expvar.Map
 	kv             store.Store
-	lim            *rate.Limiter
-	brk            atomic.Pointer[gobreaker.CircuitBreaker[any]]
+	limiter        *rate.Limiter
+	breaker        atomic.Pointer[gobreaker.CircuitBreaker[any]]
 }
 
 // New returns a guard around kv.
 func New(kv store.Store) *Guard {
-	gd := &Guard{kv: kv, lim: rate.NewLimiter(callRate, callBurst)}
+	gd := &Guard{kv: kv, limiter: rate.NewLimiter(callRate, callBurst)}
 	gd.Close()
 	return gd
 }
 
 // Close closes the breaker: the store is known to answer others again.
 func (gd *Guard) Close() {
-	gd.brk.Store(gobreaker.NewCircuitBreaker[any](gobreaker.Settings{
-		Timeout:      rest,
-		ReadyToTrip:  func(cs gobreaker.Counts) bool { return cs.ConsecutiveFailures >= trip },
+	gd.breaker.Store(gobreaker.NewCircuitBreaker[any](gobreaker.Settings{
+		Timeout:      openTimeout,
+		ReadyToTrip:  func(cs gobreaker.Counts) bool { return cs.ConsecutiveFailures >= failureThreshold },
 		IsSuccessful: func(err error) bool { return err == nil || store.Is(err, store.Gone) || store.Is(err, store.TooLarge) },
 	}))
 }
 
 // purpose names what a call is for.
 func purpose(op, key string) string {
-	first, _, _ := strings.Cut(key, "/")
-	if first == "" {
+	firstPart, _, _ := strings.Cut(key, "/")
+	if firstPart == "" {
 		return op
 	}
-	return op + "/" + first
+	return op + "/" + firstPart
 }
 
 // Store returns the guarded functions.
 func (gd *Guard) Store() store.Store {
-	kv := store.Wrap(gd.kv, gd.through)
+	kv := store.Wrap(gd.kv, gd.intercept)
 	get, list, watch := kv.Get, kv.List, kv.Watch
 	kv.Get = func(ctx context.Context, key string) (store.Entry, error) {
 		ent, err := get(ctx, key)
@@ -81,7 +81,7 @@
 	kv.Watch = func(ctx context.Context, key string, after store.Revision, wait time.Duration) (store.Entry, error) {
 		// A half-open breaker lets one call through at a time. A watch that
 		// waits would hold back all others, so it only looks then.
-		if gd.brk.Load().State() != gobreaker.StateClosed {
+		if gd.breaker.Load().State() != gobreaker.StateClosed {
 			wait = 0
 		}
 		ent, err := watch(ctx, key, after, wait)
@@ -92,7 +92,7 @@
 	}
 	watchAll := kv.WatchAll
 	kv.WatchAll = func(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Listing, error) {
-		if gd.brk.Load().State() != gobreaker.StateClosed {
+		if gd.breaker.Load().State() != gobreaker.StateClosed {
 			wait = 0
 		}
 		return watchAll(ctx, prefix, after, wait)
@@ -100,14 +100,14 @@
 	return kv
 }
 
-// through waits for the rate limit and makes the call unless the breaker is
+// intercept waits for the rate limit and makes the call unless the breaker is
 // open.
-func (gd *Guard) through(ctx context.Context, op, key string, call func() error) error {
-	if err := gd.lim.Wait(ctx); err != nil {
+func (gd *Guard) intercept(ctx context.Context, op, key string, call func() error) error {
+	if err := gd.limiter.Wait(ctx); err != nil {
 		gd.Held.Add(1)
 		return &store.Error{Kind: store.Unavailable, Op: op, Key: key, Err: err}
 	}
-	_, err := gd.brk.Load().Execute(func() (any, error) {
+	_, err := gd.breaker.Load().Execute(func() (any, error) {
 		gd.Calls.Add(1)
 		gd.Purposes.Add(purpose(op, key), 1)
 		return nil, call()
--- a/internal/plat/guard/guard_test.go
+++ b/internal/plat/guard/guard_test.go
@@ -21,21 +21,21 @@
 		for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 			_, _ = kv.Get(t.Context(), "a")
 		}
-		if n := st.Calls.Total(); n > 60/2+trip+1 {
-			t.Errorf("%d calls in a minute of outage, bound %d", n, 60/2+trip+1)
+		if n := st.Calls.Total(); n > 60/2+failureThreshold+1 {
+			t.Errorf("%d calls in a minute of outage, bound %d", n, 60/2+failureThreshold+1)
 		}
 		st.SetFaults(stand.Faults{})
-		time.Sleep(rest)
-		watched := make(chan error, 1)
+		time.Sleep(openTimeout)
+		watchErr := make(chan error, 1)
 		go func() {
 			_, err := kv.Watch(t.Context(), "a", store.Revision{}, 25*time.Second)
-			watched <- err
+			watchErr <- err
 		}()
 		synctest.Wait()
 		if _, err := kv.Get(t.Context(), "a"); err != nil {
 			t.Errorf("the first call beside the watch: %v", err)
 		}
-		if err := <-watched; err != nil {
+		if err := <-watchErr; err != nil {
 			t.Errorf("the first watch: %v", err)
 		}
 	})
--- a/internal/plat/kvtest/ended.go
+++ b/internal/plat/kvtest/ended.go
@@ -15,70 +15,70 @@
 // processor time.
 type LateEnd struct {
 	mu    sync.Mutex
-	conns []*lateConn
+	conns []*delayedEOFConn
 }
 
-type lateConn struct {
+type delayedEOFConn struct {
 	*net.TCPConn
-	moved chan struct{}
-	once  sync.Once
+	released chan struct{}
+	once     sync.Once
 	// armed is set once the end may come.
 	armed chan struct{}
 }
 
 // Dial opens a connection over loopback.
-func (le *LateEnd) Dial(addr string) (net.Conn, error) {
+func (ed *LateEnd) Dial(addr string) (net.Conn, error) {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	lc := &lateConn{TCPConn: nc.(*net.TCPConn), moved: make(chan struct{}), armed: make(chan struct{})}
-	le.mu.Lock()
-	defer le.mu.Unlock()
-	le.conns = append(le.conns, lc)
-	return lc, nil
+	dc := &delayedEOFConn{TCPConn: nc.(*net.TCPConn), released: make(chan struct{}), armed: make(chan struct{})}
+	ed.mu.Lock()
+	defer ed.mu.Unlock()
+	ed.conns = append(ed.conns, dc)
+	return dc, nil
 }
 
 // Read reads; the end of the connection is held back.
-func (lc *lateConn) Read(p []byte) (int, error) {
-	n, err := lc.TCPConn.Read(p)
+func (dc *delayedEOFConn) Read(p []byte) (int, error) {
+	n, err := dc.TCPConn.Read(p)
 	if n == 0 {
-		<-lc.moved
+		<-dc.released
 	}
 	return n, err
 }
 
 // Write writes; once the end may have come, it lets that be noticed.
-func (lc *lateConn) Write(p []byte) (int, error) {
-	n, err := lc.TCPConn.Write(p)
+func (dc *delayedEOFConn) Write(p []byte) (int, error) {
+	n, err := dc.TCPConn.Write(p)
 	select {
-	case <-lc.armed:
-		lc.once.Do(func() { close(lc.moved) })
+	case <-dc.armed:
+		dc.once.Do(func() { close(dc.released) })
 	default:
 	}
 	return n, err
 }
 
 // Close closes the connection.
-func (lc *lateConn) Close() error {
-	lc.once.Do(func() { close(lc.moved) })
-	return lc.TCPConn.Close()
+func (dc *delayedEOFConn) Close() error {
+	dc.once.Do(func() { close(dc.released) })
+	return dc.TCPConn.Close()
 }
 
 // EndedBeforeCall checks that a write is done whose kept connection the service had closed
 // before the call; closeAll closes the connections from the side of the service.
-func EndedBeforeCall(t *testing.T, kv store.Store, le *LateEnd, closeAll func()) {
+func EndedBeforeCall(t *testing.T, kv store.Store, ed *LateEnd, closeAll func()) {
 	t.Helper()
 	wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
-	le.mu.Lock()
-	list := le.conns
-	le.mu.Unlock()
+	ed.mu.Lock()
+	conns := ed.conns
+	ed.mu.Unlock()
 	closeAll()
-	for _, lc := range list {
-		for end := time.Now().Add(5 * time.Second); !dialer.IsStale(lc) && time.Now().Before(end); {
+	for _, dc := range conns {
+		for end := time.Now().Add(5 * time.Second); !dialer.IsStale(dc) && time.Now().Before(end); {
 			<-time.After(time.Millisecond)
 		}
-		close(lc.armed)
+		close(dc.armed)
 	}
 	ent := wantSwap(t, kv, store.Change{Key: "b", Value: []byte("1")}, true)
 	if !ent.Revision.Exists() {
--- a/internal/plat/memnet/memnet.go
+++ b/internal/plat/memnet/memnet.go
@@ -19,12 +19,12 @@
 	// number; nil stands for 0.
 	Rate func(from, to *Host) int
 
-	mu      sync.Mutex
-	hosts   map[string]*Host
-	conns   map[*pipe]bool
-	cut     func(a, b *Host) bool
-	corrupt func(from, to *Host, p []byte) []byte
-	changed chan struct{}
+	mu          sync.Mutex
+	hosts       map[string]*Host
+	conns       map[*pipe]bool
+	partitioned func(a, b *Host) bool
+	corrupt     func(from, to *Host, p []byte) []byte
+	changed     chan struct{}
 }
 
 // Host is one end point, named by its address.
@@ -40,20 +40,20 @@
 func New() *Network {
 	return &Network{
 		hosts: map[string]*Host{}, conns: map[*pipe]bool{}, changed: make(chan struct{}),
-		cut:     func(*Host, *Host) bool { return false },
-		Latency: func(*Host, *Host) time.Duration { return time.Millisecond },
+		partitioned: func(*Host, *Host) bool { return false },
+		Latency:     func(*Host, *Host) time.Duration { return time.Millisecond },
 	}
 }
 
 // SetCut replaces which hosts cannot reach each other; nil cuts none. Bytes on
 // their way wait for the cut to heal, as they do in TCP.
-func (nw *Network) SetCut(cut func(a, b *Host) bool) {
+func (nw *Network) SetCut(partitioned func(a, b *Host) bool) {
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
-	if cut == nil {
-		cut = func(*Host, *Host) bool { return false }
+	if partitioned == nil {
+		partitioned = func(*Host, *Host) bool { return false }
 	}
-	nw.cut = cut
+	nw.partitioned = partitioned
 	close(nw.changed)
 	nw.changed = make(chan struct{})
 }
@@ -65,10 +65,10 @@
 	nw.corrupt = fn
 }
 
-func (nw *Network) state(a, b *Host) (cut bool, changed <-chan struct{}) {
+func (nw *Network) linkState(a, b *Host) (partitioned bool, changed <-chan struct{}) {
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
-	return nw.cut(a, b), nw.changed
+	return nw.partitioned(a, b), nw.changed
 }
 
 // Listen makes a host with a listener. An address may be taken again after its
@@ -96,14 +96,14 @@
 // Reset ends all connections of a host, as the death of its process does.
 func (nw *Network) Reset(ho *Host) {
 	nw.mu.Lock()
-	var list []*pipe
+	var pipes []*pipe
 	for pi := range nw.conns {
 		if pi.from == ho || pi.to == ho {
-			list = append(list, pi)
+			pipes = append(pipes, pi)
 		}
 	}
 	nw.mu.Unlock()
-	for _, pi := range list {
+	for _, pi := range pipes {
 		pi.close()
 	}
 }
@@ -115,8 +115,8 @@
 		return nil, errors.New("connection refused")
 	}
 	for {
-		cut, changed := nw.state(from, to)
-		if !cut {
+		partitioned, changed := nw.linkState(from, to)
+		if !partitioned {
 			break
 		}
 		select {
@@ -127,9 +127,9 @@
 	}
 	out, back := nw.newPipe(from, to), nw.newPipe(to, from)
 	local := &conn{r: back, w: out, local: addrName(from.Addr), remote: addrName(addr)}
-	far := &conn{r: out, w: back, local: addrName(addr), remote: addrName(from.Addr)}
+	peer := &conn{r: out, w: back, local: addrName(addr), remote: addrName(from.Addr)}
 	select {
-	case to.ln.conns <- far:
+	case to.ln.conns <- peer:
 		return local, nil
 	case <-to.ln.done:
 		local.Close()
@@ -142,8 +142,8 @@
 
 type addrName string
 
-func (ma addrName) Network() string { return "mem" }
-func (ma addrName) String() string  { return string(ma) }
+func (an addrName) Network() string { return "mem" }
+func (an addrName) String() string  { return string(an) }
 
 type listener struct {
 	addr  addrName
@@ -152,21 +152,21 @@
 	once  sync.Once
 }
 
-func (ml *listener) Accept() (net.Conn, error) {
+func (ln *listener) Accept() (net.Conn, error) {
 	select {
-	case cn := <-ml.conns:
+	case cn := <-ln.conns:
 		return cn, nil
-	case <-ml.done:
+	case <-ln.done:
 		return nil, net.ErrClosed
 	}
 }
 
-func (ml *listener) Close() error {
-	ml.once.Do(func() { close(ml.done) })
+func (ln *listener) Close() error {
+	ln.once.Do(func() { close(ln.done) })
 	return nil
 }
 
-func (ml *listener) Addr() net.Addr { return ml.addr }
+func (ln *listener) Addr() net.Addr { return ln.addr }
 
 // pipe carries bytes one way.
 type pipe struct {
@@ -177,13 +177,13 @@
 	chunks   []chunk
 	closed   bool
 	deadline time.Time
-	// sent is when what was written has left.
-	sent    time.Time
-	changed chan struct{}
+	// busyUntil is when what was written has left.
+	busyUntil time.Time
+	changed   chan struct{}
 }
 
 type chunk struct {
-	at   time.Time
+	due  time.Time
 	data []byte
 }
 
@@ -195,8 +195,8 @@
 	return pi
 }
 
-// wake lets the reader look again; pi.mu is held.
-func (pi *pipe) wake() {
+// notifyReader lets the reader look again; pi.mu is held.
+func (pi *pipe) notifyReader() {
 	close(pi.changed)
 	pi.changed = make(chan struct{})
 }
@@ -206,7 +206,7 @@
 	defer pi.mu.Unlock()
 	if !pi.closed {
 		pi.closed = true
-		pi.wake()
+		pi.notifyReader()
 	}
 	pi.nw.mu.Lock()
 	defer pi.nw.mu.Unlock()
@@ -228,28 +228,28 @@
 	if corrupt != nil {
 		data = corrupt(pi.from, pi.to, data)
 	}
-	for len(data) > packet {
-		pi.chunks = append(pi.chunks, chunk{at: pi.arrival(packet), data: data[:packet:packet]})
-		data = data[packet:]
+	for len(data) > maxChunk {
+		pi.chunks = append(pi.chunks, chunk{due: pi.arrival(maxChunk), data: data[:maxChunk:maxChunk]})
+		data = data[maxChunk:]
 	}
-	pi.chunks = append(pi.chunks, chunk{at: pi.arrival(len(data)), data: data})
-	pi.wake()
+	pi.chunks = append(pi.chunks, chunk{due: pi.arrival(len(data)), data: data})
+	pi.notifyReader()
 	return n, nil
 }
 
-// packet is the most bytes that arrive at once.
-const packet = 1 << 10
+// maxChunk is the most bytes that arrive at once.
+const maxChunk = 1 << 10
 
 // arrival returns when bytes that are written now arrive; pi.mu is held.
 func (pi *pipe) arrival(n int) time.Time {
 	at := time.Now()
 	if pi.nw.Rate != nil {
 		if rate := pi.nw.Rate(pi.from, pi.to); rate > 0 {
-			if at.Before(pi.sent) {
-				at = pi.sent
+			if at.Before(pi.busyUntil) {
+				at = pi.busyUntil
 			}
 			at = at.Add(time.Duration(n) * time.Second / time.Duration(rate))
-			pi.sent = at
+			pi.busyUntil = at
 		}
 	}
 	return at.Add(pi.nw.Latency(pi.from, pi.to))
@@ -257,7 +257,7 @@
 
 func (pi *pipe) read(p []byte) (int, error) {
 	for {
-		cut, healed := pi.nw.state(pi.from, pi.to)
+		partitioned, partitionChanged := pi.nw.linkState(pi.from, pi.to)
 		pi.mu.Lock()
 		now := time.Now()
 		wait := time.Hour
@@ -265,7 +265,7 @@
 		case !pi.deadline.IsZero() && !now.Before(pi.deadline):
 			pi.mu.Unlock()
 			return 0, os.ErrDeadlineExceeded
-		case !cut && len(pi.chunks) > 0 && !now.Before(pi.chunks[0].at):
+		case !partitioned && len(pi.chunks) > 0 && !now.Before(pi.chunks[0].due):
 			n := copy(p, pi.chunks[0].data)
 			if pi.chunks[0].data = pi.chunks[0].data[n:]; len(pi.chunks[0].data) == 0 {
 				pi.chunks = pi.chunks[1:]
@@ -273,9 +273,9 @@
 			pi.mu.Unlock()
 			pi.to.In.Add(int64(n))
 			return n, nil
-		case !cut && len(pi.chunks) > 0:
-			wait = pi.chunks[0].at.Sub(now)
-		case pi.closed && !cut:
+		case !partitioned && len(pi.chunks) > 0:
+			wait = pi.chunks[0].due.Sub(now)
+		case pi.closed && !partitioned:
 			pi.mu.Unlock()
 			return 0, io.EOF
 		}
@@ -287,7 +287,7 @@
 		timer := time.NewTimer(wait)
 		select {
 		case <-changed:
-		case <-healed:
+		case <-partitionChanged:
 		case <-timer.C:
 		}
 		timer.Stop()
@@ -299,40 +299,40 @@
 	local, remote addrName
 }
 
-func (mc *conn) Read(p []byte) (int, error)  { return mc.r.read(p) }
-func (mc *conn) Write(p []byte) (int, error) { return mc.w.write(p) }
+func (cn *conn) Read(p []byte) (int, error)  { return cn.r.read(p) }
+func (cn *conn) Write(p []byte) (int, error) { return cn.w.write(p) }
 
 // Close ends both ways. The other side reads what was sent before.
-func (mc *conn) Close() error {
-	mc.w.close()
-	mc.r.mu.Lock()
-	mc.r.chunks = nil
-	mc.r.deadline = time.Unix(1, 0)
-	mc.r.mu.Unlock()
-	mc.r.close()
-	mc.r.mu.Lock()
-	mc.r.wake()
-	mc.r.mu.Unlock()
+func (cn *conn) Close() error {
+	cn.w.close()
+	cn.r.mu.Lock()
+	cn.r.chunks = nil
+	cn.r.deadline = time.Unix(1, 0)
+	cn.r.mu.Unlock()
+	cn.r.close()
+	cn.r.mu.Lock()
+	cn.r.notifyReader()
+	cn.r.mu.Unlock()
 	return nil
 }
 
 // CloseWrite ends the way to the other side alone.
-func (mc *conn) CloseWrite() error {
-	mc.w.close()
+func (cn *conn) CloseWrite() error {
+	cn.w.close()
 	return nil
 }
 
-func (mc *conn) LocalAddr() net.Addr  { return mc.local }
-func (mc *conn) RemoteAddr() net.Addr { return mc.remote }
+func (cn *conn) LocalAddr() net.Addr  { return cn.local }
+func (cn *conn) RemoteAddr() net.Addr { return cn.remote }
 
-func (mc *conn) SetDeadline(t time.Time) error { return mc.SetReadDeadline(t) }
+func (cn *conn) SetDeadline(t time.Time) error { return cn.SetReadDeadline(t) }
 
-func (mc *conn) SetReadDeadline(t time.Time) error {
-	mc.r.mu.Lock()
-	defer mc.r.mu.Unlock()
-	mc.r.deadline = t
-	mc.r.wake()
+func (cn *conn) SetReadDeadline(t time.Time) error {
+	cn.r.mu.Lock()
+	defer cn.r.mu.Unlock()
+	cn.r.deadline = t
+	cn.r.notifyReader()
 	return nil
 }
 
-func (mc *conn) SetWriteDeadline(time.Time) error { return nil }
+func (cn *conn) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/plat/remote/client.go
+++ b/internal/plat/remote/client.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// sawEpoch notes the epoch of an answer.
-func (cl *Client) sawEpoch(epoch int64) {
+// observeEpoch notes the epoch of an answer.
+func (cl *Client) observeEpoch(epoch int64) {
 	for {
 		old := cl.epoch.Load()
 		if epoch <= old || cl.epoch.CompareAndSwap(old, epoch) {
@@ -60,18 +60,18 @@
 	}
 }
 
-// fault maps an error to a *store.Error. A write whose answer did not come is
+// storeError maps an error to a *store.Error. A write whose answer did not come is
 // unknown; only an answer of the service itself tells that it had no effect.
-func fault(op, key string, write bool, err error) error {
+func storeError(op, key string, write bool, err error) error {
 	er := &store.Error{Kind: store.Unavailable, Op: op, Key: key, Err: err}
 	var ce *connect.Error
 	if errors.As(err, &ce) && connect.IsWireError(err) {
-		er.Kind = kindOf(ce.Code())
+		er.Kind = kindFromCode(ce.Code())
 		return er
 	}
 	var oe *net.OpError
-	dialed := !errors.As(err, &oe) || oe.Op != "dial"
-	if write && dialed {
+	connected := !errors.As(err, &oe) || oe.Op != "dial"
+	if write && connected {
 		er.Kind = store.Unknown
 	}
 	return er
@@ -82,14 +82,14 @@
 ) (*Res, error) {
 	res, err := fn(stall.WithHeadTimeout(ctx, timeout), connect.NewRequest(req))
 	if err != nil {
-		return nil, fault(op, key, write, err)
+		return nil, storeError(op, key, write, err)
 	}
 	return res.Msg, nil
 }
 
-// entryOf reads an entry of an answer.
-func (cl *Client) entryOf(pb *kvpb.Entry) store.Entry {
-	cl.sawEpoch(pb.GetEpoch())
+// decodeEntry reads an entry of an answer.
+func (cl *Client) decodeEntry(pb *kvpb.Entry) store.Entry {
+	cl.observeEpoch(pb.GetEpoch())
 	return store.Entry{Value: pb.GetValue(), Revision: store.Revision{Epoch: store.Epoch(pb.GetEpoch()), Number: pb.GetRevision()}}
 }
 
@@ -98,7 +98,7 @@
 	if err != nil {
 		return store.Entry{}, err
 	}
-	return cl.entryOf(res.Entry), nil
+	return cl.decodeEntry(res.Entry), nil
 }
 
 func (cl *Client) list(ctx context.Context, prefix string) ([]store.Item, error) {
@@ -106,14 +106,14 @@
 	if err != nil {
 		return nil, err
 	}
-	cl.sawEpoch(res.Epoch)
-	return cl.itemsOf(res.Items), nil
+	cl.observeEpoch(res.Epoch)
+	return cl.decodeItems(res.Items), nil
 }
 
-// itemsOf reads the items of an answer.
-func (cl *Client) itemsOf(list []*kvpb.Item) (items []store.Item) {
+// decodeItems reads the items of an answer.
+func (cl *Client) decodeItems(list []*kvpb.Item) (items []store.Item) {
 	for _, it := range list {
-		items = append(items, store.Item{Key: it.Key, Entry: cl.entryOf(it.Entry)})
+		items = append(items, store.Item{Key: it.Key, Entry: cl.decodeEntry(it.Entry)})
 	}
 	return items
 }
@@ -127,7 +127,7 @@
 	if err != nil {
 		return false, store.Entry{}, err
 	}
-	return res.Swapped, cl.entryOf(res.Current), nil
+	return res.Swapped, cl.decodeEntry(res.Current), nil
 }
 
 func (cl *Client) watch(ctx context.Context, key string, after store.Revision, wait time.Duration) (store.Entry, error) {
@@ -136,7 +136,7 @@
 	if err != nil {
 		return store.Entry{}, err
 	}
-	return cl.entryOf(res.Entry), nil
+	return cl.decodeEntry(res.Entry), nil
 }
 
 func (cl *Client) watchAll(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Listing, error) {
@@ -145,9 +145,9 @@
 	if err != nil {
 		return store.Listing{}, err
 	}
-	cl.sawEpoch(res.Epoch)
+	cl.observeEpoch(res.Epoch)
 	at := store.Revision{Epoch: store.Epoch(res.Epoch), Number: res.Revision}
-	return store.Listing{Changed: res.Changed, Items: cl.itemsOf(res.Items), At: at}, nil
+	return store.Listing{Changed: res.Changed, Items: cl.decodeItems(res.Items), At: at}, nil
 }
 
 func (cl *Client) grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
@@ -155,7 +155,7 @@
 	if err != nil {
 		return store.LeaseID{}, err
 	}
-	cl.sawEpoch(res.Epoch)
+	cl.observeEpoch(res.Epoch)
 	return store.LeaseID{Epoch: store.Epoch(res.Epoch), Number: res.Lease}, nil
 }
 
--- a/internal/plat/stall/stall.go
+++ b/internal/plat/stall/stall.go
@@ -24,12 +24,12 @@
 	Received func()
 }
 
-type headKey struct{}
+type headTimeoutKey struct{}
 
 // WithHeadTimeout returns a context whose calls have another time to the head of the answer
 // than the client's, as those in which the server waits before it answers.
 func WithHeadTimeout(ctx context.Context, timeout time.Duration) context.Context {
-	return context.WithValue(ctx, headKey{}, timeout)
+	return context.WithValue(ctx, headTimeoutKey{}, timeout)
 }
 
 // errStalled ends a call in which nothing moved for too long.
@@ -49,12 +49,12 @@
 // Do makes a call. The caller closes the body of the answer.
 func (cl *Client) Do(req *http.Request) (*http.Response, error) {
 	ctx, cancel := context.WithCancelCause(req.Context())
-	head, ok := ctx.Value(headKey{}).(time.Duration)
+	headTimeout, ok := ctx.Value(headTimeoutKey{}).(time.Duration)
 	if !ok {
-		head = cl.Timeout
+		headTimeout = cl.Timeout
 	}
-	sending := time.Duration(max(0, req.ContentLength)) * time.Second / MinRate
-	timer := time.AfterFunc(head+sending, func() { cancel(errStalled) })
+	sendTime := time.Duration(max(0, req.ContentLength)) * time.Second / MinRate
+	timer := time.AfterFunc(headTimeout+sendTime, func() { cancel(errStalled) })
 	res, err := cl.HTTP(req.WithContext(ctx))
 	if err != nil {
 		timer.Stop()
@@ -68,8 +68,8 @@
 
 // cause returns the error of a call, which is that of the stall where one ended it.
 func cause(ctx context.Context, err error) error {
-	if stalled := context.Cause(ctx); errors.Is(stalled, errStalled) && !errors.Is(err, errStalled) {
-		return errors.Join(stalled, err)
+	if reason := context.Cause(ctx); errors.Is(reason, errStalled) && !errors.Is(err, errStalled) {
+		return errors.Join(reason, err)
 	}
 	return err
 }
--- a/internal/plat/stall/stall_test.go
+++ b/internal/plat/stall/stall_test.go
@@ -15,7 +15,7 @@
 // pieces with a gap before each.
 type slowServer struct {
 	rate   int
-	think  time.Duration
+	delay  time.Duration
 	pieces int
 	gap    time.Duration
 }
@@ -32,7 +32,7 @@
 // RoundTrip makes a call.
 func (ss *slowServer) RoundTrip(req *http.Request) (*http.Response, error) {
 	size := time.Duration(max(0, req.ContentLength))
-	if err := wait(req.Context(), size*time.Second/time.Duration(max(1, ss.rate))+ss.think); err != nil {
+	if err := wait(req.Context(), size*time.Second/time.Duration(max(1, ss.rate))+ss.delay); err != nil {
 		return nil, err
 	}
 	return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: &slowBody{ctx: req.Context(), left: ss.pieces, gap: ss.gap}}, nil
@@ -60,23 +60,23 @@
 // TestDo guards against calls that are given up while they move, and against calls that are
 // not while nothing does.
 func TestDo(t *testing.T) {
-	const mega = 1 << 20
+	const mib = 1 << 20
 	for _, tc := range []struct {
-		name   string
-		size   int
-		head   time.Duration
-		server slowServer
+		name        string
+		size        int
+		headTimeout time.Duration
+		server      slowServer
 		// pause is what the reader takes before each read.
-		pause time.Duration
-		ok    bool
-		took  time.Duration
+		readDelay time.Duration
+		ok        bool
+		took      time.Duration
 	}{
-		{"small", 0, 0, slowServer{think: 4 * time.Millisecond}, 0, true, 4 * time.Millisecond},
-		{"large on a slow link", mega, 0, slowServer{rate: mega / 4}, 0, true, 4 * time.Second},
-		{"large on a link that is too slow", mega, 0, slowServer{rate: 1 << 10}, 0, false, 17 * time.Second},
-		{"silent", 0, 0, slowServer{think: time.Minute}, 0, false, time.Second},
-		{"a watch", 0, 10 * time.Second, slowServer{think: 9 * time.Second}, 0, true, 9 * time.Second},
-		{"a silent watch", 0, 10 * time.Second, slowServer{think: time.Minute}, 0, false, 10 * time.Second},
+		{"small", 0, 0, slowServer{delay: 4 * time.Millisecond}, 0, true, 4 * time.Millisecond},
+		{"large on a slow link", mib, 0, slowServer{rate: mib / 4}, 0, true, 4 * time.Second},
+		{"large on a link that is too slow", mib, 0, slowServer{rate: 1 << 10}, 0, false, 17 * time.Second},
+		{"silent", 0, 0, slowServer{delay: time.Minute}, 0, false, time.Second},
+		{"a watch", 0, 10 * time.Second, slowServer{delay: 9 * time.Second}, 0, true, 9 * time.Second},
+		{"a silent watch", 0, 10 * time.Second, slowServer{delay: time.Minute}, 0, false, 10 * time.Second},
 		{"a long answer", 0, 0, slowServer{pieces: 5, gap: 900 * time.Millisecond}, 0, true, 4500 * time.Millisecond},
 		{"an answer that stalls", 0, 0, slowServer{pieces: 5, gap: 1100 * time.Millisecond}, 0, false, time.Second},
 		{"a slow reader", 0, 0, slowServer{pieces: 2}, 5 * time.Second, true, 15 * time.Second},
@@ -85,16 +85,16 @@
 			synctest.Test(t, func(t *testing.T) {
 				cl := &Client{HTTP: (&http.Client{Transport: &tc.server}).Do, Timeout: time.Second}
 				ctx := t.Context()
-				if tc.head > 0 {
-					ctx = WithHeadTimeout(ctx, tc.head)
+				if tc.headTimeout > 0 {
+					ctx = WithHeadTimeout(ctx, tc.headTimeout)
 				}
 				req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://a/", bytes.NewReader(make([]byte, tc.size)))
 				if err != nil {
 					t.Fatal(err)
 				}
-				began := time.Now()
-				err = call(cl, req, tc.pause)
-				if took := time.Since(began); (err == nil) != tc.ok || took != tc.took {
+				start := time.Now()
+				err = call(cl, req, tc.readDelay)
+				if took := time.Since(start); (err == nil) != tc.ok || took != tc.took {
 					t.Errorf("took %s, want %s; error %v", took, tc.took, err)
 				}
 				if err != nil && !errors.Is(err, context.DeadlineExceeded) {
@@ -105,14 +105,14 @@
 	}
 }
 
-func call(cl *Client, req *http.Request, pause time.Duration) error {
+func call(cl *Client, req *http.Request, readDelay time.Duration) error {
 	res, err := cl.Do(req)
 	if err != nil {
 		return err
 	}
 	defer res.Body.Close()
 	for {
-		time.Sleep(pause)
+		time.Sleep(readDelay)
 		if _, err := res.Body.Read(make([]byte, 10)); err != nil {
 			if errors.Is(err, io.EOF) {
 				return nil
--- a/internal/plat/stand/stand.go
+++ b/internal/plat/stand/stand.go
@@ -42,20 +42,20 @@
 
 // Stand is the stand-in. Its methods may be called from any goroutine.
 type Stand struct {
-	Calls  Calls
-	reads  *rate.Limiter
-	writes *rate.Limiter
+	Calls        Calls
+	readLimiter  *rate.Limiter
+	writeLimiter *rate.Limiter
 
 	mu      sync.Mutex
 	faults  Faults
 	entries map[string]entry
-	// touched has the number of the last write or removal of each key.
-	touched map[string]int64
-	leases  map[int64]*lease
-	nextID  int64
-	rev     int64
-	epoch   store.Epoch
-	changed chan struct{}
+	// modified has the number of the last write or removal of each key.
+	modified    map[string]int64
+	leases      map[int64]*lease
+	lastLeaseID int64
+	rev         int64
+	epoch       store.Epoch
+	changed     chan struct{}
 }
 
 // entry is a value with the number of the write that made it and of its lease.
@@ -70,125 +70,125 @@
 	timer *time.Timer
 }
 
-// at returns the entry of a key; st.mu is held.
-func (st *Stand) at(key string) store.Entry {
-	ent := st.entries[key]
-	return store.Entry{Value: ent.value, Revision: store.Revision{Epoch: st.epoch, Number: ent.number}}
+// currentEntry returns the entry of a key; st.mu is held.
+func (sv *Stand) currentEntry(key string) store.Entry {
+	ent := sv.entries[key]
+	return store.Entry{Value: ent.value, Revision: store.Revision{Epoch: sv.epoch, Number: ent.number}}
 }
 
 // New returns an empty stand-in with the platform's rates.
 func New() *Stand {
 	return &Stand{
-		reads:   rate.NewLimiter(ReadRate, ReadRate),
-		writes:  rate.NewLimiter(WriteRate, WriteRate),
-		entries: map[string]entry{},
-		touched: map[string]int64{},
-		leases:  map[int64]*lease{},
-		epoch:   1,
-		changed: make(chan struct{}),
+		readLimiter:  rate.NewLimiter(ReadRate, ReadRate),
+		writeLimiter: rate.NewLimiter(WriteRate, WriteRate),
+		entries:      map[string]entry{},
+		modified:     map[string]int64{},
+		leases:       map[int64]*lease{},
+		epoch:        1,
+		changed:      make(chan struct{}),
 	}
 }
 
 // SetFaults replaces what goes wrong.
-func (st *Stand) SetFaults(fa Faults) {
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	st.faults = fa
-	st.wake()
+func (sv *Stand) SetFaults(fa Faults) {
+	sv.mu.Lock()
+	defer sv.mu.Unlock()
+	sv.faults = fa
+	sv.notifyWatchers()
 }
 
 // Backup is a copy of the entries and leases at one moment.
 type Backup struct {
-	entries map[string]entry
-	leases  map[int64]time.Duration
-	nextID  int64
-	rev     int64
+	entries     map[string]entry
+	leases      map[int64]time.Duration
+	lastLeaseID int64
+	rev         int64
 }
 
 // Backup returns a copy of the entries and leases.
-func (st *Stand) Backup() Backup {
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	bk := Backup{entries: maps.Clone(st.entries), leases: map[int64]time.Duration{}, nextID: st.nextID, rev: st.rev}
-	for id, ls := range st.leases {
+func (sv *Stand) Backup() Backup {
+	sv.mu.Lock()
+	defer sv.mu.Unlock()
+	bk := Backup{entries: maps.Clone(sv.entries), leases: map[int64]time.Duration{}, lastLeaseID: sv.lastLeaseID, rev: sv.rev}
+	for id, ls := range sv.leases {
 		bk.leases[id] = ls.ttl
 	}
 	return bk
 }
 
 // Restore sets the entries back to those of a backup, without a new epoch.
-func (st *Stand) Restore(bk Backup) {
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	st.entries, st.rev = maps.Clone(bk.entries), bk.rev
-	st.touchAll()
-	st.wake()
+func (sv *Stand) Restore(bk Backup) {
+	sv.mu.Lock()
+	defer sv.mu.Unlock()
+	sv.entries, sv.rev = maps.Clone(bk.entries), bk.rev
+	sv.resetModified()
+	sv.notifyWatchers()
 }
 
-// touchAll takes all entries for changed by their last writes; st.mu is held.
-func (st *Stand) touchAll() {
-	clear(st.touched)
-	for key, ent := range st.entries {
-		st.touched[key] = ent.number
+// resetModified takes all entries for changed by their last writes; st.mu is held.
+func (sv *Stand) resetModified() {
+	clear(sv.modified)
+	for key, ent := range sv.entries {
+		sv.modified[key] = ent.number
 	}
 }
 
 // ComeBack goes on from a backup in a new epoch: what was written since is gone, the
 // leases of the backup begin anew, and the numbers of writes and leases are given out
 // again.
-func (st *Stand) ComeBack(bk Backup) {
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	for _, ls := range st.leases {
+func (sv *Stand) ComeBack(bk Backup) {
+	sv.mu.Lock()
+	defer sv.mu.Unlock()
+	for _, ls := range sv.leases {
 		ls.timer.Stop()
 	}
-	st.entries, st.rev, st.nextID = maps.Clone(bk.entries), bk.rev, bk.nextID
-	st.leases = map[int64]*lease{}
+	sv.entries, sv.rev, sv.lastLeaseID = maps.Clone(bk.entries), bk.rev, bk.lastLeaseID
+	sv.leases = map[int64]*lease{}
 	for id, ttl := range bk.leases {
-		st.hold(id, ttl)
+		sv.startLease(id, ttl)
 	}
-	st.touchAll()
-	st.epoch++
-	st.wake()
+	sv.resetModified()
+	sv.epoch++
+	sv.notifyWatchers()
 }
 
 // LapseLeases ends all leases, as if their time had run out.
-func (st *Stand) LapseLeases() {
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	for id := range st.leases {
-		st.end(id)
+func (sv *Stand) LapseLeases() {
+	sv.mu.Lock()
+	defer sv.mu.Unlock()
+	for id := range sv.leases {
+		sv.endLease(id)
 	}
 }
 
 // Store returns the functions that clients call.
-func (st *Stand) Store() store.Store {
+func (sv *Stand) Store() store.Store {
 	return store.Store{
-		Get: st.get, List: st.list, Swap: st.swap, Watch: st.watch, WatchAll: st.watchAll,
-		Grant: st.grant, Renew: st.renew, Revoke: st.revoke, Epoch: st.Epoch,
+		Get: sv.get, List: sv.list, Swap: sv.swap, Watch: sv.watch, WatchAll: sv.watchAll,
+		Grant: sv.grant, Renew: sv.renew, Revoke: sv.revoke, Epoch: sv.Epoch,
 	}
 }
 
 // Newest returns the number of the newest write.
-func (st *Stand) Newest() int64 {
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	return st.rev
+func (sv *Stand) Newest() int64 {
+	sv.mu.Lock()
+	defer sv.mu.Unlock()
+	return sv.rev
 }
 
 // Epoch returns the epoch in which the stand-in is.
-func (st *Stand) Epoch() store.Epoch {
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	return st.epoch
+func (sv *Stand) Epoch() store.Epoch {
+	sv.mu.Lock()
+	defer sv.mu.Unlock()
+	return sv.epoch
 }
 
 // admit waits as the faults say and refuses a call that may not have effect.
-func (st *Stand) admit(ctx context.Context, op, key string, count *atomic.Int64, lim *rate.Limiter) error {
+func (sv *Stand) admit(ctx context.Context, op, key string, count *atomic.Int64, lim *rate.Limiter) error {
 	count.Add(1)
-	st.mu.Lock()
-	fa := st.faults
-	st.mu.Unlock()
+	sv.mu.Lock()
+	fa := sv.faults
+	sv.mu.Unlock()
 	if fa.Delay > 0 {
 		select {
 		case <-time.After(fa.Delay):
@@ -205,37 +205,37 @@
 	return nil
 }
 
-func (st *Stand) get(ctx context.Context, key string) (store.Entry, error) {
-	if err := st.admit(ctx, "get", key, &st.Calls.Reads, st.reads); err != nil {
+func (sv *Stand) get(ctx context.Context, key string) (store.Entry, error) {
+	if err := sv.admit(ctx, "get", key, &sv.Calls.Reads, sv.readLimiter); err != nil {
 		return store.Entry{}, err
 	}
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	return st.at(key), nil
+	sv.mu.Lock()
+	defer sv.mu.Unlock()
+	return sv.currentEntry(key), nil
 }
 
-func (st *Stand) list(ctx context.Context, prefix string) ([]store.Item, error) {
-	if err := st.admit(ctx, "list", prefix, &st.Calls.Reads, st.reads); err != nil {
+func (sv *Stand) list(ctx context.Context, prefix string) ([]store.Item, error) {
+	if err := sv.admit(ctx, "list", prefix, &sv.Calls.Reads, sv.readLimiter); err != nil {
 		return nil, err
 	}
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	return st.under(prefix), nil
+	sv.mu.Lock()
+	defer sv.mu.Unlock()
+	return sv.listPrefix(prefix), nil
 }
 
-// under returns the entries of all keys under a prefix; st.mu is held.
-func (st *Stand) under(prefix string) (items []store.Item) {
-	for _, key := range slices.Sorted(maps.Keys(st.entries)) {
+// listPrefix returns the entries of all keys under a prefix; st.mu is held.
+func (sv *Stand) listPrefix(prefix string) (items []store.Item) {
+	for _, key := range slices.Sorted(maps.Keys(sv.entries)) {
 		if strings.HasPrefix(key, prefix) {
-			items = append(items, store.Item{Key: key, Entry: st.at(key)})
+			items = append(items, store.Item{Key: key, Entry: sv.currentEntry(key)})
 		}
 	}
 	return items
 }
 
-// touchedAfter reports whether a key under a prefix changed after a write; st.mu is held.
-func (st *Stand) touchedAfter(prefix string, number int64) bool {
-	for key, n := range st.touched {
+// modifiedAfter reports whether a key under a prefix changed after a write; st.mu is held.
+func (sv *Stand) modifiedAfter(prefix string, number int64) bool {
+	for key, n := range sv.modified {
 		if n > number && strings.HasPrefix(key, prefix) {
 			return true
 		}
@@ -243,20 +243,20 @@
 	return false
 }
 
-func (st *Stand) watchAll(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Listing, error) {
-	if err := st.admit(ctx, "watch", prefix, &st.Calls.Watches, st.reads); err != nil {
+func (sv *Stand) watchAll(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Listing, error) {
+	if err := sv.admit(ctx, "watch", prefix, &sv.Calls.Watches, sv.readLimiter); err != nil {
 		return store.Listing{}, err
 	}
-	end := time.NewTimer(wait)
-	defer end.Stop()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	for {
-		st.mu.Lock()
-		li := store.Listing{At: store.Revision{Epoch: st.epoch, Number: st.rev}}
-		if after == (store.Revision{}) || after.Epoch != st.epoch || st.touchedAfter(prefix, after.Number) {
-			li.Changed, li.Items = true, st.under(prefix)
+		sv.mu.Lock()
+		li := store.Listing{At: store.Revision{Epoch: sv.epoch, Number: sv.rev}}
+		if after == (store.Revision{}) || after.Epoch != sv.epoch || sv.modifiedAfter(prefix, after.Number) {
+			li.Changed, li.Items = true, sv.listPrefix(prefix)
 		}
-		changed, down := st.changed, st.faults.Down
-		st.mu.Unlock()
+		changed, down := sv.changed, sv.faults.Down
+		sv.mu.Unlock()
 		if down {
 			return store.Listing{}, &store.Error{Kind: store.Unavailable, Op: "watch", Key: prefix}
 		}
@@ -265,7 +265,7 @@
 		}
 		select {
 		case <-changed:
-		case <-end.C:
+		case <-timer.C:
 			return li, nil
 		case <-ctx.Done():
 			return store.Listing{}, &store.Error{Kind: store.Unavailable, Op: "watch", Key: prefix, Err: ctx.Err()}
@@ -273,55 +273,55 @@
 	}
 }
 
-func (st *Stand) swap(ctx context.Context, ch store.Change) (bool, store.Entry, error) {
+func (sv *Stand) swap(ctx context.Context, ch store.Change) (bool, store.Entry, error) {
 	if len(ch.Value) > store.MaxValue {
 		return false, store.Entry{}, &store.Error{Kind: store.TooLarge, Op: "swap", Key: ch.Key}
 	}
-	if err := st.admit(ctx, "swap", ch.Key, &st.Calls.Writes, st.writes); err != nil {
+	if err := sv.admit(ctx, "swap", ch.Key, &sv.Calls.Writes, sv.writeLimiter); err != nil {
 		return false, store.Entry{}, err
 	}
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	cur := st.at(ch.Key)
+	sv.mu.Lock()
+	defer sv.mu.Unlock()
+	cur := sv.currentEntry(ch.Key)
 	if !ch.Revision.Is(cur.Revision) {
 		return false, cur, nil
 	}
-	if ch.Lease != (store.LeaseID{}) && st.lease(ch.Lease) == nil {
+	if ch.Lease != (store.LeaseID{}) && sv.findLease(ch.Lease) == nil {
 		return false, store.Entry{}, &store.Error{Kind: store.Gone, Op: "swap", Key: ch.Key}
 	}
-	st.rev++
-	st.touched[ch.Key] = st.rev
+	sv.rev++
+	sv.modified[ch.Key] = sv.rev
 	if ch.Remove {
-		delete(st.entries, ch.Key)
+		delete(sv.entries, ch.Key)
 	} else {
-		st.entries[ch.Key] = entry{value: bytes.Clone(ch.Value), number: st.rev, lease: ch.Lease.Number}
+		sv.entries[ch.Key] = entry{value: bytes.Clone(ch.Value), number: sv.rev, lease: ch.Lease.Number}
 	}
-	st.wake()
-	if st.faults.LoseAnswers > 0 {
-		st.faults.LoseAnswers--
+	sv.notifyWatchers()
+	if sv.faults.LoseAnswers > 0 {
+		sv.faults.LoseAnswers--
 		return false, store.Entry{}, &store.Error{Kind: store.Unknown, Op: "swap", Key: ch.Key}
 	}
-	return true, st.at(ch.Key), nil
+	return true, sv.currentEntry(ch.Key), nil
 }
 
-// lease returns a lease, nil where it has ended; st.mu is held.
-func (st *Stand) lease(id store.LeaseID) *lease {
-	if id.Epoch != 0 && id.Epoch != st.epoch {
+// findLease returns a lease, nil where it has ended; st.mu is held.
+func (sv *Stand) findLease(id store.LeaseID) *lease {
+	if id.Epoch != 0 && id.Epoch != sv.epoch {
 		return nil
 	}
-	return st.leases[id.Number]
+	return sv.leases[id.Number]
 }
 
-func (st *Stand) watch(ctx context.Context, key string, after store.Revision, wait time.Duration) (store.Entry, error) {
-	if err := st.admit(ctx, "watch", key, &st.Calls.Watches, st.reads); err != nil {
+func (sv *Stand) watch(ctx context.Context, key string, after store.Revision, wait time.Duration) (store.Entry, error) {
+	if err := sv.admit(ctx, "watch", key, &sv.Calls.Watches, sv.readLimiter); err != nil {
 		return store.Entry{}, err
 	}
-	end := time.NewTimer(wait)
-	defer end.Stop()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	for {
-		st.mu.Lock()
-		ent, changed, down := st.at(key), st.changed, st.faults.Down
-		st.mu.Unlock()
+		sv.mu.Lock()
+		ent, changed, down := sv.currentEntry(key), sv.changed, sv.faults.Down
+		sv.mu.Unlock()
 		if down {
 			return store.Entry{}, &store.Error{Kind: store.Unavailable, Op: "watch", Key: key}
 		}
@@ -330,7 +330,7 @@
 		}
 		select {
 		case <-changed:
-		case <-end.C:
+		case <-timer.C:
 			return ent, nil
 		case <-ctx.Done():
 			return store.Entry{}, &store.Error{Kind: store.Unavailable, Op: "watch", Key: key, Err: ctx.Err()}
@@ -338,38 +338,38 @@
 	}
 }
 
-func (st *Stand) grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
-	if err := st.admit(ctx, "grant", "", &st.Calls.Writes, st.writes); err != nil {
+func (sv *Stand) grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
+	if err := sv.admit(ctx, "grant", "", &sv.Calls.Writes, sv.writeLimiter); err != nil {
 		return store.LeaseID{}, err
 	}
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	st.nextID++
-	st.hold(st.nextID, ttl)
-	return store.LeaseID{Epoch: st.epoch, Number: st.nextID}, nil
+	sv.mu.Lock()
+	defer sv.mu.Unlock()
+	sv.lastLeaseID++
+	sv.startLease(sv.lastLeaseID, ttl)
+	return store.LeaseID{Epoch: sv.epoch, Number: sv.lastLeaseID}, nil
 }
 
-// hold begins a lease; st.mu is held.
-func (st *Stand) hold(id int64, ttl time.Duration) {
+// startLease begins a lease; st.mu is held.
+func (sv *Stand) startLease(id int64, ttl time.Duration) {
 	ls := &lease{ttl: ttl}
 	ls.timer = time.AfterFunc(ttl, func() {
-		st.mu.Lock()
-		defer st.mu.Unlock()
+		sv.mu.Lock()
+		defer sv.mu.Unlock()
 		// Another lease may have got the number since.
-		if st.leases[id] == ls {
-			st.end(id)
+		if sv.leases[id] == ls {
+			sv.endLease(id)
 		}
 	})
-	st.leases[id] = ls
+	sv.leases[id] = ls
 }
 
-func (st *Stand) renew(ctx context.Context, id store.LeaseID) error {
-	if err := st.admit(ctx, "renew", "", &st.Calls.Writes, st.writes); err != nil {
+func (sv *Stand) renew(ctx context.Context, id store.LeaseID) error {
+	if err := sv.admit(ctx, "renew", "", &sv.Calls.Writes, sv.writeLimiter); err != nil {
 		return err
 	}
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	ls := st.lease(id)
+	sv.mu.Lock()
+	defer sv.mu.Unlock()
+	ls := sv.findLease(id)
 	if ls == nil {
 		return &store.Error{Kind: store.Gone, Op: "renew"}
 	}
@@ -377,39 +377,39 @@
 	return nil
 }
 
-func (st *Stand) revoke(ctx context.Context, id store.LeaseID) error {
-	if err := st.admit(ctx, "revoke", "", &st.Calls.Writes, st.writes); err != nil {
+func (sv *Stand) revoke(ctx context.Context, id store.LeaseID) error {
+	if err := sv.admit(ctx, "revoke", "", &sv.Calls.Writes, sv.writeLimiter); err != nil {
 		return err
 	}
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	if st.lease(id) == nil {
+	sv.mu.Lock()
+	defer sv.mu.Unlock()
+	if sv.findLease(id) == nil {
 		return &store.Error{Kind: store.Gone, Op: "revoke"}
 	}
-	st.end(id.Number)
+	sv.endLease(id.Number)
 	return nil
 }
 
-// end removes a lease and its keys; st.mu is held.
-func (st *Stand) end(id int64) {
-	ls := st.leases[id]
+// endLease removes a lease and its keys; st.mu is held.
+func (sv *Stand) endLease(id int64) {
+	ls := sv.leases[id]
 	if ls == nil {
 		return
 	}
 	ls.timer.Stop()
-	delete(st.leases, id)
-	st.rev++
-	for key, ent := range st.entries {
+	delete(sv.leases, id)
+	sv.rev++
+	for key, ent := range sv.entries {
 		if ent.lease == id {
-			delete(st.entries, key)
-			st.touched[key] = st.rev
+			delete(sv.entries, key)
+			sv.modified[key] = sv.rev
 		}
 	}
-	st.wake()
+	sv.notifyWatchers()
 }
 
-// wake lets all watches look again; st.mu is held.
-func (st *Stand) wake() {
-	close(st.changed)
-	st.changed = make(chan struct{})
+// notifyWatchers lets all watches look again; st.mu is held.
+func (sv *Stand) notifyWatchers() {
+	close(sv.changed)
+	sv.changed = make(chan struct{})
 }
--- a/internal/plat/steady/steady_test.go
+++ b/internal/plat/steady/steady_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// wall is how a time of day becomes a number.
-var wall = regexp.MustCompile(`\.Unix(Nano|Milli|Micro)?\(\)`)
+// wallClockRead is how a time of day becomes a number.
+var wallClockRead = regexp.MustCompile(`\.Unix(Nano|Milli|Micro)?\(\)`)
 
 // allowed are the places that may read the time of day, each with what a jump of it does.
 var allowed = map[string]string{
@@ -54,7 +54,7 @@
 			return err
 		}
 		text, err := os.ReadFile(path)
-		if err != nil || !wall.Match(text) {
+		if err != nil || !wallClockRead.Match(text) {
 			return err
 		}
 		name, err := filepath.Rel(root, path)
--- a/internal/plat/store/store.go
+++ b/internal/plat/store/store.go
@@ -162,12 +162,12 @@
 	return errors.As(err, &er) && er.Kind == kd
 }
 
-// Around is called in place of each call of a wrapped store. It may make the
+// Interceptor is called in place of each call of a wrapped store. It may make the
 // call, more than once or not at all, and returns its error.
-type Around func(ctx context.Context, op, key string, call func() error) error
+type Interceptor func(ctx context.Context, op, key string, call func() error) error
 
 // Wrap returns kv with fn around each of its calls.
-func Wrap(kv Store, fn Around) Store {
+func Wrap(kv Store, fn Interceptor) Store {
 	return Store{
 		Get: func(ctx context.Context, key string) (ent Entry, err error) {
 			err = fn(ctx, "get", key, func() (err error) {
