--- a/internal/plat/dialer/dialer.go
+++ b/internal/plat/dialer/dialer.go
@@ -9,19 +9,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// The times of a connection.
 const (
-	// connectTimeout bounds the opening of a connection. Between failure domains it
-	// takes 3 ms; the first packet of one that is lost is sent again after a
-	// second, and another server is the better choice by then.
+	// connectTimeout bounds the time to connect. Connecting between failure domains takes
+	// 3 ms. A lost SYN is retransmitted after 1 s only; by then it is better to try
+	// another server.
 	connectTimeout = 400 * time.Millisecond
-	// userTimeout is how long what was sent may stay unacknowledged. Without it a
-	// request to a VM that lost power, or that is cut off, hangs until its
-	// deadline: nothing answers, and nothing resets the connection. It is
-	// several times the 200 ms after which a lost packet is sent again.
+	// userTimeout is how long sent data may stay unacknowledged. Without it, a request to
+	// a VM that lost power or is partitioned hangs until its deadline, since nothing
+	// responds and nothing resets the connection. It is several times the 200 ms after
+	// which a lost packet is retransmitted.
 	userTimeout = 700 * time.Millisecond
-	// keepAliveIdle and keepAliveInterval let a connection that only waits for an answer
-	// notice the same.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect an unreachable peer on a
+	// connection that has no unacknowledged data and only waits for a response.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
@@ -40,7 +39,7 @@
 	return netDialer.DialContext(ctx, "tcp", addr)
 }
 
-// setUserTimeout sets TCP_USER_TIMEOUT (RFC 5482) on a socket before it connects.
+// setUserTimeout sets TCP_USER_TIMEOUT (RFC 5482) on a socket before it is connected.
 func setUserTimeout(_, _ string, rc syscall.RawConn) error {
 	var sockErr error
 	err := rc.Control(func(fd uintptr) {
--- a/internal/plat/dialer/doc.go
+++ b/internal/plat/dialer/doc.go
@@ -1,3 +1,3 @@
-// Package dialer opens TCP connections that end by themselves when the other
-// side can no longer be reached.
+// Package dialer opens TCP connections that fail when the peer becomes unreachable, and detects
+// idle connections that the peer has closed.
 package dialer
--- a/internal/plat/dialer/stale.go
+++ b/internal/plat/dialer/stale.go
@@ -9,15 +9,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// DoFresh makes a request that is not written to a kept connection which the other side has
-// closed already. The transport notices that later, and a request which was written by then
-// may or may not have run. It is made on another connection instead.
+// DoSkipStale makes a request, skipping idle connections that the peer has already closed. The
+// transport may detect a closed connection only after it has written the request to it, and
+// then it is unknown whether the request has run. Such a connection is closed and the request
+// is made on another one.
 func DoFresh(hc *http.Client, req *http.Request) (*http.Response, error) {
 	for {
 		stale := false
 		ctx := httptrace.WithClientTrace(req.Context(), &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 			if stale = info.Reused && IsStale(info.Conn); stale {
-				// Its error ends the request before anything was sent.
+				// The request then fails before anything is written.
 				_ = info.Conn.Close()
 			}
 		}})
@@ -34,8 +35,9 @@
 	}
 }
 
-// IsStale reports whether the other side has closed or reset a connection, or sent bytes on
-// it, which the transport has not read yet. It reports false where that cannot be told.
+// IsStale reports whether an idle connection cannot be reused: the peer has closed or reset it,
+// or has sent unexpected bytes, and the transport has not read that yet. It returns false if
+// the state of the connection is unknown.
 func IsStale(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
--- a/internal/plat/faulty/doc.go
+++ b/internal/plat/faulty/doc.go
@@ -1,3 +1,3 @@
-// Package faulty is a stand-in of a backend server that fails in a given way
-// and counts the requests that it has seen.
+// Package faulty is a fake backend server that fails in a given way and counts the requests that
+// it has received.
 package faulty
--- a/internal/plat/faulty/faulty.go
+++ b/internal/plat/faulty/faulty.go
@@ -10,13 +10,13 @@
 	"sync"
 )
 
-// Behave handles a request, number n on its connection counting from 1, whose
-// body it has to read itself. It reports whether the connection goes on.
+// Handler handles request number n, counted from 1, of a connection. It has to read the request
+// body itself, and returns whether to keep the connection open.
 type Behave func(cn net.Conn, n int, req *http.Request) bool
 
-// Server is a backend server that does as Behave says.
+// Server is a backend server that passes each request to a Handler.
 type Server struct {
-	// Addr is where it listens.
+	// Addr is the address that the server listens on.
 	Addr string
 
 	ln       net.Listener
@@ -26,7 +26,7 @@
 	conns    map[net.Conn]bool
 }
 
-// New starts a server on a free loopback port; Close ends it.
+// New starts a server on a free loopback port. Close stops it.
 func New(fn Behave) (*Server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,7 +35,7 @@
 	return Serve(ln, fn), nil
 }
 
-// Serve starts a server on ln; Close ends it.
+// Serve starts a server on ln. Close stops it.
 func Serve(ln net.Listener, fn Behave) *Server {
 	sr := &Server{Addr: ln.Addr().String(), ln: ln, handler: fn, conns: map[net.Conn]bool{}}
 	go sr.accept()
@@ -77,14 +77,14 @@
 	}
 }
 
-// Seen returns how many requests the server has read the head of.
+// RequestCount returns the number of requests whose headers the server has read.
 func (sr *Server) Seen() int {
 	sr.mu.Lock()
 	defer sr.mu.Unlock()
 	return sr.requests
 }
 
-// Close ends the server and all its connections.
+// Close stops the server and closes all its connections.
 func (sr *Server) Close() {
 	sr.ln.Close()
 	sr.mu.Lock()
@@ -94,7 +94,7 @@
 	}
 }
 
-// Well answers with "ok" and the request's path, in good order.
+// RespondOK is a Handler that responds with "ok" and the request's path.
 func Well(cn net.Conn, _ int, req *http.Request) bool {
 	ReadBody(req)
 	text := "ok " + req.URL.Path
@@ -102,11 +102,11 @@
 	return err == nil
 }
 
-// ReadBody reads a request's body to its end.
+// ReadBody reads and discards the body of a request.
 func ReadBody(req *http.Request) { _, _ = io.Copy(io.Discard, req.Body) }
 
-// Sends returns what reads a request and sends text in place of an answer; the
-// connection goes on if keep is set.
+// RespondRaw returns a Handler that reads the request and writes text instead of a well-formed
+// response. It keeps the connection open if keep is set.
 func Sends(text string, keep bool) Behave {
 	return func(cn net.Conn, _ int, req *http.Request) bool {
 		ReadBody(req)
@@ -115,7 +115,7 @@
 	}
 }
 
-// withReset returns what does as fn says and ends the connection by a TCP reset.
+// withReset returns a Handler that calls fn and then closes the connection with a TCP reset.
 func withReset(fn Behave) Behave {
 	return func(cn net.Conn, n int, req *http.Request) bool {
 		fn(cn, n, req)
@@ -126,21 +126,21 @@
 	}
 }
 
-// Fault is a way in which a backend server fails.
+// Fault is a failure mode of a backend server.
 type Fault struct {
 	Name   string
 	Behave Behave
-	// Broken says that the head of an answer is sent before the failure.
+	// HeadSent reports whether complete response headers are sent before the failure.
 	Broken bool
 }
 
 const (
 	statusLine = "HTTP/1.1 200 OK\r\n"
-	// truncated is an answer that ends before its length.
+	// truncated is a response whose body is shorter than its Content-Length.
 	truncated = statusLine + "Content-Length: 10\r\n\r\nhalf"
 )
 
-// Faults are the ways known. In each the server has read the request.
+// Faults are the known failure modes. In each the server has read the request headers.
 var Faults = []Fault{
 	{Name: "closes-after-head", Behave: func(net.Conn, int, *http.Request) bool { return false }},
 	{Name: "closes-after-body", Behave: Sends("", false)},
@@ -157,13 +157,13 @@
 	{Name: "bad-chunk", Behave: Sends(statusLine+"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\nzz\r\n", false), Broken: true},
 }
 
-// hugeHead makes its megabyte when it is used, not when a process starts: every
-// daemon has this package in it.
+// hugeHead responds with 1 MiB of headers. It builds them per request rather than at package
+// initialization, since every daemon links this package.
 func hugeHead(cn net.Conn, n int, req *http.Request) bool {
 	return Sends(statusLine+"X: "+strings.Repeat("x", 1<<20)+"\r\n\r\n", false)(cn, n, req)
 }
 
-// interimCount is how many interim answers an endless series has.
+// interimCount is the number of interim responses that endlessInterim sends.
 const interimCount = 100_000
 
 func endlessInterim(cn net.Conn, _ int, req *http.Request) bool {
@@ -176,7 +176,7 @@
 	return false
 }
 
-// Find returns the fault of a name.
+// Find returns the fault with the given name.
 func Find(name string) (Fault, bool) {
 	for _, fa := range Faults {
 		if fa.Name == name {
--- a/internal/plat/guard/doc.go
+++ b/internal/plat/guard/doc.go
@@ -1,3 +1,3 @@
-// Package guard keeps a daemon's calls to the platform few: a rate limit and a
-// breaker around a store.Store, with a count of the calls.
+// Package guard limits a daemon's calls to the platform: it wraps a store.Store in a rate
+// limiter and a circuit breaker, and counts calls and bytes.
 package guard
--- a/internal/plat/guard/guard.go
+++ b/internal/plat/guard/guard.go
@@ -14,37 +14,39 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// The local limits. They are far above what a daemon needs, and low enough
-// that the daemons of all relays together stay below the platform's rates.
+// The limits of one daemon. They are far above what a daemon needs, yet low enough that the
+// daemons of all relays together stay below the platform's rate limits.
 const (
 	callRate  = 10
 	callBurst = 40
-	// failureThreshold is how many failures in a row open the breaker, and rest how long
-	// it stays open before one call tries again.
+	// failureThreshold is the number of consecutive failures that opens the breaker.
+	// openTimeout is how long it stays open before it lets a trial call through.
 	failureThreshold = 5
 	openTimeout      = 2 * time.Second
 )
 
-// Guard counts and limits calls.
+// Guard limits and counts the calls to a store.
 type Guard struct {
-	// Calls counts the calls that were sent, Held those that were not.
+	// Calls counts the calls that were sent, Rejected those that the rate limiter or the
+	// breaker failed locally.
 	Calls, Held atomic.Int64
-	// Purposes counts the calls that were sent by operation and the first part of the
-	// key, Read the bytes of values that came back by the same.
+	// CallsByPurpose counts the calls sent, by operation and first element of the key.
+	// BytesByPurpose counts the bytes of the values received, by the same.
 	Purposes, Read expvar.Map
 	kv             store.Store
 	limiter        *rate.Limiter
 	breaker        atomic.Pointer[gobreaker.CircuitBreaker[any]]
 }
 
-// New returns a guard around kv.
+// New returns a Guard for kv with a closed breaker.
 func New(kv store.Store) *Guard {
 	gd := &Guard{kv: kv, limiter: rate.NewLimiter(callRate, callBurst)}
 	gd.Close()
 	return gd
 }
 
-// Close closes the breaker: the store is known to answer others again.
+// ResetBreaker closes the breaker. It is called when the store is known to answer other
+// daemons again.
 func (gd *Guard) Close() {
 	gd.breaker.Store(gobreaker.NewCircuitBreaker[any](gobreaker.Settings{
 		Timeout:      openTimeout,
@@ -53,7 +55,7 @@
 	}))
 }
 
-// purpose names what a call is for.
+// purpose returns the label of a call in the counters: op and the first element of key.
 func purpose(op, key string) string {
 	firstPart, _, _ := strings.Cut(key, "/")
 	if firstPart == "" {
@@ -62,7 +64,7 @@
 	return op + "/" + firstPart
 }
 
-// Store returns the guarded functions.
+// Store returns the store with all calls limited and counted.
 func (gd *Guard) Store() store.Store {
 	kv := store.Wrap(gd.kv, gd.intercept)
 	get, list, watch := kv.Get, kv.List, kv.Watch
@@ -79,8 +81,8 @@
 		return items, err
 	}
 	kv.Watch = func(ctx context.Context, key string, after store.Revision, wait time.Duration) (store.Entry, error) {
-		// A half-open breaker lets one call through at a time. A watch that
-		// waits would hold back all others, so it only looks then.
+		// A half-open breaker admits one call at a time. A watch that waits would block
+		// all others meanwhile, so it returns at once unless the breaker is closed.
 		if gd.breaker.Load().State() != gobreaker.StateClosed {
 			wait = 0
 		}
@@ -100,8 +102,8 @@
 	return kv
 }
 
-// intercept waits for the rate limit and makes the call unless the breaker is
-// open.
+// intercept is the store.Interceptor of a Guard: it waits for the rate limiter, then makes
+// the call unless the breaker is open.
 func (gd *Guard) intercept(ctx context.Context, op, key string, call func() error) error {
 	if err := gd.limiter.Wait(ctx); err != nil {
 		gd.Held.Add(1)
--- a/internal/plat/guard/guard_test.go
+++ b/internal/plat/guard/guard_test.go
@@ -9,9 +9,9 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// TestOutage: the platform is out for a minute and a daemon keeps asking. The
-// breaker holds nearly all calls back, and lets them through again soon after
-// the platform is back, also when the first call after it is a long watch.
+// TestOutage guards against a daemon that keeps calling the platform during an outage of a
+// minute, and against a breaker that stays half-open after it: a long watch as the first call
+// must not block the calls beside it.
 func TestOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := stand.New()
@@ -22,7 +22,7 @@
 			_, _ = kv.Get(t.Context(), "a")
 		}
 		if n := st.Calls.Total(); n > 60/2+failureThreshold+1 {
-			t.Errorf("%d calls in a minute of outage, bound %d", n, 60/2+failureThreshold+1)
+			t.Errorf("%d calls during an outage of 1 min, want at most %d", n, 60/2+failureThreshold+1)
 		}
 		st.SetFaults(stand.Faults{})
 		time.Sleep(openTimeout)
@@ -33,15 +33,15 @@
 		}()
 		synctest.Wait()
 		if _, err := kv.Get(t.Context(), "a"); err != nil {
-			t.Errorf("the first call beside the watch: %v", err)
+			t.Errorf("Get beside the first watch after the outage: %v", err)
 		}
 		if err := <-watchErr; err != nil {
-			t.Errorf("the first watch: %v", err)
+			t.Errorf("first watch after the outage: %v", err)
 		}
 	})
 }
 
-// TestRate: a daemon that asks in a loop is held to the local rate.
+// TestRate checks that a daemon which calls in a tight loop is limited to callRate.
 func TestRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := stand.New()
@@ -50,7 +50,7 @@
 			_, _ = kv.Get(t.Context(), "a")
 		}
 		if n := st.Calls.Total(); n > callBurst+10*callRate+1 {
-			t.Errorf("%d calls in 10 s, bound %d", n, callBurst+10*callRate+1)
+			t.Errorf("%d calls in 10 s, want at most %d", n, callBurst+10*callRate+1)
 		}
 	})
 }
--- a/internal/plat/kvtest/doc.go
+++ b/internal/plat/kvtest/doc.go
@@ -1,3 +1,3 @@
-// Package kvtest is the contract of the platform's interface, as cases that the
-// tests of each implementation run.
+// Package kvtest has the contract tests of the store interface, to be run against each
+// implementation.
 package kvtest
--- a/internal/plat/kvtest/ended.go
+++ b/internal/plat/kvtest/ended.go
@@ -10,9 +10,9 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// LateEnd makes connections whose end is noticed late: a read that finds it returns only once
-// something was written or the connection was closed, as in a process that is short of
-// processor time.
+// EOFDelayer dials connections that report EOF late: a read that gets EOF blocks until data is
+// written or the connection is closed. This reproduces a process short of CPU time, which
+// writes a request before it sees that the peer has closed the connection.
 type LateEnd struct {
 	mu    sync.Mutex
 	conns []*delayedEOFConn
@@ -22,11 +22,12 @@
 	*net.TCPConn
 	released chan struct{}
 	once     sync.Once
-	// armed is set once the end may come.
+	// armed is closed once a write may release the delayed EOF. released is closed to
+	// release it.
 	armed chan struct{}
 }
 
-// Dial opens a connection over loopback.
+// Dial opens a TCP connection whose EOF is delayed.
 func (ed *LateEnd) Dial(addr string) (net.Conn, error) {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -39,7 +40,7 @@
 	return dc, nil
 }
 
-// Read reads; the end of the connection is held back.
+// Read delays EOF and errors until released.
 func (dc *delayedEOFConn) Read(p []byte) (int, error) {
 	n, err := dc.TCPConn.Read(p)
 	if n == 0 {
@@ -48,7 +49,7 @@
 	return n, err
 }
 
-// Write writes; once the end may have come, it lets that be noticed.
+// Write releases a delayed EOF once the connection is armed.
 func (dc *delayedEOFConn) Write(p []byte) (int, error) {
 	n, err := dc.TCPConn.Write(p)
 	select {
@@ -59,14 +60,14 @@
 	return n, err
 }
 
-// Close closes the connection.
+// Close releases a delayed EOF and closes the connection.
 func (dc *delayedEOFConn) Close() error {
 	dc.once.Do(func() { close(dc.released) })
 	return dc.TCPConn.Close()
 }
 
-// EndedBeforeCall checks that a write is done whose kept connection the service had closed
-// before the call; closeAll closes the connections from the side of the service.
+// ClosedBeforeCall checks that a write succeeds although the service closed the idle connection
+// to it before the call. closeAll closes the connections on the side of the service.
 func EndedBeforeCall(t *testing.T, kv store.Store, ed *LateEnd, closeAll func()) {
 	t.Helper()
 	wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
@@ -82,6 +83,6 @@
 	}
 	ent := wantSwap(t, kv, store.Change{Key: "b", Value: []byte("1")}, true)
 	if !ent.Revision.Exists() {
-		t.Error("the second write has no revision")
+		t.Error("the write after the connection was closed returned no revision")
 	}
 }
--- a/internal/plat/kvtest/kvtest.go
+++ b/internal/plat/kvtest/kvtest.go
@@ -9,7 +9,7 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// Run runs the contract against the stores that open returns for a stand-in.
+// Run runs the contract tests against the stores that open returns for a fake service.
 func Run(t *testing.T, open func(t *testing.T, st *stand.Stand) store.Store) {
 	for _, tc := range contract {
 		t.Run(tc.name, func(t *testing.T) {
@@ -19,11 +19,11 @@
 	}
 }
 
-// epochWait is how long a watch waits that may reach the store just after it came back: a
-// store that is not told the epoch shows it with the next answer only.
+// epochWait is the wait time of a watch that may reach the store just after a restore. A store
+// that learns of a new epoch only from the responses does not return from that watch earlier.
 const epochWait = 2 * time.Second
 
-// contract is what every implementation of the platform's interface must do.
+// contract has the tests that every implementation of store.Store must pass.
 var contract = []struct {
 	name string
 	run  func(t *testing.T, kv store.Store, st *stand.Stand)
@@ -33,17 +33,17 @@
 			t.Errorf("Get: %+v, %v", ent, err)
 		}
 	}},
-	{"swap creates once", func(t *testing.T, kv store.Store, _ *stand.Stand) {
+	{"swap creates a key once", func(t *testing.T, kv store.Store, _ *stand.Stand) {
 		wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		wantSwap(t, kv, store.Change{Key: "a", Value: []byte("2")}, false)
 		wantValue(t, kv, "a", "1")
 	}},
-	{"swap needs the newest revision", func(t *testing.T, kv store.Store, _ *stand.Stand) {
+	{"swap requires the current revision", func(t *testing.T, kv store.Store, _ *stand.Stand) {
 		one := wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		wantSwap(t, kv, store.Change{Key: "a", Revision: one.Revision, Value: []byte("2")}, true)
 		cur := wantSwap(t, kv, store.Change{Key: "a", Revision: one.Revision, Value: []byte("3")}, false)
 		if string(cur.Value) != "2" {
-			t.Errorf("a failed swap returned %q as current", cur.Value)
+			t.Errorf("a failed swap returned %q as the current value, want 2", cur.Value)
 		}
 	}},
 	{"remove", func(t *testing.T, kv store.Store, _ *stand.Stand) {
@@ -53,13 +53,13 @@
 			t.Errorf("Get after remove: %+v, %v", ent, err)
 		}
 	}},
-	{"watch returns at once what is new", func(t *testing.T, kv store.Store, _ *stand.Stand) {
+	{"watch returns an earlier change at once", func(t *testing.T, kv store.Store, _ *stand.Stand) {
 		wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		if ent, err := kv.Watch(t.Context(), "a", store.Revision{}, time.Minute); err != nil || string(ent.Value) != "1" {
 			t.Errorf("Watch: %+v, %v", ent, err)
 		}
 	}},
-	{"watch wakes at a change", func(t *testing.T, kv store.Store, _ *stand.Stand) {
+	{"watch returns on a change", func(t *testing.T, kv store.Store, _ *stand.Stand) {
 		got := make(chan store.Entry, 1)
 		go func() {
 			ent, _ := kv.Watch(t.Context(), "a", store.Revision{}, time.Minute)
@@ -70,7 +70,7 @@
 			t.Errorf("Watch: %+v", ent)
 		}
 	}},
-	{"list returns what begins with the prefix", func(t *testing.T, kv store.Store, _ *stand.Stand) {
+	{"list returns the keys with the prefix", func(t *testing.T, kv store.Store, _ *stand.Stand) {
 		for _, key := range []string{"b/2", "a", "b/1", "c", "b"} {
 			wantSwap(t, kv, store.Change{Key: key, Value: []byte(key)}, true)
 		}
@@ -84,7 +84,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		if _, err := kv.List(ctx, "b/"); err == nil {
-			t.Error("List with an ended context gave no error")
+			t.Error("List with a cancelled context returned no error")
 		}
 	}},
 	{"watch ends after its wait", func(t *testing.T, kv store.Store, _ *stand.Stand) {
@@ -96,10 +96,10 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		if _, err := kv.Watch(ctx, "a", store.Revision{}, time.Minute); err == nil {
-			t.Error("Watch with an ended context gave no error")
+			t.Error("Watch with a cancelled context returned no error")
 		}
 	}},
-	{"a lease ends with its keys", func(t *testing.T, kv store.Store, _ *stand.Stand) {
+	{"revoking a lease deletes its keys", func(t *testing.T, kv store.Store, _ *stand.Stand) {
 		id, err := kv.Grant(t.Context(), time.Minute)
 		if err != nil {
 			t.Fatal(err)
@@ -112,13 +112,13 @@
 			t.Error(err)
 		}
 		if ent, err := kv.Watch(t.Context(), "a", ent.Revision, time.Minute); err != nil || ent.Revision.Exists() {
-			t.Errorf("the key after its lease: %+v, %v", ent, err)
+			t.Errorf("the key after its lease was revoked: %+v, %v", ent, err)
 		}
 		WantKind(t, kv.Renew(t.Context(), id), store.Gone)
 		_, _, err = kv.Swap(t.Context(), store.Change{Key: "b", Lease: id})
 		WantKind(t, err, store.Gone)
 	}},
-	{"a lease lapses", func(t *testing.T, kv store.Store, st *stand.Stand) {
+	{"a lease expires", func(t *testing.T, kv store.Store, st *stand.Stand) {
 		id, err := kv.Grant(t.Context(), time.Minute)
 		if err != nil {
 			t.Fatal(err)
@@ -131,7 +131,7 @@
 		_, _, err := kv.Swap(t.Context(), store.Change{Key: "b", Value: make([]byte, store.MaxValue+1)})
 		WantKind(t, err, store.TooLarge)
 	}},
-	{"an outage has no effect", func(t *testing.T, kv store.Store, st *stand.Stand) {
+	{"calls during an outage have no effect", func(t *testing.T, kv store.Store, st *stand.Stand) {
 		st.SetFaults(stand.Faults{Down: true})
 		_, _, err := kv.Swap(t.Context(), store.Change{Key: "a"})
 		WantKind(t, err, store.Unavailable)
@@ -140,7 +140,7 @@
 		st.SetFaults(stand.Faults{})
 		wantSwap(t, kv, store.Change{Key: "a"}, true)
 	}},
-	{"a lost answer is unknown and has its effect", func(t *testing.T, kv store.Store, st *stand.Stand) {
+	{"a swap without a response is unknown and takes effect", func(t *testing.T, kv store.Store, st *stand.Stand) {
 		st.SetFaults(stand.Faults{LoseAnswers: 1})
 		_, _, err := kv.Swap(t.Context(), store.Change{Key: "a", Value: []byte("1")})
 		WantKind(t, err, store.Unknown)
@@ -186,7 +186,7 @@
 			t.Errorf("Watch in a new epoch: %+v, %v; was %+v", ent, err, one.Revision)
 		}
 	}},
-	{"a watch wakes at a new epoch", func(t *testing.T, kv store.Store, st *stand.Stand) {
+	{"a watch returns on a new epoch", func(t *testing.T, kv store.Store, st *stand.Stand) {
 		one := wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		bk := st.Backup()
 		two := wantSwap(t, kv, store.Change{Key: "a", Revision: one.Revision, Value: []byte("2")}, true)
@@ -200,7 +200,7 @@
 			t.Errorf("Watch: %+v", ent)
 		}
 	}},
-	{"a revision given out twice matches in its own epoch only", func(t *testing.T, kv store.Store, st *stand.Stand) {
+	{"a revision number assigned twice matches in its own epoch only", func(t *testing.T, kv store.Store, st *stand.Stand) {
 		one := wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		bk := st.Backup()
 		two := wantSwap(t, kv, store.Change{Key: "a", Revision: one.Revision, Value: []byte("2")}, true)
@@ -208,7 +208,7 @@
 		one = wantGet(t, kv, "a")
 		other := wantSwap(t, kv, store.Change{Key: "a", Revision: one.Revision, Value: []byte("other")}, true)
 		if other.Revision.Number != two.Revision.Number {
-			t.Fatalf("the write got number %d, want %d again", other.Revision.Number, two.Revision.Number)
+			t.Fatalf("the write has number %d, want %d again", other.Revision.Number, two.Revision.Number)
 		}
 		wantSwap(t, kv, store.Change{Key: "a", Revision: two.Revision, Value: []byte("3")}, false)
 		wantValue(t, kv, "a", "other")
@@ -223,7 +223,7 @@
 		wantSwap(t, kv, store.Change{Key: "a", Revision: none.Revision, Value: []byte("1")}, false)
 		wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 	}},
-	{"a lease given out twice is held by the later owner only", func(t *testing.T, kv store.Store, st *stand.Stand) {
+	{"a lease number assigned twice belongs to the later owner only", func(t *testing.T, kv store.Store, st *stand.Stand) {
 		bk := st.Backup()
 		lost, err := kv.Grant(t.Context(), time.Minute)
 		if err != nil {
@@ -240,10 +240,10 @@
 		_, _, err = kv.Swap(t.Context(), store.Change{Key: "b", Lease: lost})
 		WantKind(t, err, store.Gone)
 		if !wantGet(t, kv, "a").Revision.Exists() {
-			t.Error("the key of the later lease is gone")
+			t.Error("the key of the later lease was deleted")
 		}
 	}},
-	{"a lease of the copy goes on without its holder", func(t *testing.T, kv store.Store, st *stand.Stand) {
+	{"a restored lease keeps its key and rejects its old ID", func(t *testing.T, kv store.Store, st *stand.Stand) {
 		id, err := kv.Grant(t.Context(), time.Minute)
 		if err != nil {
 			t.Fatal(err)
@@ -251,11 +251,11 @@
 		wantSwap(t, kv, store.Change{Key: "a", Lease: id}, true)
 		st.ComeBack(st.Backup())
 		if !wantGet(t, kv, "a").Revision.Exists() {
-			t.Error("the key of the copy is gone")
+			t.Error("the key of the restored lease was deleted")
 		}
 		WantKind(t, kv.Renew(t.Context(), id), store.Gone)
 	}},
-	{"a backup brings an older state", func(t *testing.T, kv store.Store, st *stand.Stand) {
+	{"a restore brings back an older state", func(t *testing.T, kv store.Store, st *stand.Stand) {
 		one := wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		bk := st.Backup()
 		two := wantSwap(t, kv, store.Change{Key: "a", Revision: one.Revision, Value: []byte("2")}, true)
@@ -291,7 +291,7 @@
 	}
 }
 
-// WantKind fails the test unless err is of a kind.
+// WantKind fails the test unless err is a *store.Error of kind want.
 func WantKind(t *testing.T, err error, want store.Kind) {
 	t.Helper()
 	if !store.Is(err, want) {
--- a/internal/plat/memnet/doc.go
+++ b/internal/plat/memnet/doc.go
@@ -1,4 +1,5 @@
-// Package memnet is a network in memory, with latencies, cuts, damage and byte
-// counts. It stands in for real sockets in tests in virtual time, since a
-// bubble of testing/synctest does not see a real socket as idle.
+// Package memnet is an in-memory network with latency, bandwidth limits, partitions, data
+// corruption and byte counts. It replaces real sockets in tests that run in virtual time, since
+// a testing/synctest bubble does not treat a goroutine that waits for a real socket as durably
+// blocked.
 package memnet
--- a/internal/plat/memnet/memnet.go
+++ b/internal/plat/memnet/memnet.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// Network is a network in memory. Its functions may be set before it is used.
+// Network is an in-memory network. Latency and Rate may be set only before it is used.
 type Network struct {
-	// Latency is the time that bytes take between two hosts.
+	// Latency returns the one-way latency between two hosts.
 	Latency func(from, to *Host) time.Duration
-	// Rate is how many bytes a second a connection carries between two hosts, 0 for any
-	// number; nil stands for 0.
+	// Rate returns the bandwidth of a connection between two hosts in bytes per second, 0
+	// for no limit. A nil function means no limit.
 	Rate func(from, to *Host) int
 
 	mu          sync.Mutex
@@ -27,16 +27,16 @@
 	changed     chan struct{}
 }
 
-// Host is one end point, named by its address.
+// Host is an endpoint, identified by its address.
 type Host struct {
 	Addr, Domain string
-	// In and Out count the bytes of all its connections; they go on with the
-	// address when a new process takes it.
+	// BytesIn and BytesOut count the bytes of all connections of the host. They continue
+	// when a new process listens on the same address.
 	In, Out atomic.Int64
 	ln      *listener
 }
 
-// New returns a network without hosts, whose latency is a millisecond.
+// New returns a network without hosts and with a latency of one millisecond.
 func New() *Network {
 	return &Network{
 		hosts: map[string]*Host{}, conns: map[*pipe]bool{}, changed: make(chan struct{}),
@@ -45,8 +45,8 @@
 	}
 }
 
-// SetCut replaces which hosts cannot reach each other; nil cuts none. Bytes on
-// their way wait for the cut to heal, as they do in TCP.
+// SetPartition sets the function that reports whether two hosts cannot reach each other; nil
+// means that all can. Bytes in flight are delivered after the partition heals, as in TCP.
 func (nw *Network) SetCut(partitioned func(a, b *Host) bool) {
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
@@ -58,7 +58,8 @@
 	nw.changed = make(chan struct{})
 }
 
-// SetCorrupt lets fn change the bytes of each write; nil changes none.
+// SetCorrupt sets the function that changes the bytes of each write; nil leaves them as they
+// are.
 func (nw *Network) SetCorrupt(fn func(from, to *Host, p []byte) []byte) {
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
@@ -71,15 +72,14 @@
 	return nw.partitioned(a, b), nw.changed
 }
 
-// Listen makes a host with a listener. An address may be taken again after its
-// listener was closed.
+// Listen creates a host with a listener. An address may be reused after its listener is closed.
 func (nw *Network) Listen(addr, domain string) (*Host, net.Listener) {
 	ho := &Host{Addr: addr, Domain: domain}
 	ho.ln = &listener{addr: addrName(addr), conns: make(chan net.Conn), done: make(chan struct{})}
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
 	if old := nw.hosts[addr]; old != nil {
-		// The counters go on with the address.
+		// The counters continue for the address.
 		ho.In.Store(old.In.Load())
 		ho.Out.Store(old.Out.Load())
 	}
@@ -93,7 +93,7 @@
 	return nw.hosts[addr]
 }
 
-// Reset ends all connections of a host, as the death of its process does.
+// CloseConns closes all connections of a host, as when its process dies.
 func (nw *Network) Reset(ho *Host) {
 	nw.mu.Lock()
 	var pipes []*pipe
@@ -168,7 +168,7 @@
 
 func (ln *listener) Addr() net.Addr { return ln.addr }
 
-// pipe carries bytes one way.
+// pipe is one direction of a connection.
 type pipe struct {
 	nw       *Network
 	from, to *Host
@@ -177,7 +177,7 @@
 	chunks   []chunk
 	closed   bool
 	deadline time.Time
-	// busyUntil is when what was written has left.
+	// busyUntil is when the bytes written so far have been sent at the rate limit.
 	busyUntil time.Time
 	changed   chan struct{}
 }
@@ -195,7 +195,7 @@
 	return pi
 }
 
-// notifyReader lets the reader look again; pi.mu is held.
+// notifyReader wakes up the reader. The caller holds pi.mu.
 func (pi *pipe) notifyReader() {
 	close(pi.changed)
 	pi.changed = make(chan struct{})
@@ -237,10 +237,10 @@
 	return n, nil
 }
 
-// maxChunk is the most bytes that arrive at once.
+// maxChunk is the maximum number of bytes that arrive at once.
 const maxChunk = 1 << 10
 
-// arrival returns when bytes that are written now arrive; pi.mu is held.
+// arrival returns when n bytes written now arrive. The caller holds pi.mu.
 func (pi *pipe) arrival(n int) time.Time {
 	at := time.Now()
 	if pi.nw.Rate != nil {
@@ -302,7 +302,7 @@
 func (cn *conn) Read(p []byte) (int, error)  { return cn.r.read(p) }
 func (cn *conn) Write(p []byte) (int, error) { return cn.w.write(p) }
 
-// Close ends both ways. The other side reads what was sent before.
+// Close closes both directions. The peer can still read what was sent before.
 func (cn *conn) Close() error {
 	cn.w.close()
 	cn.r.mu.Lock()
@@ -316,7 +316,7 @@
 	return nil
 }
 
-// CloseWrite ends the way to the other side alone.
+// CloseWrite closes the direction to the peer only.
 func (cn *conn) CloseWrite() error {
 	cn.w.close()
 	return nil
--- a/internal/plat/remote/client.go
+++ b/internal/plat/remote/client.go
@@ -16,18 +16,18 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// CallTimeout bounds the time in which nothing moves in a call. A watch has its own wait
-// besides.
+// CallTimeout is how long a call may go without progress. A watch may take its wait time
+// in addition.
 const CallTimeout = 3 * time.Second
 
 // Client calls a key-value service at one address.
 type Client struct {
 	kv kvpb.KeyValueClient
-	// epoch is the newest one that an answer bore.
+	// epoch is the highest epoch seen in a response.
 	epoch atomic.Int64
 }
 
-// New returns a client of the service at addr (host:port).
+// New returns a client for the service at addr (host:port).
 func New(addr string) *Client {
 	return newClient(addr, (&net.Dialer{Timeout: time.Second}).DialContext)
 }
@@ -42,7 +42,7 @@
 	return &Client{kv: kvpb.NewKeyValueClient(&stall.Client{HTTP: do, Timeout: CallTimeout}, "http://"+addr)}
 }
 
-// Store returns the functions of the platform's interface.
+// Store returns the client as a store.Store.
 func (cl *Client) Store() store.Store {
 	return store.Store{
 		Get: cl.get, List: cl.list, Swap: cl.swap, Watch: cl.watch, WatchAll: cl.watchAll, Grant: cl.grant, Renew: cl.renew, Revoke: cl.revoke,
@@ -50,7 +50,7 @@
 	}
 }
 
-// observeEpoch notes the epoch of an answer.
+// observeEpoch records the epoch of a response.
 func (cl *Client) observeEpoch(epoch int64) {
 	for {
 		old := cl.epoch.Load()
@@ -60,8 +60,9 @@
 	}
 }
 
-// storeError maps an error to a *store.Error. A write whose answer did not come is
-// unknown; only an answer of the service itself tells that it had no effect.
+// storeError converts the error of a call to a *store.Error. A write without a response
+// may have taken effect, unless no connection could be opened; only the error response of
+// the service tells what became of it.
 func storeError(op, key string, write bool, err error) error {
 	er := &store.Error{Kind: store.Unavailable, Op: op, Key: key, Err: err}
 	var ce *connect.Error
@@ -87,7 +88,7 @@
 	return res.Msg, nil
 }
 
-// decodeEntry reads an entry of an answer.
+// decodeEntry converts an entry of a response and records its epoch.
 func (cl *Client) decodeEntry(pb *kvpb.Entry) store.Entry {
 	cl.observeEpoch(pb.GetEpoch())
 	return store.Entry{Value: pb.GetValue(), Revision: store.Revision{Epoch: store.Epoch(pb.GetEpoch()), Number: pb.GetRevision()}}
@@ -110,7 +111,7 @@
 	return cl.decodeItems(res.Items), nil
 }
 
-// decodeItems reads the items of an answer.
+// decodeItems converts the items of a response.
 func (cl *Client) decodeItems(list []*kvpb.Item) (items []store.Item) {
 	for _, it := range list {
 		items = append(items, store.Item{Key: it.Key, Entry: cl.decodeEntry(it.Entry)})
--- a/internal/plat/remote/contract_test.go
+++ b/internal/plat/remote/contract_test.go
@@ -15,7 +15,7 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// serve returns a client of a served stand-in.
+// serve serves st over HTTP and returns a client for it.
 func serve(t *testing.T, st *stand.Stand) store.Store {
 	mux := http.NewServeMux()
 	mux.Handle(Handler(st.Store()))
@@ -24,8 +24,8 @@
 	return New(strings.TrimPrefix(sv.URL, "http://")).Store()
 }
 
-// TestContract runs the contract against the stand-in, against the client of a
-// served one, and against both behind a guard.
+// TestContract runs the contract tests against the fake itself, against a client of the
+// served fake, and against such a client behind a guard.
 func TestContract(t *testing.T) {
 	for name, open := range map[string]func(t *testing.T, st *stand.Stand) store.Store{
 		"stand":   func(_ *testing.T, st *stand.Stand) store.Store { return st.Store() },
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestLostConnection: the service closes the connection after it has read a
-// write. Whether it took effect is unknown; a read has none in any case, and a
-// service that nobody listens for has not seen the write.
+// TestLostConnection checks the error kinds when the service closes the connection after it
+// has read the request: a write is Unknown, since it may have taken effect, and a read is
+// Unavailable. A write is Unavailable if the connection is refused.
 func TestLostConnection(t *testing.T) {
 	sv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	defer sv.Close()
@@ -52,12 +52,12 @@
 	kvtest.WantKind(t, err, store.Unavailable)
 	var se *store.Error
 	if !errors.As(err, &se) || se.Op != "swap" || se.Key != "a" {
-		t.Errorf("error %v names neither operation nor key", err)
+		t.Errorf("error %v does not name operation swap and key a", err)
 	}
 }
 
-// TestEndedBeforeCall guards against a write whose outcome is unknown though the service had
-// closed the kept connection before it was written.
+// TestEndedBeforeCall guards against a write that is reported as Unknown although the service
+// had closed the idle connection before the request was written to it.
 func TestEndedBeforeCall(t *testing.T) {
 	mux := http.NewServeMux()
 	mux.Handle(Handler(stand.New().Store()))
--- a/internal/plat/remote/doc.go
+++ b/internal/plat/remote/doc.go
@@ -1,3 +1,3 @@
-// Package remote carries the platform's interface over a connection: a client
-// that gives a store.Store, and the handler that the stand-in is served by.
+// Package remote carries the store interface over RPC: a client that implements
+// store.Store, and the handler that serves the in-memory fake.
 package remote
--- a/internal/plat/remote/handler.go
+++ b/internal/plat/remote/handler.go
@@ -12,7 +12,7 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// wireCodes maps each kind of error to its code on the wire.
+// wireCodes maps error kinds to the status codes of the protocol.
 var wireCodes = map[store.Kind]connect.Code{
 	store.Unavailable: connect.CodeUnavailable,
 	store.Unknown:     connect.CodeUnknown,
@@ -38,7 +38,7 @@
 	return connect.NewError(wireCodes[er.Kind], err)
 }
 
-// Handler serves kv; it returns the path to mount it at, and the handler.
+// Handler returns an HTTP handler that serves kv, and the path to mount it at.
 func Handler(kv store.Store) (string, http.Handler) {
 	return kvpb.NewKeyValueHandler(&server{kv: kv})
 }
@@ -51,17 +51,17 @@
 	return &kvpb.Entry{Value: ent.Value, Revision: ent.Revision.Number, Epoch: int64(ent.Revision.Epoch)}
 }
 
-// decodeRevision reads a revision of a request.
+// decodeRevision converts the revision of a request.
 func decodeRevision(epoch, number int64) store.Revision {
 	return store.Revision{Epoch: store.Epoch(epoch), Number: number}
 }
 
-// decodeLeaseID reads a lease of a request.
+// decodeLeaseID converts the lease of a request.
 func decodeLeaseID(epoch, number int64) store.LeaseID {
 	return store.LeaseID{Epoch: store.Epoch(epoch), Number: number}
 }
 
-// Get serves store.Store.Get.
+// Get implements kvpb.KeyValueHandler.
 func (sr *server) Get(ctx context.Context, req *connect.Request[kvpb.GetRequest]) (*connect.Response[kvpb.GetResponse], error) {
 	ent, err := sr.kv.Get(ctx, req.Msg.Key)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return connect.NewResponse(&kvpb.GetResponse{Entry: encodeEntry(ent)}), nil
 }
 
-// List serves store.Store.List.
+// List implements kvpb.KeyValueHandler.
 func (sr *server) List(ctx context.Context, req *connect.Request[kvpb.ListRequest]) (*connect.Response[kvpb.ListResponse], error) {
 	items, err := sr.kv.List(ctx, req.Msg.Prefix)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return list
 }
 
-// WatchAll serves store.Store.WatchAll.
+// WatchAll implements kvpb.KeyValueHandler.
 func (sr *server) WatchAll(ctx context.Context, req *connect.Request[kvpb.WatchAllRequest]) (*connect.Response[kvpb.WatchAllResponse], error) {
 	ms := req.Msg
 	li, err := sr.kv.WatchAll(ctx, ms.Prefix, decodeRevision(ms.Epoch, ms.After), time.Duration(ms.WaitMs)*time.Millisecond)
@@ -100,7 +100,7 @@
 	}), nil
 }
 
-// Swap serves store.Store.Swap.
+// Swap implements kvpb.KeyValueHandler.
 func (sr *server) Swap(ctx context.Context, req *connect.Request[kvpb.SwapRequest]) (*connect.Response[kvpb.SwapResponse], error) {
 	ms := req.Msg
 	ok, cur, err := sr.kv.Swap(ctx, store.Change{
@@ -112,7 +112,7 @@
 	return connect.NewResponse(&kvpb.SwapResponse{Swapped: ok, Current: encodeEntry(cur)}), nil
 }
 
-// Watch serves store.Store.Watch.
+// Watch implements kvpb.KeyValueHandler.
 func (sr *server) Watch(ctx context.Context, req *connect.Request[kvpb.WatchRequest]) (*connect.Response[kvpb.WatchResponse], error) {
 	ms := req.Msg
 	ent, err := sr.kv.Watch(ctx, ms.Key, decodeRevision(ms.Epoch, ms.After), time.Duration(ms.WaitMs)*time.Millisecond)
@@ -122,7 +122,7 @@
 	return connect.NewResponse(&kvpb.WatchResponse{Entry: encodeEntry(ent)}), nil
 }
 
-// Grant serves store.Store.Grant.
+// Grant implements kvpb.KeyValueHandler.
 func (sr *server) Grant(ctx context.Context, req *connect.Request[kvpb.GrantRequest]) (*connect.Response[kvpb.GrantResponse], error) {
 	id, err := sr.kv.Grant(ctx, time.Duration(req.Msg.TtlMs)*time.Millisecond)
 	if err != nil {
@@ -131,7 +131,7 @@
 	return connect.NewResponse(&kvpb.GrantResponse{Lease: id.Number, Epoch: int64(id.Epoch)}), nil
 }
 
-// Renew serves store.Store.Renew.
+// Renew implements kvpb.KeyValueHandler.
 func (sr *server) Renew(ctx context.Context, req *connect.Request[kvpb.RenewRequest]) (*connect.Response[kvpb.RenewResponse], error) {
 	if err := sr.kv.Renew(ctx, decodeLeaseID(req.Msg.Epoch, req.Msg.Lease)); err != nil {
 		return nil, connectError(err)
@@ -139,7 +139,7 @@
 	return connect.NewResponse(&kvpb.RenewResponse{}), nil
 }
 
-// Revoke serves store.Store.Revoke.
+// Revoke implements kvpb.KeyValueHandler.
 func (sr *server) Revoke(ctx context.Context, req *connect.Request[kvpb.RevokeRequest]) (*connect.Response[kvpb.RevokeResponse], error) {
 	if err := sr.kv.Revoke(ctx, decodeLeaseID(req.Msg.Epoch, req.Msg.Lease)); err != nil {
 		return nil, connectError(err)
--- a/internal/plat/stall/stall.go
+++ b/internal/plat/stall/stall.go
@@ -9,44 +9,46 @@
 	"time"
 )
 
-// MinRate is the rate in bytes a second at which a request body is taken to be sent at least.
-// What the system has taken into its buffers may still be on its way.
+// MinSendRate is the lowest rate, in bytes per second, at which request bodies are assumed to
+// be sent. The time to send a body is estimated from its size, since data that was written may
+// still be in the socket buffers of the operating system.
 const MinRate = 64 << 10
 
-// Client makes calls by HTTP.
+// Client makes HTTP calls with stall detection.
 type Client struct {
-	// HTTP makes a call, as http.Client.Do does.
+	// HTTP makes a call like http.Client.Do.
 	HTTP func(*http.Request) (*http.Response, error)
-	// Timeout bounds the time to the head of the answer, besides that for sending the
-	// request, and then the time between any two pieces of the answer.
+	// Timeout bounds the time to the response headers, not counting the time to send the
+	// request, and then the duration of each read of the response body.
 	Timeout time.Duration
-	// Received, if set, is called after each piece of an answer.
+	// OnReceive, if set, is called after each read that returns part of a response body.
 	Received func()
 }
 
 type headTimeoutKey struct{}
 
-// WithHeadTimeout returns a context whose calls have another time to the head of the answer
-// than the client's, as those in which the server waits before it answers.
+// WithHeadTimeout returns a context whose calls use timeout instead of Client.Timeout for the
+// response headers. It is meant for calls such as watches, where the server waits before it
+// responds.
 func WithHeadTimeout(ctx context.Context, timeout time.Duration) context.Context {
 	return context.WithValue(ctx, headTimeoutKey{}, timeout)
 }
 
-// errStalled ends a call in which nothing moved for too long.
+// errStalled is the cancel cause of a call that timed out.
 var errStalled = &Error{}
 
-// Error says that a call was given up since nothing moved.
+// Error is the error of a call that was cancelled because it made no progress.
 type Error struct{}
 
-// Error returns the error in words.
-func (er *Error) Error() string { return "stall: nothing was received for too long" }
+// Error returns the error message.
+func (er *Error) Error() string { return "stall: no response data received within the timeout" }
 
-// Is reports whether the error is a passed deadline.
+// Is makes errors.Is match the deadline errors of packages context and os.
 func (er *Error) Is(target error) bool {
 	return target == context.DeadlineExceeded || target == os.ErrDeadlineExceeded
 }
 
-// Do makes a call. The caller closes the body of the answer.
+// Do makes a call. The caller must close the response body.
 func (cl *Client) Do(req *http.Request) (*http.Response, error) {
 	ctx, cancel := context.WithCancelCause(req.Context())
 	headTimeout, ok := ctx.Value(headTimeoutKey{}).(time.Duration)
@@ -66,7 +68,7 @@
 	return res, nil
 }
 
-// cause returns the error of a call, which is that of the stall where one ended it.
+// cause returns err, joined with the stall error if a stall cancelled the call.
 func cause(ctx context.Context, err error) error {
 	if reason := context.Cause(ctx); errors.Is(reason, errStalled) && !errors.Is(err, errStalled) {
 		return errors.Join(reason, err)
@@ -74,7 +76,7 @@
 	return err
 }
 
-// body is the body of an answer, whose call ends when it stalls.
+// body is a response body that cancels its call when a read stalls.
 type body struct {
 	io.ReadCloser
 	ctx    context.Context
@@ -83,7 +85,8 @@
 	client *Client
 }
 
-// Read reads a piece. The time that the reader takes between two pieces does not count.
+// Read reads from the body. Only time spent within Read counts, so a slow caller does not
+// cause a timeout.
 func (bo *body) Read(p []byte) (int, error) {
 	bo.timer.Reset(bo.client.Timeout)
 	n, err := bo.ReadCloser.Read(p)
@@ -97,7 +100,7 @@
 	return n, err
 }
 
-// Close ends the call.
+// Close closes the body and ends the call.
 func (bo *body) Close() error {
 	bo.timer.Stop()
 	err := bo.ReadCloser.Close()
--- a/internal/plat/stall/stall_test.go
+++ b/internal/plat/stall/stall_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// slowServer answers after the request was sent at a rate in bytes a second, and then sends
-// pieces with a gap before each.
+// slowServer is an http.RoundTripper that simulates a slow server: it receives the request at
+// rate bytes per second, responds after delay, and sends pieces of one byte with a gap before
+// each.
 type slowServer struct {
 	rate   int
 	delay  time.Duration
@@ -29,7 +30,7 @@
 	}
 }
 
-// RoundTrip makes a call.
+// RoundTrip implements http.RoundTripper.
 func (ss *slowServer) RoundTrip(req *http.Request) (*http.Response, error) {
 	size := time.Duration(max(0, req.ContentLength))
 	if err := wait(req.Context(), size*time.Second/time.Duration(max(1, ss.rate))+ss.delay); err != nil {
@@ -57,8 +58,8 @@
 	return copy(p, "x"), nil
 }
 
-// TestDo guards against calls that are given up while they move, and against calls that are
-// not while nothing does.
+// TestDo guards against calls that are cancelled although they make progress, and against
+// stalled calls that are not cancelled.
 func TestDo(t *testing.T) {
 	const mib = 1 << 20
 	for _, tc := range []struct {
@@ -66,20 +67,20 @@
 		size        int
 		headTimeout time.Duration
 		server      slowServer
-		// pause is what the reader takes before each read.
+		// readDelay is how long the caller waits before each read.
 		readDelay time.Duration
 		ok        bool
 		took      time.Duration
 	}{
 		{"small", 0, 0, slowServer{delay: 4 * time.Millisecond}, 0, true, 4 * time.Millisecond},
-		{"large on a slow link", mib, 0, slowServer{rate: mib / 4}, 0, true, 4 * time.Second},
-		{"large on a link that is too slow", mib, 0, slowServer{rate: 1 << 10}, 0, false, 17 * time.Second},
-		{"silent", 0, 0, slowServer{delay: time.Minute}, 0, false, time.Second},
-		{"a watch", 0, 10 * time.Second, slowServer{delay: 9 * time.Second}, 0, true, 9 * time.Second},
-		{"a silent watch", 0, 10 * time.Second, slowServer{delay: time.Minute}, 0, false, 10 * time.Second},
-		{"a long answer", 0, 0, slowServer{pieces: 5, gap: 900 * time.Millisecond}, 0, true, 4500 * time.Millisecond},
-		{"an answer that stalls", 0, 0, slowServer{pieces: 5, gap: 1100 * time.Millisecond}, 0, false, time.Second},
-		{"a slow reader", 0, 0, slowServer{pieces: 2}, 5 * time.Second, true, 15 * time.Second},
+		{"large request on a slow link", mib, 0, slowServer{rate: mib / 4}, 0, true, 4 * time.Second},
+		{"large request below the minimum rate", mib, 0, slowServer{rate: 1 << 10}, 0, false, 17 * time.Second},
+		{"no response", 0, 0, slowServer{delay: time.Minute}, 0, false, time.Second},
+		{"watch", 0, 10 * time.Second, slowServer{delay: 9 * time.Second}, 0, true, 9 * time.Second},
+		{"watch without response", 0, 10 * time.Second, slowServer{delay: time.Minute}, 0, false, 10 * time.Second},
+		{"long response", 0, 0, slowServer{pieces: 5, gap: 900 * time.Millisecond}, 0, true, 4500 * time.Millisecond},
+		{"stalled response", 0, 0, slowServer{pieces: 5, gap: 1100 * time.Millisecond}, 0, false, time.Second},
+		{"slow reader", 0, 0, slowServer{pieces: 2}, 5 * time.Second, true, 15 * time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -98,7 +99,7 @@
 					t.Errorf("took %s, want %s; error %v", took, tc.took, err)
 				}
 				if err != nil && !errors.Is(err, context.DeadlineExceeded) {
-					t.Errorf("error %v is no passed deadline", err)
+					t.Errorf("error %v is not context.DeadlineExceeded", err)
 				}
 			})
 		})
--- a/internal/plat/stand/doc.go
+++ b/internal/plat/stand/doc.go
@@ -1,3 +1,3 @@
-// Package stand is a stand-in for the platform's key-value service. It lives
-// in memory, keeps the platform's limits and fails as it is told to.
+// Package stand is an in-memory fake of the platform's key-value service. It enforces the
+// platform's limits and can inject faults.
 package stand
--- a/internal/plat/stand/stand.go
+++ b/internal/plat/stand/stand.go
@@ -15,24 +15,24 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// The rates of the platform, in calls a second.
+// The rate limits of the platform, in calls per second.
 const (
 	ReadRate  = 2000
 	WriteRate = 400
 )
 
-// Faults says what goes wrong; the zero value is a platform that works.
+// Faults are the faults to inject; the zero value injects none.
 type Faults struct {
-	// Down refuses every call, without effect.
+	// Down fails every call, without effect.
 	Down bool
-	// Delay is how long each call takes besides.
+	// Delay is added to the duration of each call.
 	Delay time.Duration
-	// LoseAnswers is how many of the next swaps take effect and then fail as
-	// unknown.
+	// LoseResponses is the number of upcoming swaps that take effect but return an error
+	// of kind store.Unknown.
 	LoseAnswers int
 }
 
-// Calls counts the calls made so far.
+// Calls counts the calls received, including those that failed.
 type Calls struct {
 	Reads, Writes, Watches atomic.Int64
 }
@@ -40,7 +40,7 @@
 // Total returns the sum of all calls.
 func (cl *Calls) Total() int64 { return cl.Reads.Load() + cl.Writes.Load() + cl.Watches.Load() }
 
-// Stand is the stand-in. Its methods may be called from any goroutine.
+// Service is the fake service. Its methods are safe for concurrent use.
 type Stand struct {
 	Calls        Calls
 	readLimiter  *rate.Limiter
@@ -49,7 +49,8 @@
 	mu      sync.Mutex
 	faults  Faults
 	entries map[string]entry
-	// modified has the number of the last write or removal of each key.
+	// modified has the number of the last write or removal of each key, including keys that
+	// no longer exist.
 	modified    map[string]int64
 	leases      map[int64]*lease
 	lastLeaseID int64
@@ -58,7 +59,7 @@
 	changed     chan struct{}
 }
 
-// entry is a value with the number of the write that made it and of its lease.
+// entry is a value with the number of the write that stored it and the number of its lease.
 type entry struct {
 	value  []byte
 	number int64
@@ -70,13 +71,13 @@
 	timer *time.Timer
 }
 
-// currentEntry returns the entry of a key; st.mu is held.
+// currentEntry returns the entry of a key. The caller holds sv.mu.
 func (sv *Stand) currentEntry(key string) store.Entry {
 	ent := sv.entries[key]
 	return store.Entry{Value: ent.value, Revision: store.Revision{Epoch: sv.epoch, Number: ent.number}}
 }
 
-// New returns an empty stand-in with the platform's rates.
+// New returns an empty fake with the platform's rate limits.
 func New() *Stand {
 	return &Stand{
 		readLimiter:  rate.NewLimiter(ReadRate, ReadRate),
@@ -89,7 +90,7 @@
 	}
 }
 
-// SetFaults replaces what goes wrong.
+// SetFaults replaces the injected faults.
 func (sv *Stand) SetFaults(fa Faults) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -97,7 +98,7 @@
 	sv.notifyWatchers()
 }
 
-// Backup is a copy of the entries and leases at one moment.
+// Backup is a snapshot of the entries and leases.
 type Backup struct {
 	entries     map[string]entry
 	leases      map[int64]time.Duration
@@ -105,7 +106,7 @@
 	rev         int64
 }
 
-// Backup returns a copy of the entries and leases.
+// Backup returns a snapshot of the entries and leases.
 func (sv *Stand) Backup() Backup {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -116,7 +117,7 @@
 	return bk
 }
 
-// Restore sets the entries back to those of a backup, without a new epoch.
+// Restore replaces the entries by those of a backup without starting a new epoch.
 func (sv *Stand) Restore(bk Backup) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -125,7 +126,7 @@
 	sv.notifyWatchers()
 }
 
-// resetModified takes all entries for changed by their last writes; st.mu is held.
+// resetModified recomputes modified from the current entries. The caller holds sv.mu.
 func (sv *Stand) resetModified() {
 	clear(sv.modified)
 	for key, ent := range sv.entries {
@@ -133,9 +134,9 @@
 	}
 }
 
-// ComeBack goes on from a backup in a new epoch: what was written since is gone, the
-// leases of the backup begin anew, and the numbers of writes and leases are given out
-// again.
+// RestoreInNewEpoch restores a backup and starts a new epoch: later writes are lost, the
+// leases of the backup restart with their full time to live, and the numbers of writes and
+// leases since the backup are assigned again.
 func (sv *Stand) ComeBack(bk Backup) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -152,7 +153,7 @@
 	sv.notifyWatchers()
 }
 
-// LapseLeases ends all leases, as if their time had run out.
+// ExpireLeases ends all leases as if their time to live had passed.
 func (sv *Stand) LapseLeases() {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -161,7 +162,7 @@
 	}
 }
 
-// Store returns the functions that clients call.
+// Store returns the service as a store.Store.
 func (sv *Stand) Store() store.Store {
 	return store.Store{
 		Get: sv.get, List: sv.list, Swap: sv.swap, Watch: sv.watch, WatchAll: sv.watchAll,
@@ -169,21 +170,22 @@
 	}
 }
 
-// Newest returns the number of the newest write.
+// LatestRevision returns the number of the latest write.
 func (sv *Stand) Newest() int64 {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	return sv.rev
 }
 
-// Epoch returns the epoch in which the stand-in is.
+// Epoch returns the current epoch.
 func (sv *Stand) Epoch() store.Epoch {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	return sv.epoch
 }
 
-// admit waits as the faults say and refuses a call that may not have effect.
+// admit counts a call, applies the injected delay, and returns an error if the service is down
+// or the rate limit is exceeded.
 func (sv *Stand) admit(ctx context.Context, op, key string, count *atomic.Int64, lim *rate.Limiter) error {
 	count.Add(1)
 	sv.mu.Lock()
@@ -223,7 +225,8 @@
 	return sv.listPrefix(prefix), nil
 }
 
-// listPrefix returns the entries of all keys under a prefix; st.mu is held.
+// listPrefix returns the entries of all keys under a prefix, sorted by key. The caller holds
+// sv.mu.
 func (sv *Stand) listPrefix(prefix string) (items []store.Item) {
 	for _, key := range slices.Sorted(maps.Keys(sv.entries)) {
 		if strings.HasPrefix(key, prefix) {
@@ -233,7 +236,8 @@
 	return items
 }
 
-// modifiedAfter reports whether a key under a prefix changed after a write; st.mu is held.
+// modifiedAfter reports whether a key under a prefix was written or removed after write
+// number. The caller holds sv.mu.
 func (sv *Stand) modifiedAfter(prefix string, number int64) bool {
 	for key, n := range sv.modified {
 		if n > number && strings.HasPrefix(key, prefix) {
@@ -304,7 +308,7 @@
 	return true, sv.currentEntry(ch.Key), nil
 }
 
-// findLease returns a lease, nil where it has ended; st.mu is held.
+// findLease returns a lease, or nil if it has ended. The caller holds sv.mu.
 func (sv *Stand) findLease(id store.LeaseID) *lease {
 	if id.Epoch != 0 && id.Epoch != sv.epoch {
 		return nil
@@ -349,13 +353,13 @@
 	return store.LeaseID{Epoch: sv.epoch, Number: sv.lastLeaseID}, nil
 }
 
-// startLease begins a lease; st.mu is held.
+// startLease starts a lease. The caller holds sv.mu.
 func (sv *Stand) startLease(id int64, ttl time.Duration) {
 	ls := &lease{ttl: ttl}
 	ls.timer = time.AfterFunc(ttl, func() {
 		sv.mu.Lock()
 		defer sv.mu.Unlock()
-		// Another lease may have got the number since.
+		// After a restore the number may belong to another lease.
 		if sv.leases[id] == ls {
 			sv.endLease(id)
 		}
@@ -390,7 +394,7 @@
 	return nil
 }
 
-// endLease removes a lease and its keys; st.mu is held.
+// endLease deletes a lease and its keys. The caller holds sv.mu.
 func (sv *Stand) endLease(id int64) {
 	ls := sv.leases[id]
 	if ls == nil {
@@ -408,7 +412,7 @@
 	sv.notifyWatchers()
 }
 
-// notifyWatchers lets all watches look again; st.mu is held.
+// notifyWatchers makes all waiting watches check for changes. The caller holds sv.mu.
 func (sv *Stand) notifyWatchers() {
 	close(sv.changed)
 	sv.changed = make(chan struct{})
--- a/internal/plat/steady/doc.go
+++ b/internal/plat/steady/doc.go
@@ -1,3 +1,3 @@
-// Package steady reads the steady clock of the process as a number, for times that are
-// kept in atomics. The time of day may jump by seconds, forward or back.
+// Package steady reads the monotonic clock of the process as an integer, for times that are
+// kept in atomics. The wall clock may jump by seconds, forward or back.
 package steady
--- a/internal/plat/steady/steady.go
+++ b/internal/plat/steady/steady.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// origin is where the clock is counted from.
+// origin is the time at which the clock reads offset.
 var origin = time.Now()
 
-// offset is what the clock shows at the epoch, in nanoseconds: far enough from 0 for 0
-// to be long ago, also beside times of day in this century and the last.
+// offset is the reading of the clock at origin, in nanoseconds. It is so large that every time
+// of this century and the last reads above 0, and the zero value is long ago.
 const offset = 1 << 62
 
-// Nanos returns a time in nanoseconds of the steady clock. Only differences and the
-// order of such numbers in one process mean anything, and 0 is long ago.
+// Nanos returns t as nanoseconds of the monotonic clock. The numbers can only be compared with
+// and subtracted from each other, within one process; 0 is long ago.
 func Nanos(t time.Time) int64 { return offset + int64(t.Sub(origin)) }
 
-// Millis returns a time in milliseconds of the steady clock.
+// Millis returns t as milliseconds of the monotonic clock, like Nanos.
 func Millis(t time.Time) int64 { return Nanos(t) / int64(time.Millisecond) }
--- a/internal/plat/steady/steady_test.go
+++ b/internal/plat/steady/steady_test.go
@@ -17,35 +17,36 @@
 		later time.Time
 		want  int64
 	}{
-		{"the same", now, 0},
-		{"a second later", now.Add(time.Second), 1e9},
-		{"a second before", now.Add(-time.Second), -1e9},
+		{"same time", now, 0},
+		{"one second later", now.Add(time.Second), 1e9},
+		{"one second earlier", now.Add(-time.Second), -1e9},
 	} {
 		if got := Nanos(tc.later) - Nanos(now); got != tc.want {
 			t.Errorf("%s: %d, want %d", tc.name, got, tc.want)
 		}
 	}
 	if Nanos(time.Unix(1000, 0)) <= 0 || Millis(now) <= 0 {
-		t.Error("a time is not after 0")
+		t.Error("Nanos or Millis returned a value that is not above 0")
 	}
 }
 
-// wallClockRead is how a time of day becomes a number.
+// wallClockRead matches conversions of a wall-clock time to a number.
 var wallClockRead = regexp.MustCompile(`\.Unix(Nano|Milli|Micro)?\(\)`)
 
-// allowed are the places that may read the time of day, each with what a jump of it does.
+// allowed are the files that may read the wall clock, each with the effect of a clock jump.
 var allowed = map[string]string{
-	"internal/mesh/member/member.go": "when a server began to serve, for other VMs: a share that grows sooner or later",
-	"internal/mesh/ctrl/node.go":     "the incarnation of a process, raised above what peers know of the VM",
-	"internal/mesh/ctrl/holds.go":    "a stamp that orders the reports of one relay, for status alone",
-	"internal/mesh/ctrl/rollout.go":  "when a rollout began, for daemons that start after all were killed: it ends sooner or later by as much, or is rolled back",
-	"internal/mesh/poison/keep.go":   "when a server ended, for later processes: a request is tried again sooner or later by as much",
+	"internal/mesh/member/member.go": "when a server started serving, for other VMs: its share of requests grows sooner or later",
+	"internal/mesh/ctrl/node.go":     "the incarnation of a process: raised above the one that peers know for the VM",
+	"internal/mesh/ctrl/holds.go":    "a timestamp that orders the reports of one relay: used for status output only",
+	"internal/mesh/ctrl/rollout.go":  "when a rollout started, for daemons that start after all were killed: it ends sooner or later by the size of the jump, or is rolled back",
+	"internal/mesh/poison/keep.go":   "when a server crashed, for later processes: a request is retried sooner or later by the size of the jump",
 }
 
-// TestNoTimeOfDay: the time of day of a VM jumped back by seconds. Servers that were
-// left out for half a second stayed out for those seconds, reports of load seemed old,
-// and links seemed silent when it jumped forward. What is compared with the clock later
-// is kept on the steady clock, but for the places named here.
+// TestNoTimeOfDay guards against times that are compared with the wall clock. When the wall
+// clock of a VM jumped back by seconds, servers ejected for half a second stayed ejected for
+// those seconds and load reports seemed outdated; when it jumped forward, links seemed to have
+// timed out. Times that are compared later have to be kept on the monotonic clock, except in
+// the files in allowed.
 func TestNoTimeOfDay(t *testing.T) {
 	root := filepath.Join("..", "..", "..")
 	seen := map[string]bool{}
@@ -63,7 +64,7 @@
 		}
 		seen[filepath.ToSlash(name)] = true
 		if allowed[filepath.ToSlash(name)] == "" {
-			t.Errorf("%s reads the time of day: use package steady, or say here what a jump does", name)
+			t.Errorf("%s reads the wall clock: use the monotonic clock of this package, or add the file to allowed with the effect of a jump", name)
 		}
 		return nil
 	})
@@ -72,7 +73,7 @@
 	}
 	for name := range allowed {
 		if !seen[name] {
-			t.Errorf("%s no longer reads the time of day", name)
+			t.Errorf("%s no longer reads the wall clock: remove it from allowed", name)
 		}
 	}
 }
--- a/internal/plat/store/store.go
+++ b/internal/plat/store/store.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// MaxValue is the most bytes that a value may have.
+// MaxValue is the maximum size of a value in bytes.
 const MaxValue = 1 << 20
 
-// Epoch numbers the copies of its data that the store has run on. It rises when the
-// store comes back from an older copy, which loses writes and leases and gives out
-// their numbers again; 0 stands for a store that does not tell.
+// Epoch increases whenever the store is restored from a backup. A restore loses the writes
+// and leases made since the backup and assigns their numbers again. 0 means that the store
+// does not report an epoch.
 type Epoch int64
 
-// Revision names a state of a key.
+// Revision identifies a state of a key, or of the whole store.
 type Revision struct {
 	Epoch Epoch
-	// Number is that of the write, 0 for a key that does not exist.
+	// Number is the number of the last write, 0 for a key that does not exist.
 	Number int64
 }
 
-// Exists reports whether the key existed.
+// Exists reports whether the key existed at this revision.
 func (rv Revision) Exists() bool { return rv.Number != 0 }
 
-// Is reports whether a key at cur is still as it was at rv. A revision without an epoch
-// stands for its number in any.
+// Matches reports whether a key whose current revision is cur is unchanged since rv. An rv
+// with epoch 0 matches in any epoch.
 func (rv Revision) Is(cur Revision) bool {
 	return rv.Number == cur.Number && (rv.Epoch == 0 || rv.Epoch == cur.Epoch)
 }
 
-// LeaseID names a lease; the zero value stands for none.
+// LeaseID identifies a lease; the zero value means no lease.
 type LeaseID struct {
 	Epoch  Epoch
 	Number int64
 }
 
-// Entry is a value with the revision that wrote it. That of a key which does not exist
-// has the epoch all the same.
+// Entry is a value with the revision that wrote it. The revision of a key that does not
+// exist has an epoch too.
 type Entry struct {
 	Value    []byte
 	Revision Revision
@@ -50,59 +50,60 @@
 	Entry
 }
 
-// Listing is what a store has under a prefix.
+// Listing is the result of watching a prefix.
 type Listing struct {
-	// Changed says that something changed since the write asked for; without it Items is
-	// empty.
+	// Changed reports whether a key changed since the given revision. If not, Items is
+	// empty; otherwise it has all keys under the prefix.
 	Changed bool
 	Items   []Item
-	// At is the write up to which this holds.
+	// Revision is the revision of the store that the listing reflects.
 	At Revision
 }
 
-// Change is a compare-and-swap: it takes effect only while the key is still at
-// Revision. A revision without an epoch holds in each one; any other, and a lease, only
-// in its own.
+// Change is a compare-and-swap: it is applied only if the key is still at Revision. A
+// revision with epoch 0 matches in any epoch; any other revision, and a lease, is valid only
+// in its own epoch.
 type Change struct {
 	Key      string
 	Revision Revision
 	Value    []byte
-	// Remove deletes the key in place of writing Value.
+	// Remove deletes the key instead of writing Value.
 	Remove bool
-	// Lease deletes the key when the lease ends.
+	// Lease is the lease to attach the key to: the key is deleted when the lease ends.
 	Lease LeaseID
 }
 
-// Store is what the project uses of the platform. Every call ends with its
-// context. Every error is an *Error.
+// Store has the functions of the platform's key-value service that this project uses. Every
+// call returns when its context ends. Every error is an *Error.
 type Store struct {
-	// Get returns the entry of a key, with a revision that does not exist when there is
-	// none.
+	// Get returns the entry of a key. Revision.Exists tells whether the key exists.
 	Get func(ctx context.Context, key string) (Entry, error)
-	// List returns the entries of all keys that begin with prefix, sorted by
-	// key. It is meant for a few: the result is one page.
+	// List returns the entries of all keys that begin with prefix, sorted by key. The
+	// result is a single page, so it is meant for few keys.
 	List func(ctx context.Context, prefix string) ([]Item, error)
-	// Swap applies a change. When the key is at another revision it returns
-	// false with the current entry.
+	// Swap applies a change. If the key is at another revision, it returns false and the
+	// current entry.
 	Swap func(ctx context.Context, ch Change) (bool, Entry, error)
-	// Watch waits until the key's revision differs from after, or for as long
-	// as wait, and returns the entry. It counts as one call. A new epoch is another
-	// revision, whatever became of the key.
+	// Watch waits until the key's revision differs from after, for at most wait, and
+	// returns the entry. It counts as one call. In a new epoch the revision differs even
+	// if the key is unchanged.
 	Watch func(ctx context.Context, key string, after Revision, wait time.Duration) (Entry, error)
-	// WatchAll waits until a key under prefix is written or removed after a write, or for
-	// as long as wait. It returns at once after the zero revision, and in a new epoch.
+	// WatchAll waits until a key under prefix is written or removed after the given
+	// revision, for at most wait. It returns at once if that revision is zero or of another
+	// epoch.
 	WatchAll func(ctx context.Context, prefix string, after Revision, wait time.Duration) (Listing, error)
-	// Grant opens a lease that ends when it is not renewed for ttl.
+	// Grant creates a lease that expires if it is not renewed within ttl.
 	Grant func(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// Renew starts the lease's time anew; Gone says that it has ended.
+	// Renew restarts the time to live of a lease. The error is LeaseNotFound if the lease
+	// has expired or was revoked.
 	Renew func(ctx context.Context, id LeaseID) error
 	// Revoke ends a lease and deletes its keys.
 	Revoke func(ctx context.Context, id LeaseID) error
-	// Epoch returns the newest epoch that the store has answered in. It makes no call.
+	// Epoch returns the highest epoch known from earlier responses. It makes no call.
 	Epoch func() Epoch
 }
 
-// Kind says what an error means for the caller.
+// Kind classifies an error by what it means for the caller.
 type Kind int
 
 // The kinds of errors.
@@ -111,15 +112,16 @@
 	Unavailable Kind = iota + 1
 	// Unknown means that the call may have taken effect.
 	Unknown
-	// Limited means that the rate was exceeded and the call had no effect.
+	// RateLimited means that the platform's rate limit was exceeded and the call had no
+	// effect.
 	Limited
-	// TooLarge means that the value is above MaxValue.
+	// TooLarge means that the value is larger than MaxValue.
 	TooLarge
-	// Gone means that the lease has ended.
+	// LeaseNotFound means that the lease has expired or was revoked.
 	Gone
 )
 
-// String returns the kind in words.
+// String returns a description of the kind for error messages.
 func (kd Kind) String() string {
 	switch kd {
 	case Unavailable:
@@ -127,16 +129,16 @@
 	case Unknown:
 		return "outcome unknown"
 	case Limited:
-		return "rate exceeded"
+		return "rate limit exceeded"
 	case TooLarge:
 		return "value too large"
 	case Gone:
-		return "lease ended"
+		return "lease expired or revoked"
 	}
 	return fmt.Sprintf("Kind(%d)", int(kd))
 }
 
-// Error is the error of a call.
+// Error is the error of a store call.
 type Error struct {
 	Kind Kind
 	Op   string
@@ -144,7 +146,7 @@
 	Err  error
 }
 
-// Error names the operation, the key and the kind.
+// Error returns a message with the operation, the key, the kind and the cause.
 func (er *Error) Error() string {
 	msg := fmt.Sprintf("platform: %s %s: %s", er.Op, er.Key, er.Kind)
 	if er.Err != nil {
@@ -153,7 +155,7 @@
 	return msg
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error, if any.
 func (er *Error) Unwrap() error { return er.Err }
 
 // Is reports whether err is an *Error of kind kd.
@@ -162,11 +164,11 @@
 	return errors.As(err, &er) && er.Kind == kd
 }
 
-// Interceptor is called in place of each call of a wrapped store. It may make the
-// call, more than once or not at all, and returns its error.
+// Interceptor is called in place of each call of a wrapped store. It may make the call once,
+// several times or not at all, and returns the error for the caller.
 type Interceptor func(ctx context.Context, op, key string, call func() error) error
 
-// Wrap returns kv with fn around each of its calls.
+// Wrap returns a store that passes each call of kv through fn.
 func Wrap(kv Store, fn Interceptor) Store {
 	return Store{
 		Get: func(ctx context.Context, key string) (ent Entry, err error) {
