--- a/internal/plat/remote/contract_test.go
+++ b/internal/plat/remote/contract_test.go
@@ -63,7 +63,7 @@
 	mux.Handle(Handler(stand.New().Store()))
 	sv := httptest.NewServer(mux)
 	t.Cleanup(sv.Close)
-	var le kvtest.LateEnd
-	kv := newClient(strings.TrimPrefix(sv.URL, "http://"), func(_ context.Context, _, addr string) (net.Conn, error) { return le.Dial(addr) }).Store()
-	kvtest.EndedBeforeCall(t, kv, &le, sv.CloseClientConnections)
+	var ed kvtest.LateEnd
+	kv := newClient(strings.TrimPrefix(sv.URL, "http://"), func(_ context.Context, _, addr string) (net.Conn, error) { return ed.Dial(addr) }).Store()
+	kvtest.EndedBeforeCall(t, kv, &ed, sv.CloseClientConnections)
 }
