--- a/internal/plat/stall/stall_test.go
+++ b/internal/plat/stall/stall_test.go
@@ -75,7 +75,7 @@
 		{"small", 0, 0, slowServer{delay: 4 * time.Millisecond}, 0, true, 4 * time.Millisecond},
 		{"large request on a slow link", mib, 0, slowServer{rate: mib / 4}, 0, true, 4 * time.Second},
 		{"large request below the minimum rate", mib, 0, slowServer{rate: 1 << 10}, 0, false, 17 * time.Second},
-		{"no response", 0, 0, slowServer{delay: time.Minute}, 0, false, time.Second},
+		{"silent", 0, 0, slowServer{delay: time.Minute}, 0, false, time.Second},
 		{"watch", 0, 10 * time.Second, slowServer{delay: 9 * time.Second}, 0, true, 9 * time.Second},
 		{"watch without response", 0, 10 * time.Second, slowServer{delay: time.Minute}, 0, false, 10 * time.Second},
 		{"long response", 0, 0, slowServer{pieces: 5, gap: 900 * time.Millisecond}, 0, true, 4500 * time.Millisecond},
--- a/internal/plat/store/store.go
+++ b/internal/plat/store/store.go
@@ -158,7 +158,7 @@
 // Unwrap returns the underlying error, if any.
 func (er *Error) Unwrap() error { return er.Err }
 
-// Is reports whether err is an *Error of kind kd.
+// IsKind reports whether err is an *Error of kind kd.
 func Is(err error, kd Kind) bool {
 	var er *Error
 	return errors.As(err, &er) && er.Kind == kd
