--- a/internal/mesh/ctrl/epoch_test.go
+++ b/internal/mesh/ctrl/epoch_test.go
@@ -141,10 +141,10 @@
 	v := fl.apply(sample.Change(fl.ms, 1), 1)
 	fl.waitHeld(v, convergeLimit)
 	var reports []poison.Report
-	for end := range poison.Most {
-		reports = append(reports, poison.Report{Head: 1, Key: 7, End: poison.End(end + 1), At: time.Now()})
+	for end := range poison.RefuseThreshold {
+		reports = append(reports, poison.Report{Head: 1, Key: 7, Crash: poison.CrashID(end + 1), At: time.Now()})
 	}
-	fl.nodes[fl.relays()[0]].ReportEnds(reports)
+	fl.nodes[fl.relays()[0]].ReportCrashes(reports)
 	time.Sleep(2 * time.Second)
 	content := fl.nodes[fl.relays()[0]].Board.Latest.Get().Content
 	if before != nil {
--- a/internal/mesh/ctrl/fleet_test.go
+++ b/internal/mesh/ctrl/fleet_test.go
@@ -141,7 +141,7 @@
 	tn := &testNode{vm: vm, ho: ho, guard: gd, done: make(chan struct{})}
 	src, seeds := headSource(), fl.seeds(vm)
 	if fl.newest {
-		src.Newest, src.Restore, seeds = true, nil, nil
+		src.Linearizable, src.Restore, seeds = true, nil, nil
 	}
 	var counts func() Counts
 	if fl.counts != nil {
@@ -149,7 +149,7 @@
 	}
 	tn.Node = New(Config{
 		Source: src, Counts: counts,
-		VM: vm.Name, Domain: vm.Domain, Control: addr, Inlet: vm.Name + ":8000", Seeds: seeds, Store: gd.Store(), StoreAnswers: gd.Close,
+		VM: vm.Name, Domain: vm.Domain, Control: addr, Inlet: vm.Name + ":8000", Seeds: seeds, Store: gd.Store(), OnNewEpoch: gd.Close,
 		Dial: func(ctx context.Context, to string) (net.Conn, error) { return fl.nw.Dial(ctx, ho, to) },
 	})
 	fl.watchVersion(tn)
--- a/internal/mesh/ctrl/follow_test.go
+++ b/internal/mesh/ctrl/follow_test.go
@@ -148,7 +148,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				time.Sleep(time.Minute)
-				nd := New(Config{VM: "vm-p", Domain: "d0", Control: "p:1", Source: Source{Newest: true, Read: headSource().Read}})
+				nd := New(Config{VM: "vm-p", Domain: "d0", Control: "p:1", Source: Source{Linearizable: true, Read: headSource().Read}})
 				defer nd.end()
 				nd.recordProof(time.Now().Add(-tc.read), 7)
 				sent := make(chan *wirepb.Packet, 9)
@@ -176,7 +176,7 @@
 			})
 		})
 	}
-	nd := New(Config{VM: "vm-x", Domain: "d0", Control: "x:1", Source: Source{Newest: true, Read: headSource().Read}})
+	nd := New(Config{VM: "vm-x", Domain: "d0", Control: "x:1", Source: Source{Linearizable: true, Read: headSource().Read}})
 	defer nd.end()
 	pr := link.New(link.Stream{Abort: func() {}}, nd.offer)
 	nd.handle(pr, &wirepb.Packet{Hello: &wirepb.Hello{Record: (&member.Record{VM: "vm-p", Domain: "d0", Incarnation: 1}).ToWire()}, Newest: 7})
--- a/internal/mesh/ctrl/replace_test.go
+++ b/internal/mesh/ctrl/replace_test.go
@@ -232,20 +232,20 @@
 func TestLeaverOutlivesRecord(t *testing.T) {
 	nd := New(Config{VM: "a", Domain: "d"})
 	defer nd.end()
-	old := &member.Record{VM: "b", Domain: "d", Incarnation: 1, Sequence: 3, Leaving: member.Leaver{Lifetime: "i-1", At: 5}}
+	old := &member.Record{VM: "b", Domain: "d", Incarnation: 1, Sequence: 3, Leaving: member.Departure{Lifetime: "i-1", Number: 5}}
 	next := &member.Record{VM: "b", Domain: "d", Incarnation: 2, Sequence: 1}
 	nd.merge([]*member.Record{old})
 	nd.merge([]*member.Record{next})
-	want := member.Leaver{Lifetime: "i-1", At: 5}
+	want := member.Departure{Lifetime: "i-1", Number: 5}
 	if got := nd.leavers["b"]; got != want {
 		t.Errorf("the peer remembers %+v, want %+v", got, want)
 	}
 	var fresh Node
 	fresh.Board = &board.Board{}
-	for i, lv := range []member.Leaver{{}, want, {}} {
+	for i, lv := range []member.Departure{{}, want, {}} {
 		fresh.learnForerunner([]string{"p", "q", "q"}[i], lv)
 	}
-	if got := fresh.Board.Forerunner.Get(); got == nil || got.Leaver != want || len(got.Peers) != 2 {
+	if got := fresh.Board.Predecessor.Get(); got == nil || got.Departure != want || len(got.Peers) != 2 {
 		t.Errorf("the new process learned %+v, want %+v of two peers", got, want)
 	}
 }
--- a/internal/mesh/ctrl/rollout_test.go
+++ b/internal/mesh/ctrl/rollout_test.go
@@ -64,7 +64,7 @@
 	if co == nil {
 		return Counts{}
 	}
-	return Counts{Service: rl.service, Software: software(vm), Cohort: tally.Cohort{Servers: 1, Routes: co.Rows()}}
+	return Counts{Service: rl.service, Software: software(vm), Cohort: tally.Cohort{Servers: 1, Routes: co.Snapshot()}}
 }
 
 // serve plays the requests of a span at all outlets.
@@ -78,7 +78,7 @@
 	slices.Sort(names["v2"])
 	perNode := rollRate * span.Seconds() / float64(len(rl.fl.nodes))
 	for _, tn := range rl.fl.nodes {
-		ro := tn.Board.Rollouts.Get().Of(rl.service)
+		ro := tn.Board.Rollouts.Get().Get(rl.service)
 		share, state, servers := 0.0, canary.State(0), 0
 		if ro != nil {
 			share, state, servers = ro.ShareAt(now), ro.State, ro.Servers
@@ -297,7 +297,7 @@
 		t.Errorf("the store has %s after %s", end, st)
 	}
 	for name, tn := range rl.fl.nodes {
-		ro := tn.Board.Rollouts.Get().Of(rl.service)
+		ro := tn.Board.Rollouts.Get().Get(rl.service)
 		if ro == nil || ro.State != rl.status() {
 			t.Errorf("%s has %+v, the store %s", name, ro, rl.status())
 		}
--- a/internal/stat/acct/acct.go
+++ b/internal/stat/acct/acct.go
@@ -206,7 +206,7 @@
 	if call := calls[ln.Text(logs.ID)]; call != "" {
 		ga.ByCall[call]++
 	}
-	if result.Reason(ln.Text(logs.Reason)) == result.ReasonFull && slots.free(ln.Text("service"), ln.Time) {
+	if result.Reason(ln.Text(logs.Reason)) == result.ReasonSlotsFull && slots.free(ln.Text("service"), ln.Time) {
 		ga.BesideFree++
 	}
 }
--- a/internal/stat/trail/cause.go
+++ b/internal/stat/trail/cause.go
@@ -90,9 +90,9 @@
 	case end.Text(logs.Outcome) == result.Answered.String():
 		say("answered by the server beside %s after %v", end.Text(logs.VM), end.Span(logs.Took).Round(time.Millisecond))
 		list = append(list, lo.slow(end)...)
-	case reason.NoRoom() && tries == 0:
+	case reason.NoCapacity() && tries == 0:
 		say("refused without being sent: most requests of its kind were refused lately, so the outlet of %s held this one back", end.VM)
-	case reason.NoRoom():
+	case reason.NoCapacity():
 		say("refused after %d servers had no room (%s)", tries, reason)
 		list = append(list, lo.refusals()...)
 	case reason == result.ReasonPoison:
@@ -100,7 +100,7 @@
 		list = append(list, lo.poison()...)
 	case reason == result.ReasonNoServer:
 		say("no server of %s was known to the outlet of %s", end.Text("service"), end.VM)
-	case reason == result.ReasonDeadline:
+	case reason == result.ReasonDeadlinePassed:
 		say("given up on by the outlet of %s %v after it had been read, at a limit of %v; it had been read for %v when the outlet began to handle it",
 			end.VM, end.Span(logs.Took).Round(time.Millisecond), end.Span(logs.Limit).Round(time.Millisecond), end.Span(logs.Queued).Round(time.Millisecond))
 		list = append(list, lo.slow(end)...)
