--- a/internal/plat/kvtest/ended.go
+++ b/internal/plat/kvtest/ended.go
@@ -10,78 +10,79 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// LateEnd makes connections whose end is noticed late: a read that finds it returns only once
-// something was written or the connection was closed, as in a process that is short of
-// processor time.
+// EOFDelayer dials connections that report EOF late: a read that gets EOF blocks until data is
+// written or the connection is closed. This reproduces a process short of CPU time, which
+// writes a request before it sees that the peer has closed the connection.
 type LateEnd struct {
 	mu    sync.Mutex
-	conns []*lateConn
+	conns []*delayedEOFConn
 }
 
-type lateConn struct {
+type delayedEOFConn struct {
 	*net.TCPConn
-	moved chan struct{}
-	once  sync.Once
-	// armed is set once the end may come.
+	released chan struct{}
+	once     sync.Once
+	// armed is closed once a write may release the delayed EOF. released is closed to
+	// release it.
 	armed chan struct{}
 }
 
-// Dial opens a connection over loopback.
-func (le *LateEnd) Dial(addr string) (net.Conn, error) {
+// Dial opens a TCP connection whose EOF is delayed.
+func (ed *LateEnd) Dial(addr string) (net.Conn, error) {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	lc := &lateConn{TCPConn: nc.(*net.TCPConn), moved: make(chan struct{}), armed: make(chan struct{})}
-	le.mu.Lock()
-	defer le.mu.Unlock()
-	le.conns = append(le.conns, lc)
-	return lc, nil
+	dc := &delayedEOFConn{TCPConn: nc.(*net.TCPConn), released: make(chan struct{}), armed: make(chan struct{})}
+	ed.mu.Lock()
+	defer ed.mu.Unlock()
+	ed.conns = append(ed.conns, dc)
+	return dc, nil
 }
 
-// Read reads; the end of the connection is held back.
-func (lc *lateConn) Read(p []byte) (int, error) {
-	n, err := lc.TCPConn.Read(p)
+// Read delays EOF and errors until released.
+func (dc *delayedEOFConn) Read(p []byte) (int, error) {
+	n, err := dc.TCPConn.Read(p)
 	if n == 0 {
-		<-lc.moved
+		<-dc.released
 	}
 	return n, err
 }
 
-// Write writes; once the end may have come, it lets that be noticed.
-func (lc *lateConn) Write(p []byte) (int, error) {
-	n, err := lc.TCPConn.Write(p)
+// Write releases a delayed EOF once the connection is armed.
+func (dc *delayedEOFConn) Write(p []byte) (int, error) {
+	n, err := dc.TCPConn.Write(p)
 	select {
-	case <-lc.armed:
-		lc.once.Do(func() { close(lc.moved) })
+	case <-dc.armed:
+		dc.once.Do(func() { close(dc.released) })
 	default:
 	}
 	return n, err
 }
 
-// Close closes the connection.
-func (lc *lateConn) Close() error {
-	lc.once.Do(func() { close(lc.moved) })
-	return lc.TCPConn.Close()
+// Close releases a delayed EOF and closes the connection.
+func (dc *delayedEOFConn) Close() error {
+	dc.once.Do(func() { close(dc.released) })
+	return dc.TCPConn.Close()
 }
 
-// EndedBeforeCall checks that a write is done whose kept connection the service had closed
-// before the call; closeAll closes the connections from the side of the service.
-func EndedBeforeCall(t *testing.T, kv store.Store, le *LateEnd, closeAll func()) {
+// ClosedBeforeCall checks that a write succeeds although the service closed the idle connection
+// to it before the call. closeAll closes the connections on the side of the service.
+func EndedBeforeCall(t *testing.T, kv store.Store, ed *LateEnd, closeAll func()) {
 	t.Helper()
 	wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
-	le.mu.Lock()
-	list := le.conns
-	le.mu.Unlock()
+	ed.mu.Lock()
+	conns := ed.conns
+	ed.mu.Unlock()
 	closeAll()
-	for _, lc := range list {
-		for end := time.Now().Add(5 * time.Second); !dialer.IsStale(lc) && time.Now().Before(end); {
+	for _, dc := range conns {
+		for end := time.Now().Add(5 * time.Second); !dialer.IsStale(dc) && time.Now().Before(end); {
 			<-time.After(time.Millisecond)
 		}
-		close(lc.armed)
+		close(dc.armed)
 	}
 	ent := wantSwap(t, kv, store.Change{Key: "b", Value: []byte("1")}, true)
 	if !ent.Revision.Exists() {
-		t.Error("the second write has no revision")
+		t.Error("the write after the connection was closed returned no revision")
 	}
 }
