--- a/internal/conf/accept/submit.go
+++ b/internal/conf/accept/submit.go
@@ -165,13 +165,13 @@
 	}
 	en := sm.newEntry(last, co)
 	if err := sm.writeContent(ctx, &en, last, old, co); err != nil {
-		return Result{}, store.Is(err, store.TooLarge), err
+		return Result{}, store.IsKind(err, store.TooLarge), err
 	}
 	return sm.commit(ctx, hd, rev, en)
 }
 
 func isTransient(err error) bool {
-	return store.Is(err, store.Unavailable) || store.Is(err, store.Unknown) || store.Is(err, store.Limited)
+	return store.IsKind(err, store.Unavailable) || store.IsKind(err, store.Unknown) || store.IsKind(err, store.RateLimited)
 }
 
 func (sm *submitter) newEntry(last Entry, co *pack.Content) Entry {
@@ -317,7 +317,7 @@
 	}
 	ok, _, err := sm.kv.Swap(ctx, store.Change{Key: HeadKey, Revision: rev, Value: value})
 	if err != nil {
-		sm.outcomeUnknown = sm.outcomeUnknown || store.Is(err, store.Unknown)
+		sm.outcomeUnknown = sm.outcomeUnknown || store.IsKind(err, store.Unknown)
 		return Result{}, false, err
 	}
 	if !ok {
--- a/internal/mesh/ctrl/crashes_test.go
+++ b/internal/mesh/ctrl/crashes_test.go
@@ -143,7 +143,7 @@
 				}
 				fl.reportCrashes(crashed...)
 				t.Logf("after %s", fl.waitFor("both sides refuse the poison request", reportLimit, func() bool { return fl.vmNotRefusing() == "" }))
-				fl.nw.SetCut(nil)
+				fl.nw.SetPartition(nil)
 				time.Sleep(10 * time.Second)
 			})
 		})
--- a/internal/mesh/ctrl/epoch_test.go
+++ b/internal/mesh/ctrl/epoch_test.go
@@ -71,7 +71,7 @@
 	{name: "no other fault"},
 	{name: "the store is restored twice", after: func(fl *fleet, bk stand.Backup) {
 		time.Sleep(700 * time.Millisecond)
-		fl.st.ComeBack(bk)
+		fl.st.RestoreInNewEpoch(bk)
 	}},
 	{name: "the store is slow", before: func(fl *fleet, _ stand.Backup) {
 		fl.st.SetFaults(stand.Faults{Delay: 200 * time.Millisecond})
@@ -106,7 +106,7 @@
 		fl.cutDomain("d2")
 	}, after: func(fl *fleet, _ stand.Backup) {
 		time.Sleep(4 * time.Second)
-		fl.nw.SetCut(nil)
+		fl.nw.SetPartition(nil)
 	}},
 }
 
@@ -142,7 +142,7 @@
 // that the daemons recover.
 func runEpochCase(fl *fleet, before, after func(*fleet, stand.Backup)) {
 	fl.t.Helper()
-	bk, since := fl.st.Backup(), fl.st.Newest()
+	bk, since := fl.st.Backup(), fl.st.LatestRevision()
 	v := fl.apply(sample.Change(fl.ms, 1), 1)
 	fl.waitHeld(v, convergeLimit)
 	var reports []poison.Report
@@ -156,7 +156,7 @@
 		before(fl, bk)
 	}
 	calls := fl.storeCalls()
-	fl.st.ComeBack(bk)
+	fl.st.RestoreInNewEpoch(bk)
 	restored := time.Now()
 	if after != nil {
 		after(fl, bk)
@@ -208,7 +208,7 @@
 		fl.waitHeld(v, convergeLimit)
 		name := fl.domainVMs("d2")[0]
 		fl.kill(name)
-		fl.st.ComeBack(bk)
+		fl.st.RestoreInNewEpoch(bk)
 		fl.cutDomain("d2")
 		fl.kill(fl.domainVMs("d2")[1:]...)
 		fl.restart(name)
@@ -216,7 +216,7 @@
 		if got := fl.nodes[name].Board.HeldVersion(); got != 0 && got < v {
 			t.Errorf("holds version %d of the older copy, but its VM held version %d before", got, v)
 		}
-		fl.nw.SetCut(nil)
+		fl.nw.SetPartition(nil)
 		fl.waitHeld(v, convergeLimit)
 	})
 }
@@ -232,7 +232,7 @@
 		fl.startAll()
 		fl.waitHeld(1, 20*time.Second)
 		time.Sleep(settleTime)
-		fl.st.LapseLeases()
+		fl.st.ExpireLeases()
 		bk := fl.st.Backup()
 		v := fl.apply(sample.Change(fl.ms, 1), 1)
 		fl.waitHeld(v, convergeLimit)
@@ -240,11 +240,11 @@
 		fl.kill(name)
 		fl.setPlatformCut("d0", "d1")
 		fl.cutDomain("d2")
-		fl.st.ComeBack(bk)
+		fl.st.RestoreInNewEpoch(bk)
 		fl.restart(name)
 		time.Sleep(3 * time.Second)
 		fl.setPlatformCut()
-		fl.nw.SetCut(nil)
+		fl.nw.SetPartition(nil)
 		fl.waitConverged(v)
 	})
 }
--- a/internal/mesh/ctrl/fault_test.go
+++ b/internal/mesh/ctrl/fault_test.go
@@ -78,7 +78,7 @@
 
 // cutDomain cuts a failure domain off from all others.
 func (fl *fleet) cutDomain(domain string) {
-	fl.nw.SetCut(func(a, b *memnet.Host) bool { return (a.Domain == domain) != (b.Domain == domain) })
+	fl.nw.SetPartition(func(a, b *memnet.Host) bool { return (a.Domain == domain) != (b.Domain == domain) })
 }
 
 // waitConverged waits until all daemons hold a version and know each other.
@@ -148,7 +148,7 @@
 					}
 				}
 				fl.setPlatformCut()
-				fl.nw.SetCut(nil)
+				fl.nw.SetPartition(nil)
 				fl.waitConverged(v)
 			})
 		})
@@ -165,7 +165,7 @@
 		if got := fl.behind(1); got != nil {
 			fl.t.Errorf("behind during the outage: %v", got)
 		}
-		fl.st.SetFaults(stand.Faults{Delay: 2 * time.Second, LoseAnswers: 5})
+		fl.st.SetFaults(stand.Faults{Delay: 2 * time.Second, LoseResponses: 5})
 		began := time.Now()
 		v := fl.apply(sample.Change(fl.ms, 5), 1)
 		accepted := time.Since(began)
@@ -215,7 +215,7 @@
 // a moment. Daemons that start must still find relays, and the relays must register again.
 func TestLeasesExpire(t *testing.T) {
 	withFleet(t, func(fl *fleet) {
-		fl.st.LapseLeases()
+		fl.st.ExpireLeases()
 		v := fl.apply(sample.Change(fl.ms, 8), 1)
 		name := fl.domainVMs("d1")[4]
 		fl.kill(name)
@@ -329,7 +329,7 @@
 func TestFrozenHosts(t *testing.T) {
 	withFleet(t, func(fl *fleet) {
 		frozen := fl.relaysOf("d0")
-		fl.nw.SetCut(func(a, b *memnet.Host) bool {
+		fl.nw.SetPartition(func(a, b *memnet.Host) bool {
 			return slices.Contains(frozen, strings.TrimSuffix(a.Addr, ":7000")) != slices.Contains(frozen, strings.TrimSuffix(b.Addr, ":7000"))
 		})
 		v := fl.apply(sample.Change(fl.ms, 11), 1)
@@ -337,7 +337,7 @@
 			return slices.Equal(fl.behind(v), fl.behind(v)) && len(slices.DeleteFunc(fl.behind(v), func(n string) bool { return slices.Contains(frozen, n) })) == 0
 		})
 		time.Sleep(30 * time.Second)
-		fl.nw.SetCut(nil)
+		fl.nw.SetPartition(nil)
 		fl.waitConverged(v)
 	})
 }
--- a/internal/mesh/ctrl/follow_test.go
+++ b/internal/mesh/ctrl/follow_test.go
@@ -23,16 +23,16 @@
 
 // followers returns the VMs that make watch calls on the store during the given time.
 func (fl *fleet) followers(span time.Duration) (list []string) {
-	count := func(tn *testNode) string { return tn.guard.Purposes.Get("watch/head").String() }
+	count := func(tn *testNode) string { return tn.guard.CallsByPurpose.Get("watch/head").String() }
 	before := map[string]string{}
 	for name, tn := range fl.nodes {
-		if tn.guard.Purposes.Get("watch/head") != nil {
+		if tn.guard.CallsByPurpose.Get("watch/head") != nil {
 			before[name] = count(tn)
 		}
 	}
 	time.Sleep(span)
 	for name, tn := range fl.nodes {
-		if tn.guard.Purposes.Get("watch/head") != nil && count(tn) != before[name] {
+		if tn.guard.CallsByPurpose.Get("watch/head") != nil && count(tn) != before[name] {
 			list = append(list, name)
 		}
 	}
@@ -101,7 +101,7 @@
 		time.Sleep(10 * time.Second)
 		v = fl.apply(sample.Change(fl.ms, 4), v)
 		fl.waitHeld(v, followLimit)
-		fl.nw.SetCut(nil)
+		fl.nw.SetPartition(nil)
 		fl.waitConverged(v)
 	})
 }
@@ -118,7 +118,7 @@
 		took := fl.waitHeld(1, 5*time.Second)
 		readers := 0
 		for _, tn := range fl.nodes {
-			if tn.guard.Purposes.Get("watch/head") != nil {
+			if tn.guard.CallsByPurpose.Get("watch/head") != nil {
 				readers++
 			}
 		}
--- a/internal/mesh/ctrl/replace_test.go
+++ b/internal/mesh/ctrl/replace_test.go
@@ -76,7 +76,7 @@
 	withFleet(t, func(fl *fleet) {
 		name := "vm-004"
 		old := fl.nodes[name]
-		fl.nw.SetCut(func(a, b *memnet.Host) bool { return a == old.ho || b == old.ho })
+		fl.nw.SetPartition(func(a, b *memnet.Host) bool { return a == old.ho || b == old.ho })
 		time.Sleep(15 * time.Second)
 		delete(fl.nodes, name)
 		fresh := fl.startNode(fl.declared(name))
@@ -84,7 +84,7 @@
 			rc := fl.nodes["vm-000"].Board.Members.Get().Get(name)
 			return rc.Nonce == fresh.Board.Self.Get().Nonce && rc.Serving()
 		})
-		fl.nw.SetCut(nil)
+		fl.nw.SetPartition(nil)
 		fl.waitFor("the old process knows that it was replaced", convergeLimit, func() bool { return old.Board.Replaced.Get() != nil })
 		if fresh.Board.Replaced.Get() != nil {
 			fl.t.Error("the new process assumes that it was replaced")
@@ -139,7 +139,7 @@
 		fl.restart(names[1:]...)
 		fl.waitHeld(v, 2*convergeLimit)
 		next := fl.apply(sample.Change(fl.ms, 13), v)
-		fl.nw.SetCut(nil)
+		fl.nw.SetPartition(nil)
 		fl.setPlatformCut()
 		fl.waitConverged(next)
 	})
@@ -217,7 +217,7 @@
 		fl.cutDomain("d2")
 		fl.restart(name)
 		time.Sleep(8 * time.Second)
-		fl.nw.SetCut(nil)
+		fl.nw.SetPartition(nil)
 		fl.waitConverged(v)
 	})
 }
--- a/internal/mesh/ctrl/rollout.go
+++ b/internal/mesh/ctrl/rollout.go
@@ -120,7 +120,7 @@
 		case <-stopped:
 			return
 		case li := <-listings:
-			ro.ordersRevision = li.At
+			ro.ordersRevision = li.Revision
 			ro.handleOrders(ctx, li.Items)
 		case <-tick.C:
 		}
@@ -138,7 +138,7 @@
 			}
 			continue
 		}
-		at = li.At
+		at = li.Revision
 		if !li.Changed {
 			continue
 		}
--- a/internal/mesh/ctrl/rollout_test.go
+++ b/internal/mesh/ctrl/rollout_test.go
@@ -202,7 +202,7 @@
 	{name: "a failure domain is cut off", inject: func(rf *rolloutFleet) {
 		rf.fl.cutDomain("d1")
 		rf.sendRequestsFor(3 * time.Second)
-		rf.fl.nw.SetCut(nil)
+		rf.fl.nw.SetPartition(nil)
 	}},
 	{name: "the store is down", inject: func(rf *rolloutFleet) {
 		rf.fl.st.SetFaults(stand.Faults{Down: true})
@@ -215,15 +215,15 @@
 		rf.fl.st.SetFaults(stand.Faults{Delay: toPlatform})
 	}},
 	{name: "responses of the store are lost", inject: func(rf *rolloutFleet) {
-		rf.fl.st.SetFaults(stand.Faults{Delay: toPlatform, LoseAnswers: 3})
+		rf.fl.st.SetFaults(stand.Faults{Delay: toPlatform, LoseResponses: 3})
 	}},
 	{name: "the store is restored from an older copy", inject: func(rf *rolloutFleet) {
 		bk := rf.fl.st.Backup()
 		rf.sendRequestsFor(time.Second)
-		rf.fl.st.ComeBack(bk)
+		rf.fl.st.RestoreInNewEpoch(bk)
 	}},
 	{name: "the store is restored without the order", inject: func(rf *rolloutFleet) {
-		rf.fl.st.ComeBack(rf.backupWithoutRollout())
+		rf.fl.st.RestoreInNewEpoch(rf.backupWithoutRollout())
 		rf.sendRequestsFor(1500 * time.Millisecond)
 		rf.writeOrder(12 * time.Second)
 	}},
--- a/internal/mesh/ctrl/scale_test.go
+++ b/internal/mesh/ctrl/scale_test.go
@@ -17,7 +17,7 @@
 )
 
 // transferred returns the bytes that a node's connections have carried in both directions.
-func (tn *testNode) transferred() int64 { return tn.ho.In.Load() + tn.ho.Out.Load() }
+func (tn *testNode) transferred() int64 { return tn.ho.BytesIn.Load() + tn.ho.BytesOut.Load() }
 
 // load is the control traffic of a period: bytes per node, and calls to the platform.
 type load struct {
@@ -163,7 +163,7 @@
 		time.Sleep(time.Minute)
 		next()
 		time.Sleep(5 * time.Second)
-		fl.nw.SetCut(nil)
+		fl.nw.SetPartition(nil)
 		fl.setPlatformCut()
 		fl.waitConverged(v)
 
@@ -232,7 +232,7 @@
 				}
 			}
 			fl.vmFaults.Store(&faults)
-			fl.st.LapseLeases()
+			fl.st.ExpireLeases()
 			for i := range 25 {
 				v = fl.apply(sample.Change(fl.ms, i), v)
 				time.Sleep(200 * time.Millisecond)
@@ -287,12 +287,12 @@
 // register again and the lost version be restored without each daemon calling the store by itself.
 func TestScaleEpoch(t *testing.T) {
 	withSizedFleet(t, typicalSize, func(fl *fleet) {
-		bk, since := fl.st.Backup(), fl.st.Newest()
+		bk, since := fl.st.Backup(), fl.st.LatestRevision()
 		v := fl.apply(sample.Change(fl.ms, 1), 1)
 		fl.waitHeld(v, convergeLimit)
 		time.Sleep(2 * time.Second)
 		calls := fl.storeCalls()
-		fl.st.ComeBack(bk)
+		fl.st.RestoreInNewEpoch(bk)
 		took := fl.waitFor("all relays are registered again", reregisterLimit, func() bool { return fl.relaysRegistered(since) })
 		time.Sleep(3*time.Second - took)
 		// Two calls per second are the watches of the daemons that follow the store.
--- a/internal/mesh/ctrl/serve.go
+++ b/internal/mesh/ctrl/serve.go
@@ -122,7 +122,7 @@
 
 // fetchClient returns a client for fetching content of any size from a peer.
 func (nd *Node) fetchClient(pr *link.Peer) wirepb.ControlClient {
-	return nd.client(&stall.Client{HTTP: nd.http.Do, Timeout: fetchTimeout, Received: pr.MarkAlive}, nd.addressOf(pr))
+	return nd.client(&stall.Client{HTTP: nd.http.Do, Timeout: fetchTimeout, OnReceive: pr.MarkAlive}, nd.addressOf(pr))
 }
 
 func (nd *Node) client(hc connect.HTTPClient, addr string) wirepb.ControlClient {
--- a/internal/node/daemon/crash_test.go
+++ b/internal/node/daemon/crash_test.go
@@ -181,7 +181,7 @@
 	faulty.ReadBody(req)
 	if !strings.HasPrefix(req.URL.Path, poisonPath) {
 		<-time.After(normalServiceTime)
-		return faulty.Well(cn, n, req)
+		return faulty.RespondOK(cn, n, req)
 	}
 	cs.fl.reached.Add(1)
 	<-time.After(poisonServiceTime)
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -132,7 +132,7 @@
 	dm.Node = ctrl.New(ctrl.Config{
 		Source: src,
 		VM:     se.VM, Domain: se.Domain, Control: se.Control, Inlet: se.Inlet, Seeds: se.Seeds, Token: se.Token, Capacity: uint32(se.LinkRate / 1e6),
-		Store: dm.guard.Store(), OnNewEpoch: dm.guard.Close, Counts: dm.counts, FirstStart: se.FirstStart, Log: dm.log, Dial: dm.controlBytes.Dialer(dialer.Dial), Drain: dm.Drain,
+		Store: dm.guard.Store(), OnNewEpoch: dm.guard.ResetBreaker, Counts: dm.counts, FirstStart: se.FirstStart, Log: dm.log, Dial: dm.controlBytes.Dialer(dialer.Dial), Drain: dm.Drain,
 	})
 	dm.store = dm.Node.Store()
 	dm.Outlet = outlet.New(outlet.Options{
@@ -322,9 +322,9 @@
 	num("control-bytes-out", dm.controlBytes.Out.Load)
 	num("platform-calls", dm.guard.Calls.Load)
 	num("platform-epoch", func() int64 { return int64(bd.KnownEpoch()) })
-	num("platform-calls-held", dm.guard.Held.Load)
-	m.Set("platform-calls-by-purpose", &dm.guard.Purposes)
-	m.Set("platform-bytes-by-purpose", &dm.guard.Read)
+	num("platform-calls-held", dm.guard.Rejected.Load)
+	m.Set("platform-calls-by-purpose", &dm.guard.CallsByPurpose)
+	m.Set("platform-bytes-by-purpose", &dm.guard.BytesByPurpose)
 	m.Set("link-bytes-by-kind", dm.Node.Traffic)
 	num("requests-suspected", func() int64 { n, _ := bd.Poison.Get().Counts(); return int64(n) })
 	num("requests-poison", func() int64 { _, n := bd.Poison.Get().Counts(); return int64(n) })
--- a/internal/node/daemon/recovery_test.go
+++ b/internal/node/daemon/recovery_test.go
@@ -209,7 +209,7 @@
 			t.Fatal(err)
 		}
 		for range 2 {
-			st.ComeBack(bk)
+			st.RestoreInNewEpoch(bk)
 			calls := st.Calls.Total()
 			// Another call, or a peer, reveals the epoch.
 			if _, err := dm.Node.Store().Get(ctx, "any"); err != nil {
@@ -224,7 +224,7 @@
 			}
 		}
 		time.Sleep(departureTTL)
-		st.ComeBack(bk)
+		st.RestoreInNewEpoch(bk)
 		if _, err := dm.Node.Store().Get(ctx, "any"); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/path/inlet/attribution_test.go
+++ b/internal/path/inlet/attribution_test.go
@@ -49,7 +49,7 @@
 		if behave != nil {
 			return behave(rg, cn, n, req)
 		}
-		return faulty.Well(cn, n, req)
+		return faulty.RespondOK(cn, n, req)
 	})
 	t.Cleanup(rg.crash)
 	t.Cleanup(rg.in.Close)
@@ -70,7 +70,7 @@
 }
 
 // serve starts a server at an address.
-func (rg *rig) serve(addr string, fn faulty.Behave) {
+func (rg *rig) serve(addr string, fn faulty.Handler) {
 	rg.t.Helper()
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/path/outlet/answer_test.go
+++ b/internal/path/outlet/answer_test.go
@@ -79,7 +79,7 @@
 			t.Fatalf("a caller got status %d, %d bytes, %v", an.status, len(an.body), an.err)
 		}
 	}
-	if broken.Seen() == 0 {
+	if broken.RequestCount() == 0 {
 		t.Error("no request was sent to the broken server")
 	}
 }
--- a/internal/path/outlet/faults_test.go
+++ b/internal/path/outlet/faults_test.go
@@ -50,16 +50,16 @@
 			for _, kd := range requestKinds {
 				t.Run(kd.name, func(t *testing.T) {
 					t.Parallel()
-					rs := newFaultyServer(t, fa.Behave)
+					rs := newFaultyServer(t, fa.Handler)
 					rg := newRig(t, rs.Addr)
 					an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
-					if n := rs.Seen(); n != 1 {
+					if n := rs.RequestCount(); n != 1 {
 						t.Errorf("the server saw the request %d times", n)
 					}
 					switch {
-					case fa.Broken && an.err == nil && an.outcome != "may-have-run":
+					case fa.HeadSent && an.err == nil && an.outcome != "may-have-run":
 						t.Errorf("a truncated answer looked complete: %+v", an)
-					case !fa.Broken && (an.outcome != "may-have-run" || an.status != http.StatusBadGateway || an.err != nil):
+					case !fa.HeadSent && (an.outcome != "may-have-run" || an.status != http.StatusBadGateway || an.err != nil):
 						t.Errorf("the caller got %+v, want may-have-run", an)
 					}
 				})
@@ -74,7 +74,7 @@
 func TestServerFailsOnKeptConnection(t *testing.T) {
 	fn := func(cn net.Conn, n int, req *http.Request) bool {
 		if n == 1 {
-			return faulty.Well(cn, n, req)
+			return faulty.RespondOK(cn, n, req)
 		}
 		faulty.ReadBody(req)
 		return false
@@ -87,7 +87,7 @@
 				t.Fatalf("the first request: %+v", an)
 			}
 			an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
-			if n := rs.Seen(); n != 2 {
+			if n := rs.RequestCount(); n != 2 {
 				t.Errorf("the server saw %d requests, want the first and this one once", n)
 			}
 			if an.outcome != "may-have-run" {
@@ -104,7 +104,7 @@
 		method, key string
 		want        int
 	}{{"GET", "", 3}, {"DELETE", "k", 3}, {"POST", "k", 3}, {"POST", "", 2}} {
-		rs := newFaultyServer(t, func(cn net.Conn, n int, req *http.Request) bool { return n == 1 && faulty.Well(cn, n, req) })
+		rs := newFaultyServer(t, func(cn net.Conn, n int, req *http.Request) bool { return n == 1 && faulty.RespondOK(cn, n, req) })
 		tr := &http.Transport{}
 		cl := &http.Client{Transport: tr}
 		for range 2 {
@@ -117,7 +117,7 @@
 			}
 			send(cl, req)
 		}
-		if n := rs.Seen(); n != tc.want {
+		if n := rs.RequestCount(); n != tc.want {
 			t.Errorf("%s key %q: the server saw %d requests, want %d", tc.method, tc.key, n, tc.want)
 		}
 		tr.CloseIdleConnections()
@@ -129,18 +129,18 @@
 // it may have run.
 func TestRetryOnOtherServer(t *testing.T) {
 	for _, fa := range faulty.Faults {
-		if fa.Broken {
+		if fa.HeadSent {
 			continue
 		}
 		for _, kd := range requestKinds {
 			t.Run(fa.Name+"/"+kd.name, func(t *testing.T) {
 				t.Parallel()
-				bad, good := newFaultyServer(t, fa.Behave), newFaultyServer(t, faulty.Well)
+				bad, good := newFaultyServer(t, fa.Handler), newFaultyServer(t, faulty.RespondOK)
 				// The failing server is in the outlet's own failure domain and is therefore tried
 				// first.
 				rg := newRig(t, bad.Addr, good.Addr)
 				an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
-				runs := [2]int{bad.Seen(), good.Seen()}
+				runs := [2]int{bad.RequestCount(), good.RequestCount()}
 				if kd.repeatable && (an.status != http.StatusOK || runs != [2]int{1, 1}) {
 					t.Errorf("got %+v, runs %v; want an answer of the other server", an, runs)
 				}
@@ -161,7 +161,7 @@
 	const unusedAddr = "127.0.0.1:1"
 	for _, tc := range []struct {
 		name        string
-		fn          faulty.Behave
+		fn          faulty.Handler
 		injectFault func(rg *rig)
 		// reason is what the caller is told if there is no other server, runs how many requests the
 		// refusing server sees.
@@ -194,14 +194,14 @@
 			t.Run(tc.name+"/"+kd.name, func(t *testing.T) {
 				fn := tc.fn
 				if fn == nil {
-					fn = faulty.Well
+					fn = faulty.RespondOK
 				}
-				bad, good := newFaultyServer(t, fn), newFaultyServer(t, faulty.Well)
+				bad, good := newFaultyServer(t, fn), newFaultyServer(t, faulty.RespondOK)
 				rg := newRig(t, bad.Addr, good.Addr)
 				tc.injectFault(rg)
 				an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
-				if an.status != http.StatusOK || bad.Seen() != tc.runs || good.Seen() != 1 {
-					t.Errorf("got %+v, runs %d and %d", an, bad.Seen(), good.Seen())
+				if an.status != http.StatusOK || bad.RequestCount() != tc.runs || good.RequestCount() != 1 {
+					t.Errorf("got %+v, runs %d and %d", an, bad.RequestCount(), good.RequestCount())
 				}
 				alone := newRig(t, bad.Addr)
 				tc.injectFault(alone)
@@ -230,8 +230,8 @@
 	if an.status != http.StatusGatewayTimeout || an.outcome != "may-have-run" || an.reason != "deadline-passed" {
 		t.Errorf("got %+v", an)
 	}
-	if ms, err := strconv.Atoi(<-timeouts); rs.Seen() != 1 || err != nil || ms > 200 {
-		t.Errorf("the server saw it %d times, with %d ms left of 200", rs.Seen(), ms)
+	if ms, err := strconv.Atoi(<-timeouts); rs.RequestCount() != 1 || err != nil || ms > 200 {
+		t.Errorf("the server saw it %d times, with %d ms left of 200", rs.RequestCount(), ms)
 	}
 	eventually(t, func() bool { return rg.vms[0].in.Gate.Load().Running == 0 })
 }
@@ -267,7 +267,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			rs := newFaultyServer(t, func(cn net.Conn, n int, req *http.Request) bool {
 				if strings.HasPrefix(req.URL.Path, "/good") {
-					return faulty.Well(cn, n, req)
+					return faulty.RespondOK(cn, n, req)
 				}
 				faulty.ReadBody(req)
 				_, err := fmt.Fprint(cn, tc.answer, injected)
--- a/internal/path/outlet/rig_test.go
+++ b/internal/path/outlet/rig_test.go
@@ -171,7 +171,7 @@
 }
 
 // newFaultyServer starts a faulty backend server for the test.
-func newFaultyServer(t testing.TB, fn faulty.Behave) *faulty.Server {
+func newFaultyServer(t testing.TB, fn faulty.Handler) *faulty.Server {
 	t.Helper()
 	sr, err := faulty.New(fn)
 	if err != nil {
--- a/internal/path/outlet/validate_test.go
+++ b/internal/path/outlet/validate_test.go
@@ -65,14 +65,14 @@
 		{"unknown host", "GET / HTTP/1.1\r\nHost: nobody\r\nConnection: close\r\n\r\n", "404"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			rs := newFaultyServer(t, faulty.Well)
+			rs := newFaultyServer(t, faulty.RespondOK)
 			rg := newRig(t, rs.Addr)
 			first, all := rg.raw(tc.text)
 			if tc.want != "" && !strings.HasPrefix(first, "HTTP/1.1 "+tc.want) {
 				t.Errorf("answered %q, want %s", first, tc.want)
 			}
-			if tc.want != "" && rs.Seen() > 0 {
-				t.Errorf("the server saw %d requests", rs.Seen())
+			if tc.want != "" && rs.RequestCount() > 0 {
+				t.Errorf("the server saw %d requests", rs.RequestCount())
 			}
 			if strings.Contains(all, "smuggled") {
 				t.Errorf("a smuggled request was answered: %q", all)
@@ -95,7 +95,7 @@
 		mu.Lock()
 		seen = append(seen, fmt.Sprintf("%s %s %q %d", req.Method, req.URL.Path, body, len(req.TransferEncoding)))
 		mu.Unlock()
-		return faulty.Well(cn, n, req)
+		return faulty.RespondOK(cn, n, req)
 	})
 	rg := newRig(t, rs.Addr)
 	rg.raw("POST /a HTTP/1.1\r\nHost: booking\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n" +
@@ -263,7 +263,7 @@
 func TestHTTP2Caller(t *testing.T) {
 	rs := newFaultyServer(t, func(cn net.Conn, n int, req *http.Request) bool {
 		if req.URL.Path == "/whole" {
-			return faulty.Well(cn, n, req)
+			return faulty.RespondOK(cn, n, req)
 		}
 		faulty.ReadBody(req)
 		_, _ = fmt.Fprint(cn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")
@@ -290,7 +290,7 @@
 	rs := newFaultyServer(t, func(cn net.Conn, n int, req *http.Request) bool {
 		started <- true
 		<-proceed
-		return faulty.Well(cn, n, req)
+		return faulty.RespondOK(cn, n, req)
 	})
 	rg := newRig(t, rs.Addr)
 	var wg conc.WaitGroup
@@ -346,7 +346,7 @@
 // number of bytes; the other bodies are streamed, and of these requests those that get neither a
 // slot nor a place in the queue are refused at once.
 func TestManyBodies(t *testing.T) {
-	rg := newRig(t, newFaultyServer(t, faulty.Well).Addr)
+	rg := newRig(t, newFaultyServer(t, faulty.RespondOK).Addr)
 	addr := strings.TrimPrefix(rg.front.URL, "http://")
 	const kept = 4 << 20 / 60_000
 	var refused atomic.Int64
@@ -419,7 +419,7 @@
 func FuzzEdge(f *testing.F) {
 	f.Add("GET / HTTP/1.1\r\nHost: booking\r\n\r\n")
 	f.Add("POST /a HTTP/1.1\r\nHost: booking\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
-	rs := newFaultyServer(f, faulty.Well)
+	rs := newFaultyServer(f, faulty.RespondOK)
 	rg := newRig(f, rs.Addr)
 	addr := strings.TrimPrefix(rg.front.URL, "http://")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/path/proxy/proxy_test.go
+++ b/internal/path/proxy/proxy_test.go
@@ -43,7 +43,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			sr, err := faulty.New(func(cn net.Conn, n int, req *http.Request) bool {
-				return faulty.Sends(fmt.Sprintf(tc.format, len(req.URL.Path), req.URL.Path)+unsolicited, true)(cn, n, req)
+				return faulty.RespondRaw(fmt.Sprintf(tc.format, len(req.URL.Path), req.URL.Path)+unsolicited, true)(cn, n, req)
 			})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/plat/dialer/stale.go
+++ b/internal/plat/dialer/stale.go
@@ -13,7 +13,7 @@
 // transport may detect a closed connection only after it has written the request to it, and
 // then it is unknown whether the request has run. Such a connection is closed and the request
 // is made on another one.
-func DoFresh(hc *http.Client, req *http.Request) (*http.Response, error) {
+func DoSkipStale(hc *http.Client, req *http.Request) (*http.Response, error) {
 	for {
 		stale := false
 		ctx := httptrace.WithClientTrace(req.Context(), &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
--- a/internal/plat/faulty/faulty.go
+++ b/internal/plat/faulty/faulty.go
@@ -12,7 +12,7 @@
 
 // Handler handles request number n, counted from 1, of a connection. It has to read the request
 // body itself, and returns whether to keep the connection open.
-type Behave func(cn net.Conn, n int, req *http.Request) bool
+type Handler func(cn net.Conn, n int, req *http.Request) bool
 
 // Server is a backend server that passes each request to a Handler.
 type Server struct {
@@ -20,14 +20,14 @@
 	Addr string
 
 	ln       net.Listener
-	handler  Behave
+	handler  Handler
 	mu       sync.Mutex
 	requests int
 	conns    map[net.Conn]bool
 }
 
 // New starts a server on a free loopback port. Close stops it.
-func New(fn Behave) (*Server, error) {
+func New(fn Handler) (*Server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -36,7 +36,7 @@
 }
 
 // Serve starts a server on ln. Close stops it.
-func Serve(ln net.Listener, fn Behave) *Server {
+func Serve(ln net.Listener, fn Handler) *Server {
 	sr := &Server{Addr: ln.Addr().String(), ln: ln, handler: fn, conns: map[net.Conn]bool{}}
 	go sr.accept()
 	return sr
@@ -78,7 +78,7 @@
 }
 
 // RequestCount returns the number of requests whose headers the server has read.
-func (sr *Server) Seen() int {
+func (sr *Server) RequestCount() int {
 	sr.mu.Lock()
 	defer sr.mu.Unlock()
 	return sr.requests
@@ -95,7 +95,7 @@
 }
 
 // RespondOK is a Handler that responds with "ok" and the request's path.
-func Well(cn net.Conn, _ int, req *http.Request) bool {
+func RespondOK(cn net.Conn, _ int, req *http.Request) bool {
 	ReadBody(req)
 	text := "ok " + req.URL.Path
 	_, err := fmt.Fprintf(cn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
@@ -107,7 +107,7 @@
 
 // RespondRaw returns a Handler that reads the request and writes text instead of a well-formed
 // response. It keeps the connection open if keep is set.
-func Sends(text string, keep bool) Behave {
+func RespondRaw(text string, keep bool) Handler {
 	return func(cn net.Conn, _ int, req *http.Request) bool {
 		ReadBody(req)
 		_, err := io.WriteString(cn, text)
@@ -116,7 +116,7 @@
 }
 
 // withReset returns a Handler that calls fn and then closes the connection with a TCP reset.
-func withReset(fn Behave) Behave {
+func withReset(fn Handler) Handler {
 	return func(cn net.Conn, n int, req *http.Request) bool {
 		fn(cn, n, req)
 		if tc, ok := cn.(*net.TCPConn); ok {
@@ -128,10 +128,10 @@
 
 // Fault is a failure mode of a backend server.
 type Fault struct {
-	Name   string
-	Behave Behave
+	Name    string
+	Handler Handler
 	// HeadSent reports whether complete response headers are sent before the failure.
-	Broken bool
+	HeadSent bool
 }
 
 const (
@@ -142,25 +142,25 @@
 
 // Faults are the known failure modes. In each the server has read the request headers.
 var Faults = []Fault{
-	{Name: "closes-after-head", Behave: func(net.Conn, int, *http.Request) bool { return false }},
-	{Name: "closes-after-body", Behave: Sends("", false)},
-	{Name: "resets-after-body", Behave: withReset(Sends("", false))},
-	{Name: "closes-in-answer-head", Behave: Sends(statusLine+"Content-Le", false)},
-	{Name: "conflicting-lengths", Behave: Sends(statusLine+"Content-Length: 2\r\nContent-Length: 5\r\n\r\nokokok", false)},
-	{Name: "huge-head", Behave: hugeHead},
-	{Name: "endless-interim", Behave: endlessInterim},
-	{Name: "no-http", Behave: Sends("220 mail ready\r\n", false)},
-	{Name: "closes-after-answer-head", Behave: Sends(statusLine+"Content-Length: 10\r\n\r\n", false), Broken: true},
-	{Name: "closes-in-answer-body", Behave: Sends(truncated, false), Broken: true},
-	{Name: "resets-in-answer-body", Behave: withReset(Sends(truncated, false)), Broken: true},
-	{Name: "closes-in-chunked-body", Behave: Sends(statusLine+"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", false), Broken: true},
-	{Name: "bad-chunk", Behave: Sends(statusLine+"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\nzz\r\n", false), Broken: true},
+	{Name: "closes-after-head", Handler: func(net.Conn, int, *http.Request) bool { return false }},
+	{Name: "closes-after-body", Handler: RespondRaw("", false)},
+	{Name: "resets-after-body", Handler: withReset(RespondRaw("", false))},
+	{Name: "closes-in-answer-head", Handler: RespondRaw(statusLine+"Content-Le", false)},
+	{Name: "conflicting-lengths", Handler: RespondRaw(statusLine+"Content-Length: 2\r\nContent-Length: 5\r\n\r\nokokok", false)},
+	{Name: "huge-head", Handler: hugeHead},
+	{Name: "endless-interim", Handler: endlessInterim},
+	{Name: "no-http", Handler: RespondRaw("220 mail ready\r\n", false)},
+	{Name: "closes-after-answer-head", Handler: RespondRaw(statusLine+"Content-Length: 10\r\n\r\n", false), HeadSent: true},
+	{Name: "closes-in-answer-body", Handler: RespondRaw(truncated, false), HeadSent: true},
+	{Name: "resets-in-answer-body", Handler: withReset(RespondRaw(truncated, false)), HeadSent: true},
+	{Name: "closes-in-chunked-body", Handler: RespondRaw(statusLine+"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", false), HeadSent: true},
+	{Name: "bad-chunk", Handler: RespondRaw(statusLine+"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\nzz\r\n", false), HeadSent: true},
 }
 
 // hugeHead responds with 1 MiB of headers. It builds them per request rather than at package
 // initialization, since every daemon links this package.
 func hugeHead(cn net.Conn, n int, req *http.Request) bool {
-	return Sends(statusLine+"X: "+strings.Repeat("x", 1<<20)+"\r\n\r\n", false)(cn, n, req)
+	return RespondRaw(statusLine+"X: "+strings.Repeat("x", 1<<20)+"\r\n\r\n", false)(cn, n, req)
 }
 
 // interimCount is the number of interim responses that endlessInterim sends.
--- a/internal/plat/guard/guard.go
+++ b/internal/plat/guard/guard.go
@@ -29,29 +29,31 @@
 type Guard struct {
 	// Calls counts the calls that were sent, Rejected those that the rate limiter or the
 	// breaker failed locally.
-	Calls, Held atomic.Int64
+	Calls, Rejected atomic.Int64
 	// CallsByPurpose counts the calls sent, by operation and first element of the key.
 	// BytesByPurpose counts the bytes of the values received, by the same.
-	Purposes, Read expvar.Map
-	kv             store.Store
-	limiter        *rate.Limiter
-	breaker        atomic.Pointer[gobreaker.CircuitBreaker[any]]
+	CallsByPurpose, BytesByPurpose expvar.Map
+	kv                             store.Store
+	limiter                        *rate.Limiter
+	breaker                        atomic.Pointer[gobreaker.CircuitBreaker[any]]
 }
 
 // New returns a Guard for kv with a closed breaker.
 func New(kv store.Store) *Guard {
 	gd := &Guard{kv: kv, limiter: rate.NewLimiter(callRate, callBurst)}
-	gd.Close()
+	gd.ResetBreaker()
 	return gd
 }
 
 // ResetBreaker closes the breaker. It is called when the store is known to answer other
 // daemons again.
-func (gd *Guard) Close() {
+func (gd *Guard) ResetBreaker() {
 	gd.breaker.Store(gobreaker.NewCircuitBreaker[any](gobreaker.Settings{
-		Timeout:      openTimeout,
-		ReadyToTrip:  func(cs gobreaker.Counts) bool { return cs.ConsecutiveFailures >= failureThreshold },
-		IsSuccessful: func(err error) bool { return err == nil || store.Is(err, store.Gone) || store.Is(err, store.TooLarge) },
+		Timeout:     openTimeout,
+		ReadyToTrip: func(cs gobreaker.Counts) bool { return cs.ConsecutiveFailures >= failureThreshold },
+		IsSuccessful: func(err error) bool {
+			return err == nil || store.IsKind(err, store.LeaseNotFound) || store.IsKind(err, store.TooLarge)
+		},
 	}))
 }
 
@@ -70,13 +72,13 @@
 	get, list, watch := kv.Get, kv.List, kv.Watch
 	kv.Get = func(ctx context.Context, key string) (store.Entry, error) {
 		ent, err := get(ctx, key)
-		gd.Read.Add(purpose("get", key), int64(len(ent.Value)))
+		gd.BytesByPurpose.Add(purpose("get", key), int64(len(ent.Value)))
 		return ent, err
 	}
 	kv.List = func(ctx context.Context, prefix string) ([]store.Item, error) {
 		items, err := list(ctx, prefix)
 		for _, it := range items {
-			gd.Read.Add(purpose("list", prefix), int64(len(it.Value)))
+			gd.BytesByPurpose.Add(purpose("list", prefix), int64(len(it.Value)))
 		}
 		return items, err
 	}
@@ -88,7 +90,7 @@
 		}
 		ent, err := watch(ctx, key, after, wait)
 		if ent.Revision != after {
-			gd.Read.Add(purpose("watch", key), int64(len(ent.Value)))
+			gd.BytesByPurpose.Add(purpose("watch", key), int64(len(ent.Value)))
 		}
 		return ent, err
 	}
@@ -106,16 +108,16 @@
 // the call unless the breaker is open.
 func (gd *Guard) intercept(ctx context.Context, op, key string, call func() error) error {
 	if err := gd.limiter.Wait(ctx); err != nil {
-		gd.Held.Add(1)
+		gd.Rejected.Add(1)
 		return &store.Error{Kind: store.Unavailable, Op: op, Key: key, Err: err}
 	}
 	_, err := gd.breaker.Load().Execute(func() (any, error) {
 		gd.Calls.Add(1)
-		gd.Purposes.Add(purpose(op, key), 1)
+		gd.CallsByPurpose.Add(purpose(op, key), 1)
 		return nil, call()
 	})
 	if errors.Is(err, gobreaker.ErrOpenState) || errors.Is(err, gobreaker.ErrTooManyRequests) {
-		gd.Held.Add(1)
+		gd.Rejected.Add(1)
 		return &store.Error{Kind: store.Unavailable, Op: op, Key: key, Err: err}
 	}
 	return err
--- a/internal/plat/kvtest/ended.go
+++ b/internal/plat/kvtest/ended.go
@@ -13,7 +13,7 @@
 // EOFDelayer dials connections that report EOF late: a read that gets EOF blocks until data is
 // written or the connection is closed. This reproduces a process short of CPU time, which
 // writes a request before it sees that the peer has closed the connection.
-type LateEnd struct {
+type EOFDelayer struct {
 	mu    sync.Mutex
 	conns []*delayedEOFConn
 }
@@ -28,7 +28,7 @@
 }
 
 // Dial opens a TCP connection whose EOF is delayed.
-func (ed *LateEnd) Dial(addr string) (net.Conn, error) {
+func (ed *EOFDelayer) Dial(addr string) (net.Conn, error) {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 
 // ClosedBeforeCall checks that a write succeeds although the service closed the idle connection
 // to it before the call. closeAll closes the connections on the side of the service.
-func EndedBeforeCall(t *testing.T, kv store.Store, ed *LateEnd, closeAll func()) {
+func ClosedBeforeCall(t *testing.T, kv store.Store, ed *EOFDelayer, closeAll func()) {
 	t.Helper()
 	wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 	ed.mu.Lock()
--- a/internal/plat/memnet/memnet.go
+++ b/internal/plat/memnet/memnet.go
@@ -32,8 +32,8 @@
 	Addr, Domain string
 	// BytesIn and BytesOut count the bytes of all connections of the host. They continue
 	// when a new process listens on the same address.
-	In, Out atomic.Int64
-	ln      *listener
+	BytesIn, BytesOut atomic.Int64
+	ln                *listener
 }
 
 // New returns a network without hosts and with a latency of one millisecond.
@@ -47,7 +47,7 @@
 
 // SetPartition sets the function that reports whether two hosts cannot reach each other; nil
 // means that all can. Bytes in flight are delivered after the partition heals, as in TCP.
-func (nw *Network) SetCut(partitioned func(a, b *Host) bool) {
+func (nw *Network) SetPartition(partitioned func(a, b *Host) bool) {
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
 	if partitioned == nil {
@@ -80,8 +80,8 @@
 	defer nw.mu.Unlock()
 	if old := nw.hosts[addr]; old != nil {
 		// The counters continue for the address.
-		ho.In.Store(old.In.Load())
-		ho.Out.Store(old.Out.Load())
+		ho.BytesIn.Store(old.BytesIn.Load())
+		ho.BytesOut.Store(old.BytesOut.Load())
 	}
 	nw.hosts[addr] = ho
 	return ho, ho.ln
@@ -94,7 +94,7 @@
 }
 
 // CloseConns closes all connections of a host, as when its process dies.
-func (nw *Network) Reset(ho *Host) {
+func (nw *Network) CloseConns(ho *Host) {
 	nw.mu.Lock()
 	var pipes []*pipe
 	for pi := range nw.conns {
@@ -220,7 +220,7 @@
 		return 0, io.ErrClosedPipe
 	}
 	n := len(p)
-	pi.from.Out.Add(int64(n))
+	pi.from.BytesOut.Add(int64(n))
 	pi.nw.mu.Lock()
 	corrupt := pi.nw.corrupt
 	pi.nw.mu.Unlock()
@@ -271,7 +271,7 @@
 				pi.chunks = pi.chunks[1:]
 			}
 			pi.mu.Unlock()
-			pi.to.In.Add(int64(n))
+			pi.to.BytesIn.Add(int64(n))
 			return n, nil
 		case !partitioned && len(pi.chunks) > 0:
 			wait = pi.chunks[0].due.Sub(now)
--- a/internal/plat/stall/stall.go
+++ b/internal/plat/stall/stall.go
@@ -12,7 +12,7 @@
 // MinSendRate is the lowest rate, in bytes per second, at which request bodies are assumed to
 // be sent. The time to send a body is estimated from its size, since data that was written may
 // still be in the socket buffers of the operating system.
-const MinRate = 64 << 10
+const MinSendRate = 64 << 10
 
 // Client makes HTTP calls with stall detection.
 type Client struct {
@@ -22,7 +22,7 @@
 	// request, and then the duration of each read of the response body.
 	Timeout time.Duration
 	// OnReceive, if set, is called after each read that returns part of a response body.
-	Received func()
+	OnReceive func()
 }
 
 type headTimeoutKey struct{}
@@ -55,7 +55,7 @@
 	if !ok {
 		headTimeout = cl.Timeout
 	}
-	sendTime := time.Duration(max(0, req.ContentLength)) * time.Second / MinRate
+	sendTime := time.Duration(max(0, req.ContentLength)) * time.Second / MinSendRate
 	timer := time.AfterFunc(headTimeout+sendTime, func() { cancel(errStalled) })
 	res, err := cl.HTTP(req.WithContext(ctx))
 	if err != nil {
@@ -91,8 +91,8 @@
 	bo.timer.Reset(bo.client.Timeout)
 	n, err := bo.ReadCloser.Read(p)
 	bo.timer.Stop()
-	if n > 0 && bo.client.Received != nil {
-		bo.client.Received()
+	if n > 0 && bo.client.OnReceive != nil {
+		bo.client.OnReceive()
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
 		err = cause(bo.ctx, err)
--- a/internal/plat/stand/stand.go
+++ b/internal/plat/stand/stand.go
@@ -29,7 +29,7 @@
 	Delay time.Duration
 	// LoseResponses is the number of upcoming swaps that take effect but return an error
 	// of kind store.Unknown.
-	LoseAnswers int
+	LoseResponses int
 }
 
 // Calls counts the calls received, including those that failed.
@@ -41,7 +41,7 @@
 func (cl *Calls) Total() int64 { return cl.Reads.Load() + cl.Writes.Load() + cl.Watches.Load() }
 
 // Service is the fake service. Its methods are safe for concurrent use.
-type Stand struct {
+type Service struct {
 	Calls        Calls
 	readLimiter  *rate.Limiter
 	writeLimiter *rate.Limiter
@@ -72,14 +72,14 @@
 }
 
 // currentEntry returns the entry of a key. The caller holds sv.mu.
-func (sv *Stand) currentEntry(key string) store.Entry {
+func (sv *Service) currentEntry(key string) store.Entry {
 	ent := sv.entries[key]
 	return store.Entry{Value: ent.value, Revision: store.Revision{Epoch: sv.epoch, Number: ent.number}}
 }
 
 // New returns an empty fake with the platform's rate limits.
-func New() *Stand {
-	return &Stand{
+func New() *Service {
+	return &Service{
 		readLimiter:  rate.NewLimiter(ReadRate, ReadRate),
 		writeLimiter: rate.NewLimiter(WriteRate, WriteRate),
 		entries:      map[string]entry{},
@@ -91,7 +91,7 @@
 }
 
 // SetFaults replaces the injected faults.
-func (sv *Stand) SetFaults(fa Faults) {
+func (sv *Service) SetFaults(fa Faults) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	sv.faults = fa
@@ -107,7 +107,7 @@
 }
 
 // Backup returns a snapshot of the entries and leases.
-func (sv *Stand) Backup() Backup {
+func (sv *Service) Backup() Backup {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	bk := Backup{entries: maps.Clone(sv.entries), leases: map[int64]time.Duration{}, lastLeaseID: sv.lastLeaseID, rev: sv.rev}
@@ -118,7 +118,7 @@
 }
 
 // Restore replaces the entries by those of a backup without starting a new epoch.
-func (sv *Stand) Restore(bk Backup) {
+func (sv *Service) Restore(bk Backup) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	sv.entries, sv.rev = maps.Clone(bk.entries), bk.rev
@@ -127,7 +127,7 @@
 }
 
 // resetModified recomputes modified from the current entries. The caller holds sv.mu.
-func (sv *Stand) resetModified() {
+func (sv *Service) resetModified() {
 	clear(sv.modified)
 	for key, ent := range sv.entries {
 		sv.modified[key] = ent.number
@@ -137,7 +137,7 @@
 // RestoreInNewEpoch restores a backup and starts a new epoch: later writes are lost, the
 // leases of the backup restart with their full time to live, and the numbers of writes and
 // leases since the backup are assigned again.
-func (sv *Stand) ComeBack(bk Backup) {
+func (sv *Service) RestoreInNewEpoch(bk Backup) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	for _, ls := range sv.leases {
@@ -154,7 +154,7 @@
 }
 
 // ExpireLeases ends all leases as if their time to live had passed.
-func (sv *Stand) LapseLeases() {
+func (sv *Service) ExpireLeases() {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	for id := range sv.leases {
@@ -163,7 +163,7 @@
 }
 
 // Store returns the service as a store.Store.
-func (sv *Stand) Store() store.Store {
+func (sv *Service) Store() store.Store {
 	return store.Store{
 		Get: sv.get, List: sv.list, Swap: sv.swap, Watch: sv.watch, WatchAll: sv.watchAll,
 		Grant: sv.grant, Renew: sv.renew, Revoke: sv.revoke, Epoch: sv.Epoch,
@@ -171,14 +171,14 @@
 }
 
 // LatestRevision returns the number of the latest write.
-func (sv *Stand) Newest() int64 {
+func (sv *Service) LatestRevision() int64 {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	return sv.rev
 }
 
 // Epoch returns the current epoch.
-func (sv *Stand) Epoch() store.Epoch {
+func (sv *Service) Epoch() store.Epoch {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	return sv.epoch
@@ -186,7 +186,7 @@
 
 // admit counts a call, applies the injected delay, and returns an error if the service is down
 // or the rate limit is exceeded.
-func (sv *Stand) admit(ctx context.Context, op, key string, count *atomic.Int64, lim *rate.Limiter) error {
+func (sv *Service) admit(ctx context.Context, op, key string, count *atomic.Int64, lim *rate.Limiter) error {
 	count.Add(1)
 	sv.mu.Lock()
 	fa := sv.faults
@@ -202,12 +202,12 @@
 		return &store.Error{Kind: store.Unavailable, Op: op, Key: key}
 	}
 	if !lim.Allow() {
-		return &store.Error{Kind: store.Limited, Op: op, Key: key}
+		return &store.Error{Kind: store.RateLimited, Op: op, Key: key}
 	}
 	return nil
 }
 
-func (sv *Stand) get(ctx context.Context, key string) (store.Entry, error) {
+func (sv *Service) get(ctx context.Context, key string) (store.Entry, error) {
 	if err := sv.admit(ctx, "get", key, &sv.Calls.Reads, sv.readLimiter); err != nil {
 		return store.Entry{}, err
 	}
@@ -216,7 +216,7 @@
 	return sv.currentEntry(key), nil
 }
 
-func (sv *Stand) list(ctx context.Context, prefix string) ([]store.Item, error) {
+func (sv *Service) list(ctx context.Context, prefix string) ([]store.Item, error) {
 	if err := sv.admit(ctx, "list", prefix, &sv.Calls.Reads, sv.readLimiter); err != nil {
 		return nil, err
 	}
@@ -227,7 +227,7 @@
 
 // listPrefix returns the entries of all keys under a prefix, sorted by key. The caller holds
 // sv.mu.
-func (sv *Stand) listPrefix(prefix string) (items []store.Item) {
+func (sv *Service) listPrefix(prefix string) (items []store.Item) {
 	for _, key := range slices.Sorted(maps.Keys(sv.entries)) {
 		if strings.HasPrefix(key, prefix) {
 			items = append(items, store.Item{Key: key, Entry: sv.currentEntry(key)})
@@ -238,7 +238,7 @@
 
 // modifiedAfter reports whether a key under a prefix was written or removed after write
 // number. The caller holds sv.mu.
-func (sv *Stand) modifiedAfter(prefix string, number int64) bool {
+func (sv *Service) modifiedAfter(prefix string, number int64) bool {
 	for key, n := range sv.modified {
 		if n > number && strings.HasPrefix(key, prefix) {
 			return true
@@ -247,7 +247,7 @@
 	return false
 }
 
-func (sv *Stand) watchAll(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Listing, error) {
+func (sv *Service) watchAll(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Listing, error) {
 	if err := sv.admit(ctx, "watch", prefix, &sv.Calls.Watches, sv.readLimiter); err != nil {
 		return store.Listing{}, err
 	}
@@ -255,7 +255,7 @@
 	defer timer.Stop()
 	for {
 		sv.mu.Lock()
-		li := store.Listing{At: store.Revision{Epoch: sv.epoch, Number: sv.rev}}
+		li := store.Listing{Revision: store.Revision{Epoch: sv.epoch, Number: sv.rev}}
 		if after == (store.Revision{}) || after.Epoch != sv.epoch || sv.modifiedAfter(prefix, after.Number) {
 			li.Changed, li.Items = true, sv.listPrefix(prefix)
 		}
@@ -277,7 +277,7 @@
 	}
 }
 
-func (sv *Stand) swap(ctx context.Context, ch store.Change) (bool, store.Entry, error) {
+func (sv *Service) swap(ctx context.Context, ch store.Change) (bool, store.Entry, error) {
 	if len(ch.Value) > store.MaxValue {
 		return false, store.Entry{}, &store.Error{Kind: store.TooLarge, Op: "swap", Key: ch.Key}
 	}
@@ -287,11 +287,11 @@
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	cur := sv.currentEntry(ch.Key)
-	if !ch.Revision.Is(cur.Revision) {
+	if !ch.Revision.Matches(cur.Revision) {
 		return false, cur, nil
 	}
 	if ch.Lease != (store.LeaseID{}) && sv.findLease(ch.Lease) == nil {
-		return false, store.Entry{}, &store.Error{Kind: store.Gone, Op: "swap", Key: ch.Key}
+		return false, store.Entry{}, &store.Error{Kind: store.LeaseNotFound, Op: "swap", Key: ch.Key}
 	}
 	sv.rev++
 	sv.modified[ch.Key] = sv.rev
@@ -301,22 +301,22 @@
 		sv.entries[ch.Key] = entry{value: bytes.Clone(ch.Value), number: sv.rev, lease: ch.Lease.Number}
 	}
 	sv.notifyWatchers()
-	if sv.faults.LoseAnswers > 0 {
-		sv.faults.LoseAnswers--
+	if sv.faults.LoseResponses > 0 {
+		sv.faults.LoseResponses--
 		return false, store.Entry{}, &store.Error{Kind: store.Unknown, Op: "swap", Key: ch.Key}
 	}
 	return true, sv.currentEntry(ch.Key), nil
 }
 
 // findLease returns a lease, or nil if it has ended. The caller holds sv.mu.
-func (sv *Stand) findLease(id store.LeaseID) *lease {
+func (sv *Service) findLease(id store.LeaseID) *lease {
 	if id.Epoch != 0 && id.Epoch != sv.epoch {
 		return nil
 	}
 	return sv.leases[id.Number]
 }
 
-func (sv *Stand) watch(ctx context.Context, key string, after store.Revision, wait time.Duration) (store.Entry, error) {
+func (sv *Service) watch(ctx context.Context, key string, after store.Revision, wait time.Duration) (store.Entry, error) {
 	if err := sv.admit(ctx, "watch", key, &sv.Calls.Watches, sv.readLimiter); err != nil {
 		return store.Entry{}, err
 	}
@@ -329,7 +329,7 @@
 		if down {
 			return store.Entry{}, &store.Error{Kind: store.Unavailable, Op: "watch", Key: key}
 		}
-		if !after.Is(ent.Revision) {
+		if !after.Matches(ent.Revision) {
 			return ent, nil
 		}
 		select {
@@ -342,7 +342,7 @@
 	}
 }
 
-func (sv *Stand) grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
+func (sv *Service) grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
 	if err := sv.admit(ctx, "grant", "", &sv.Calls.Writes, sv.writeLimiter); err != nil {
 		return store.LeaseID{}, err
 	}
@@ -354,7 +354,7 @@
 }
 
 // startLease starts a lease. The caller holds sv.mu.
-func (sv *Stand) startLease(id int64, ttl time.Duration) {
+func (sv *Service) startLease(id int64, ttl time.Duration) {
 	ls := &lease{ttl: ttl}
 	ls.timer = time.AfterFunc(ttl, func() {
 		sv.mu.Lock()
@@ -367,7 +367,7 @@
 	sv.leases[id] = ls
 }
 
-func (sv *Stand) renew(ctx context.Context, id store.LeaseID) error {
+func (sv *Service) renew(ctx context.Context, id store.LeaseID) error {
 	if err := sv.admit(ctx, "renew", "", &sv.Calls.Writes, sv.writeLimiter); err != nil {
 		return err
 	}
@@ -375,27 +375,27 @@
 	defer sv.mu.Unlock()
 	ls := sv.findLease(id)
 	if ls == nil {
-		return &store.Error{Kind: store.Gone, Op: "renew"}
+		return &store.Error{Kind: store.LeaseNotFound, Op: "renew"}
 	}
 	ls.timer.Reset(ls.ttl)
 	return nil
 }
 
-func (sv *Stand) revoke(ctx context.Context, id store.LeaseID) error {
+func (sv *Service) revoke(ctx context.Context, id store.LeaseID) error {
 	if err := sv.admit(ctx, "revoke", "", &sv.Calls.Writes, sv.writeLimiter); err != nil {
 		return err
 	}
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	if sv.findLease(id) == nil {
-		return &store.Error{Kind: store.Gone, Op: "revoke"}
+		return &store.Error{Kind: store.LeaseNotFound, Op: "revoke"}
 	}
 	sv.endLease(id.Number)
 	return nil
 }
 
 // endLease deletes a lease and its keys. The caller holds sv.mu.
-func (sv *Stand) endLease(id int64) {
+func (sv *Service) endLease(id int64) {
 	ls := sv.leases[id]
 	if ls == nil {
 		return
@@ -413,7 +413,7 @@
 }
 
 // notifyWatchers makes all waiting watches check for changes. The caller holds sv.mu.
-func (sv *Stand) notifyWatchers() {
+func (sv *Service) notifyWatchers() {
 	close(sv.changed)
 	sv.changed = make(chan struct{})
 }
--- a/internal/plat/steady/steady_test.go
+++ b/internal/plat/steady/steady_test.go
@@ -39,7 +39,7 @@
 	"internal/mesh/ctrl/node.go":     "the incarnation of a process: raised above the one that peers know for the VM",
 	"internal/mesh/ctrl/holds.go":    "a timestamp that orders the reports of one relay: used for status output only",
 	"internal/mesh/ctrl/rollout.go":  "when a rollout started, for daemons that start after all were killed: it ends sooner or later by the size of the jump, or is rolled back",
-	"internal/mesh/poison/keep.go":   "when a server crashed, for later processes: a request is retried sooner or later by the size of the jump",
+	"internal/mesh/poison/encode.go": "when a server crashed, for later processes: a request is retried sooner or later by the size of the jump",
 }
 
 // TestNoTimeOfDay guards against times that are compared with the wall clock. When the wall
--- a/internal/plat/store/store.go
+++ b/internal/plat/store/store.go
@@ -27,7 +27,7 @@
 
 // Matches reports whether a key whose current revision is cur is unchanged since rv. An rv
 // with epoch 0 matches in any epoch.
-func (rv Revision) Is(cur Revision) bool {
+func (rv Revision) Matches(cur Revision) bool {
 	return rv.Number == cur.Number && (rv.Epoch == 0 || rv.Epoch == cur.Epoch)
 }
 
@@ -57,7 +57,7 @@
 	Changed bool
 	Items   []Item
 	// Revision is the revision of the store that the listing reflects.
-	At Revision
+	Revision Revision
 }
 
 // Change is a compare-and-swap: it is applied only if the key is still at Revision. A
@@ -114,11 +114,11 @@
 	Unknown
 	// RateLimited means that the platform's rate limit was exceeded and the call had no
 	// effect.
-	Limited
+	RateLimited
 	// TooLarge means that the value is larger than MaxValue.
 	TooLarge
 	// LeaseNotFound means that the lease has expired or was revoked.
-	Gone
+	LeaseNotFound
 )
 
 // String returns a description of the kind for error messages.
@@ -128,11 +128,11 @@
 		return "unavailable"
 	case Unknown:
 		return "outcome unknown"
-	case Limited:
+	case RateLimited:
 		return "rate limit exceeded"
 	case TooLarge:
 		return "value too large"
-	case Gone:
+	case LeaseNotFound:
 		return "lease expired or revoked"
 	}
 	return fmt.Sprintf("Kind(%d)", int(kd))
@@ -159,7 +159,7 @@
 func (er *Error) Unwrap() error { return er.Err }
 
 // IsKind reports whether err is an *Error of kind kd.
-func Is(err error, kd Kind) bool {
+func IsKind(err error, kd Kind) bool {
 	var er *Error
 	return errors.As(err, &er) && er.Kind == kd
 }
