--- a/internal/stat/acct/acct.go
+++ b/internal/stat/acct/acct.go
@@ -33,7 +33,7 @@
 type Route struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
-	Count
+	Counts
 	// Back counts the further tries of callers that came back, Again the attempts
 	// beyond the first of each request.
 	Back  int `json:"back"`
@@ -57,8 +57,8 @@
 	Took   Times `json:"took"`
 }
 
-// Count tells apart how requests ended.
-type Count struct {
+// Counts tells apart how requests ended.
+type Counts struct {
 	InTime  int `json:"in-time"`
 	Late    int `json:"late"`
 	Refused int `json:"refused"`
@@ -68,7 +68,7 @@
 // Window counts the requests that ended in a piece of the span.
 type Window struct {
 	From time.Time `json:"from"`
-	Count
+	Counts
 }
 
 // Times are quantiles, in nanoseconds.
@@ -85,11 +85,11 @@
 type Reader struct {
 	requests []*trail.Line
 	// slots has how many each VM's backend server has, by the refusals of its inlet.
-	slots   map[string]int
-	leftOut int
-	fleet   processes
-	// notRun counts, for each request, the tries that inlets did not hand over.
-	notRun map[string]int
+	slots        map[string]int
+	droppedLines int
+	processes    processes
+	// refusals counts, for each request, the tries that inlets did not hand over.
+	refusals map[string]int
 	trail.Passed
 }
 
@@ -100,21 +100,21 @@
 		case logs.Request:
 			rd.requests = append(rd.requests, ln)
 		case logs.Usage:
-			rd.fleet.add(ln)
+			rd.processes.add(ln)
 		case logs.Refused:
-			if rd.notRun == nil {
-				rd.notRun = map[string]int{}
+			if rd.refusals == nil {
+				rd.refusals = map[string]int{}
 			}
-			rd.notRun[ln.Text(logs.ID)]++
+			rd.refusals[ln.Text(logs.ID)]++
 			if ld, ok := result.ParseLoad(ln.Text(logs.Load)); ok {
 				if rd.slots == nil {
 					rd.slots = map[string]int{}
 				}
 				rd.slots[ln.VM] = ld.Slots
 			}
-		case logs.LeftOut:
+		case logs.LinesDropped:
 			for name := range ln.Fields {
-				rd.leftOut += int(ln.Number(name))
+				rd.droppedLines += int(ln.Number(name))
 			}
 		}
 	})
@@ -123,37 +123,37 @@
 // Account sums up what was read.
 func (rd *Reader) Account() *Account {
 	slices.SortStableFunc(rd.requests, func(a, b *trail.Line) int { return a.Time.Compare(b.Time) })
-	ac := &Account{LeftOut: rd.leftOut, Fleet: rd.fleet.sum(), Passed: rd.Passed}
+	ac := &Account{LeftOut: rd.droppedLines, Fleet: rd.processes.sum(), Passed: rd.Passed}
 	if len(rd.requests) == 0 {
 		return ac
 	}
 	ac.From, ac.Until = rd.requests[0].Time, rd.requests[len(rd.requests)-1].Time
-	calls, slots := failedCalls(rd.requests), slotsOf(rd.requests, rd.slots)
-	routes := map[string]*gathered{}
+	calls, slots := failedCalls(rd.requests), slotUseOf(rd.requests, rd.slots)
+	routes := map[string]*routeSamples{}
 	for _, ln := range rd.requests {
 		name := ln.Text("route")
-		ga := routes[name]
-		if ga == nil {
-			ga = &gathered{Route: &Route{Name: name, Service: ln.Text("service"), Reasons: map[string]int{}, ByCall: map[string]int{}}}
-			routes[name] = ga
+		rs := routes[name]
+		if rs == nil {
+			rs = &routeSamples{Route: &Route{Name: name, Service: ln.Text("service"), Reasons: map[string]int{}, ByCall: map[string]int{}}}
+			routes[name] = rs
 		}
-		ga.add(ln, calls, slots)
-		if rd.lostUnrun(ln) {
-			ga.NotReached++
+		rs.add(ln, calls, slots)
+		if rd.failedUndelivered(ln) {
+			rs.NotReached++
 		}
 		ac.window(ln.Time).add(ln)
 	}
 	for _, name := range slices.Sorted(maps.Keys(routes)) {
-		ac.Routes = append(ac.Routes, routes[name].finish())
+		ac.Routes = append(ac.Routes, routes[name].summarize())
 	}
-	slices.SortStableFunc(ac.Routes, func(a, b *Route) int { return cmp.Compare(b.Count.all(), a.Count.all()) })
+	slices.SortStableFunc(ac.Routes, func(a, b *Route) int { return cmp.Compare(b.Counts.all(), a.Counts.all()) })
 	return ac
 }
 
-// lostUnrun reports whether a request failed though none of its tries was handed over.
-func (rd *Reader) lostUnrun(ln *trail.Line) bool {
-	tries := int(ln.Number("attempts"))
-	return ln.Text(logs.Outcome) == result.MayHaveRun.String() && tries > 0 && rd.notRun[ln.Text(logs.ID)] >= tries
+// failedUndelivered reports whether a request failed though none of its tries was handed over.
+func (rd *Reader) failedUndelivered(ln *trail.Line) bool {
+	attempts := int(ln.Number("attempts"))
+	return ln.Text(logs.Outcome) == result.MayHaveRun.String() && attempts > 0 && rd.refusals[ln.Text(logs.ID)] >= attempts
 }
 
 // window returns the window of a time, which is not before that of the last.
@@ -165,14 +165,14 @@
 	return ac.Windows[n]
 }
 
-func (co *Count) all() int { return co.InTime + co.Late + co.Refused + co.Failed }
+func (co *Counts) all() int { return co.InTime + co.Late + co.Refused + co.Failed }
 
 // add counts the end of a request. What the caller had spent before counts against its
 // objective.
-func (co *Count) add(ln *trail.Line) {
-	objective := ln.Span(logs.Objective)
+func (co *Counts) add(ln *trail.Line) {
+	objective := ln.Duration(logs.Objective)
 	switch outcome := ln.Text(logs.Outcome); {
-	case outcome == result.Answered.String() && (objective == 0 || ln.Span(logs.Elapsed)+ln.Span(logs.Took) <= objective):
+	case outcome == result.Answered.String() && (objective == 0 || ln.Duration(logs.Elapsed)+ln.Duration(logs.Took) <= objective):
 		co.InTime++
 	case outcome == result.Answered.String():
 		co.Late++
@@ -183,40 +183,40 @@
 	}
 }
 
-// gathered is a route with the times of its answered requests.
-type gathered struct {
+// routeSamples is a route with the times of its answered requests.
+type routeSamples struct {
 	*Route
-	before, wait, held, took []time.Duration
+	elapsed, wait, serviceTime, took []time.Duration
 }
 
-func (ga *gathered) add(ln *trail.Line, calls map[string]string, slots held) {
-	ga.Count.add(ln)
-	if ln.Span(logs.Elapsed) > 0 {
-		ga.Back++
+func (rs *routeSamples) add(ln *trail.Line, calls map[string]string, slots slotUse) {
+	rs.Counts.add(ln)
+	if ln.Duration(logs.Elapsed) > 0 {
+		rs.Back++
 	}
-	ga.Again += max(0, int(ln.Number("attempts"))-1)
+	rs.Again += max(0, int(ln.Number("attempts"))-1)
 	if ln.Text(logs.Outcome) == result.Answered.String() {
-		ga.before = append(ga.before, ln.Span(logs.Elapsed))
-		ga.wait = append(ga.wait, ln.Span(logs.Wait))
-		ga.held = append(ga.held, ln.Span(logs.Held))
-		ga.took = append(ga.took, ln.Span(logs.Took))
+		rs.elapsed = append(rs.elapsed, ln.Duration(logs.Elapsed))
+		rs.wait = append(rs.wait, ln.Duration(logs.Wait))
+		rs.serviceTime = append(rs.serviceTime, ln.Duration(logs.Held))
+		rs.took = append(rs.took, ln.Duration(logs.Took))
 		return
 	}
-	ga.Reasons[ln.Text(logs.Outcome)+"/"+ln.Text(logs.Reason)]++
+	rs.Reasons[ln.Text(logs.Outcome)+"/"+ln.Text(logs.Reason)]++
 	if call := calls[ln.Text(logs.ID)]; call != "" {
-		ga.ByCall[call]++
+		rs.ByCall[call]++
 	}
-	if result.Reason(ln.Text(logs.Reason)) == result.ReasonFull && slots.free(ln.Text("service"), ln.Time) {
-		ga.BesideFree++
+	if result.Reason(ln.Text(logs.Reason)) == result.ReasonFull && slots.hasFree(ln.Text("service"), ln.Time) {
+		rs.BesideFree++
 	}
 }
 
-func (ga *gathered) finish() *Route {
-	ga.Before, ga.Wait, ga.Held, ga.Took = times(ga.before), times(ga.wait), times(ga.held), times(ga.took)
-	return ga.Route
+func (rs *routeSamples) summarize() *Route {
+	rs.Before, rs.Wait, rs.Held, rs.Took = quantiles(rs.elapsed), quantiles(rs.wait), quantiles(rs.serviceTime), quantiles(rs.took)
+	return rs.Route
 }
 
-func times(list []time.Duration) Times {
+func quantiles(list []time.Duration) Times {
 	if len(list) == 0 {
 		return Times{}
 	}
--- a/internal/stat/acct/acct_test.go
+++ b/internal/stat/acct/acct_test.go
@@ -60,7 +60,7 @@
 		t.Fatalf("%+v", ac)
 	}
 	rt := ac.Routes[0]
-	if diff := cmp.Diff(Count{InTime: 4, Late: 4, Refused: 1, Failed: 1}, rt.Count); diff != "" {
+	if diff := cmp.Diff(Counts{InTime: 4, Late: 4, Refused: 1, Failed: 1}, rt.Counts); diff != "" {
 		t.Errorf("route r: %s", diff)
 	}
 	if rt.Back != 1 || rt.Again != 2 || rt.BesideFree != 1 || rt.ByCall["c"] != 1 || rt.Reasons["not-run/slots-full"] != 1 {
@@ -69,7 +69,7 @@
 	if ms := time.Millisecond; rt.Held.Middle != 200*ms || rt.Wait.Ninth != 50*ms || rt.Took.Middle != 210*ms {
 		t.Errorf("times: %+v", rt)
 	}
-	if got := ac.Windows[1].Count; got != (Count{Late: 1}) {
+	if got := ac.Windows[1].Counts; got != (Counts{Late: 1}) {
 		t.Errorf("the last window: %+v", got)
 	}
 	if call := ac.Routes[1]; call.Refused != 1 || call.BesideFree != 0 {
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestNothing: logs without a request give an empty account.
-func TestNothing(t *testing.T) {
+// TestNoRequests: logs without a request give an empty account.
+func TestNoRequests(t *testing.T) {
 	var rd Reader
 	if err := rd.Read(strings.NewReader("x\n{\"time\":\n")); err != nil {
 		t.Fatal(err)
--- a/internal/stat/acct/fleet.go
+++ b/internal/stat/acct/fleet.go
@@ -32,9 +32,9 @@
 type processes struct {
 	// last has the last line of the process that each VM runs, ended those of former
 	// ones.
-	last  map[string]*trail.Line
-	ended []*trail.Line
-	most  int64
+	last        map[string]*trail.Line
+	replaced    []*trail.Line
+	maxResident int64
 }
 
 // add takes a usage line. Lines of one VM come in order.
@@ -42,23 +42,23 @@
 	if ps.last == nil {
 		ps.last = map[string]*trail.Line{}
 	}
-	ps.most = max(ps.most, int64(ln.Number("resident")))
+	ps.maxResident = max(ps.maxResident, int64(ln.Number("resident")))
 	if old := ps.last[ln.VM]; old != nil && ln.Number("processor-ms") < old.Number("processor-ms") {
-		ps.ended = append(ps.ended, old)
+		ps.replaced = append(ps.replaced, old)
 	}
 	ps.last[ln.VM] = ln
 }
 
 // sum returns what all processes took, nil where none told.
 func (ps *processes) sum() *Fleet {
-	all := ps.ended
+	all := ps.replaced
 	for _, ln := range ps.last {
 		all = append(all, ln)
 	}
 	if len(all) == 0 {
 		return nil
 	}
-	fl := &Fleet{Processes: len(all), ResidentMost: ps.most, Calls: map[string]int64{}, Read: map[string]int64{}, Links: map[string]int64{}}
+	fl := &Fleet{Processes: len(all), ResidentMost: ps.maxResident, Calls: map[string]int64{}, Read: map[string]int64{}, Links: map[string]int64{}}
 	for _, ln := range all {
 		fl.Resident += int64(ln.Number("resident"))
 		fl.Processor += time.Duration(ln.Number("processor-ms")) * time.Millisecond
--- a/internal/stat/expo/expo.go
+++ b/internal/stat/expo/expo.go
@@ -30,7 +30,7 @@
 				writeSeries(&b, name, series, v[series])
 			}
 		default:
-			line(&b, name, "", v)
+			writeSample(&b, name, "", v)
 		}
 	}
 	_, err := io.WriteString(w, b.String())
@@ -39,25 +39,25 @@
 
 func writeSeries(b *strings.Builder, name, series string, v any) {
 	label := `series="` + escape(series) + `"`
-	parts, ok := v.(map[string]any)
+	metrics, ok := v.(map[string]any)
 	if !ok {
-		line(b, name, label, v)
+		writeSample(b, name, label, v)
 		return
 	}
-	for _, part := range slices.Sorted(maps.Keys(parts)) {
-		leaf, ok := parts[part].(map[string]any)
+	for _, metric := range slices.Sorted(maps.Keys(metrics)) {
+		values, ok := metrics[metric].(map[string]any)
 		if !ok {
-			line(b, name+"_"+part, label, parts[part])
+			writeSample(b, name+"_"+metric, label, metrics[metric])
 			continue
 		}
-		for _, key := range slices.Sorted(maps.Keys(leaf)) {
-			line(b, name+"_"+part, label+`,key="`+escape(key)+`"`, leaf[key])
+		for _, key := range slices.Sorted(maps.Keys(values)) {
+			writeSample(b, name+"_"+metric, label+`,key="`+escape(key)+`"`, values[key])
 		}
 	}
 }
 
-// line writes one number; what is none is left out.
-func line(b *strings.Builder, name, labels string, v any) {
+// writeSample writes one number; what is none is left out.
+func writeSample(b *strings.Builder, name, labels string, v any) {
 	text := ""
 	switch v := v.(type) {
 	case float64:
@@ -70,14 +70,14 @@
 	default:
 		return
 	}
-	b.WriteString(prefix + strings.Map(wordRune, name))
+	b.WriteString(prefix + strings.Map(nameRune, name))
 	if labels != "" {
 		b.WriteString("{" + labels + "}")
 	}
 	b.WriteString(" " + text + "\n")
 }
 
-func wordRune(r rune) rune {
+func nameRune(r rune) rune {
 	if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '_' {
 		return r
 	}
--- a/internal/stat/hist/hist.go
+++ b/internal/stat/hist/hist.go
@@ -87,8 +87,8 @@
 // Set holds the series of one side of the path, by service and class. The zero
 // value is ready for use.
 type Set struct {
-	all sync.Map // of *Series by key
-	top expvar.Map
+	series sync.Map // of *Series by key
+	vars   expvar.Map
 }
 
 type key struct {
@@ -98,10 +98,10 @@
 // For returns the series of a service and class.
 func (st *Set) For(service, class string) *Series {
 	ky := key{service: service, class: class}
-	if v, ok := st.all.Load(ky); ok {
+	if v, ok := st.series.Load(ky); ok {
 		return v.(*Series)
 	}
-	v, loaded := st.all.LoadOrStore(ky, &Series{})
+	v, loaded := st.series.LoadOrStore(ky, &Series{})
 	sr := v.(*Series)
 	if !loaded {
 		m := new(expvar.Map)
@@ -109,10 +109,10 @@
 		m.Set("queue", &sr.Queue)
 		m.Set("outcomes", &sr.Outcomes)
 		m.Set("attempts", &sr.Attempts)
-		st.top.Set(service+"/"+class, m)
+		st.vars.Set(service+"/"+class, m)
 	}
 	return sr
 }
 
 // Var returns all series for expvar.
-func (st *Set) Var() expvar.Var { return &st.top }
+func (st *Set) Var() expvar.Var { return &st.vars }
--- a/internal/stat/logs/limit.go
+++ b/internal/stat/logs/limit.go
@@ -15,24 +15,24 @@
 	burst = 40.0
 	// warnFactor is how many times as many lines of failures are kept.
 	warnFactor = 4
-	// reportEvery is how often the number of lines that were left out is told.
-	reportEvery = 5 * time.Second
+	// reportInterval is how often the number of lines that were left out is told.
+	reportInterval = 5 * time.Second
 )
 
-// LeftOut is the event that tells how many lines of which event were left out.
-const LeftOut = "log-lines-left-out"
+// LinesDropped is the event that tells how many lines of which event were left out.
+const LinesDropped = "log-lines-left-out"
 
 // Handler keeps a bounded number of lines of each event, failures before
 // successes.
 type Handler struct {
 	next slog.Handler
-	st   *state
+	li   *limiter
 }
 
-type state struct {
-	mu     sync.Mutex
-	events map[key]*bucket
-	next   time.Time
+type limiter struct {
+	mu         sync.Mutex
+	buckets    map[key]*bucket
+	nextReport time.Time
 }
 
 type key struct {
@@ -41,14 +41,14 @@
 }
 
 type bucket struct {
-	left float64
-	at   time.Time
-	lost int
+	tokens  float64
+	updated time.Time
+	dropped int
 }
 
 // NewHandler returns a handler before next.
 func NewHandler(next slog.Handler) *Handler {
-	return &Handler{next: next, st: &state{events: map[key]*bucket{}}}
+	return &Handler{next: next, li: &limiter{buckets: map[key]*bucket{}}}
 }
 
 // Enabled passes the question on.
@@ -56,20 +56,20 @@
 
 // WithAttrs returns a handler that shares the bounds.
 func (ha *Handler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &Handler{next: ha.next.WithAttrs(attrs), st: ha.st}
+	return &Handler{next: ha.next.WithAttrs(attrs), li: ha.li}
 }
 
 // WithGroup returns a handler that shares the bounds.
 func (ha *Handler) WithGroup(name string) slog.Handler {
-	return &Handler{next: ha.next.WithGroup(name), st: ha.st}
+	return &Handler{next: ha.next.WithGroup(name), li: ha.li}
 }
 
 // Handle writes a line unless there were too many of its event.
 func (ha *Handler) Handle(ctx context.Context, rec slog.Record) error {
-	keep, lost := ha.st.take(key{rec.Message, rec.Level}, rec.Time)
-	if lost != nil {
-		line := slog.NewRecord(rec.Time, slog.LevelWarn, LeftOut, 0)
-		for event, n := range lost {
+	keep, dropped := ha.li.admit(key{rec.Message, rec.Level}, rec.Time)
+	if dropped != nil {
+		line := slog.NewRecord(rec.Time, slog.LevelWarn, LinesDropped, 0)
+		for event, n := range dropped {
 			line.AddAttrs(slog.Int(event, n))
 		}
 		if err := ha.next.Handle(ctx, line); err != nil {
@@ -82,38 +82,38 @@
 	return ha.next.Handle(ctx, rec)
 }
 
-// take reports whether a line is kept, and from time to time how many were not.
-func (st *state) take(ky key, now time.Time) (keep bool, lost map[string]int) {
-	st.mu.Lock()
-	defer st.mu.Unlock()
+// admit reports whether a line is kept, and from time to time how many were not.
+func (li *limiter) admit(ky key, now time.Time) (keep bool, dropped map[string]int) {
+	li.mu.Lock()
+	defer li.mu.Unlock()
 	factor := 1.0
 	if ky.level >= slog.LevelWarn {
 		factor = warnFactor
 	}
-	bu := st.events[ky]
+	bu := li.buckets[ky]
 	if bu == nil {
-		bu = &bucket{left: burst * factor, at: now}
-		st.events[ky] = bu
+		bu = &bucket{tokens: burst * factor, updated: now}
+		li.buckets[ky] = bu
 	}
-	bu.left = min(burst*factor, bu.left+rate*factor*max(0, now.Sub(bu.at).Seconds()))
-	bu.at = now
-	if keep = bu.left >= 1; keep {
-		bu.left--
+	bu.tokens = min(burst*factor, bu.tokens+rate*factor*max(0, now.Sub(bu.updated).Seconds()))
+	bu.updated = now
+	if keep = bu.tokens >= 1; keep {
+		bu.tokens--
 	} else {
-		bu.lost++
+		bu.dropped++
 	}
-	if now.Before(st.next) {
+	if now.Before(li.nextReport) {
 		return keep, nil
 	}
-	st.next = now.Add(reportEvery)
-	for k, b := range st.events {
-		if b.lost > 0 {
-			if lost == nil {
-				lost = map[string]int{}
+	li.nextReport = now.Add(reportInterval)
+	for k, b := range li.buckets {
+		if b.dropped > 0 {
+			if dropped == nil {
+				dropped = map[string]int{}
 			}
-			lost[k.event] += b.lost
-			b.lost = 0
+			dropped[k.event] += b.dropped
+			b.dropped = 0
 		}
 	}
-	return keep, lost
+	return keep, dropped
 }
--- a/internal/stat/logs/logs_test.go
+++ b/internal/stat/logs/logs_test.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// stuck is a reader of the log that has stopped reading.
-type stuck struct{ free chan struct{} }
+// blockedWriter is a reader of the log that has stopped reading.
+type blockedWriter struct{ unblock chan struct{} }
 
-func (st stuck) Write(p []byte) (int, error) {
-	<-st.free
+func (bw blockedWriter) Write(p []byte) (int, error) {
+	<-bw.unblock
 	return len(p), nil
 }
 
@@ -24,8 +24,8 @@
 // Requests go on; what is lost is counted and memory is bounded.
 func TestStoppedReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := stuck{free: make(chan struct{})}
-		wr := NewWriter(st)
+		bw := blockedWriter{unblock: make(chan struct{})}
+		wr := NewWriter(bw)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
@@ -41,13 +41,13 @@
 		for range 10_000 {
 			_, _ = wr.Write(line)
 		}
-		if held := len(wr.held); held > maxHeld {
-			t.Errorf("%d bytes are held, bound %d", held, maxHeld)
+		if pending := len(wr.pending); pending > maxPending {
+			t.Errorf("%d bytes are held, bound %d", pending, maxPending)
 		}
-		if wr.Lost() < 20_000-2*maxHeld/200-1 {
+		if wr.Lost() < 20_000-2*maxPending/200-1 {
 			t.Errorf("%d of 20000 lines are counted as lost", wr.Lost())
 		}
-		close(st.free)
+		close(bw.unblock)
 		cancel()
 		<-done
 	})
@@ -68,7 +68,7 @@
 			time.Sleep(time.Second / perSecond)
 		}
 		kept := map[string]int{}
-		leftOut := 0.0
+		dropped := 0.0
 		dec := json.NewDecoder(&out)
 		for {
 			var line map[string]any
@@ -77,8 +77,8 @@
 			} else if err != nil {
 				t.Fatal(err)
 			}
-			if line["msg"] == LeftOut {
-				leftOut += line["request"].(float64)
+			if line["msg"] == LinesDropped {
+				dropped += line["request"].(float64)
 				continue
 			}
 			kept[line["level"].(string)]++
@@ -89,8 +89,8 @@
 		if n := kept["WARN"]; n < 500 {
 			t.Errorf("%d of 1000 lines of failures are kept", n)
 		}
-		if leftOut < 4000 {
-			t.Errorf("%g lines are told as left out", leftOut)
+		if dropped < 4000 {
+			t.Errorf("%g lines are told as left out", dropped)
 		}
 	})
 }
--- a/internal/stat/logs/writer.go
+++ b/internal/stat/logs/writer.go
@@ -10,24 +10,24 @@
 
 // The bounds of a writer.
 const (
-	// maxHeld is how many bytes wait for the reader of the log. One that stops
+	// maxPending is how many bytes wait for the reader of the log. One that stops
 	// reading costs lines, and no request waits for it.
-	maxHeld = 256 << 10
-	// flushEvery is how long lines wait to be written together: one system call
+	maxPending = 256 << 10
+	// flushInterval is how long lines wait to be written together: one system call
 	// for all instead of one each.
-	flushEvery = 50 * time.Millisecond
+	flushInterval = 50 * time.Millisecond
 )
 
 // Writer passes lines on in the background. Its methods may be called from any
 // goroutine.
 type Writer struct {
 	out io.Writer
-	// lost counts the lines that found no room.
-	lost atomic.Int64
+	// dropped counts the lines that found no room.
+	dropped atomic.Int64
 
-	mu   sync.Mutex
-	held []byte
-	wake chan struct{}
+	mu      sync.Mutex
+	pending []byte
+	wake    chan struct{}
 }
 
 // NewWriter returns a writer to out; Run writes.
@@ -38,13 +38,13 @@
 // Write takes a line; it never blocks and never fails.
 func (wr *Writer) Write(p []byte) (int, error) {
 	wr.mu.Lock()
-	if len(wr.held)+len(p) > maxHeld {
+	if len(wr.pending)+len(p) > maxPending {
 		wr.mu.Unlock()
-		wr.lost.Add(1)
+		wr.dropped.Add(1)
 		return len(p), nil
 	}
-	first := len(wr.held) == 0
-	wr.held = append(wr.held, p...)
+	first := len(wr.pending) == 0
+	wr.pending = append(wr.pending, p...)
 	wr.mu.Unlock()
 	if first {
 		select {
@@ -56,7 +56,7 @@
 }
 
 // Lost returns how many lines found no room.
-func (wr *Writer) Lost() int64 { return wr.lost.Load() }
+func (wr *Writer) Lost() int64 { return wr.dropped.Load() }
 
 // Run writes what comes until ctx ends, and then what is left.
 func (wr *Writer) Run(ctx context.Context) {
@@ -69,7 +69,7 @@
 			return
 		}
 		select {
-		case <-time.After(flushEvery):
+		case <-time.After(flushInterval):
 		case <-ctx.Done():
 		}
 		wr.flush(&spare)
@@ -80,8 +80,8 @@
 // nowhere else to say so.
 func (wr *Writer) flush(spare *[]byte) {
 	wr.mu.Lock()
-	batch := wr.held
-	wr.held = (*spare)[:0]
+	batch := wr.pending
+	wr.pending = (*spare)[:0]
 	wr.mu.Unlock()
 	if len(batch) > 0 {
 		_, _ = wr.out.Write(batch)
--- a/internal/stat/meter/meter.go
+++ b/internal/stat/meter/meter.go
@@ -19,15 +19,15 @@
 type conn struct {
 	net.Conn
 	mt *Meter
-	// leaves is set for a connection to another VM.
-	leaves bool
+	// remote is set for a connection to another VM.
+	remote bool
 }
 
-func (mt *Meter) conn(nc net.Conn) net.Conn {
-	here, _, herr := net.SplitHostPort(nc.LocalAddr().String())
-	there, _, terr := net.SplitHostPort(nc.RemoteAddr().String())
-	same := herr == nil && terr == nil && here == there
-	return &conn{Conn: nc, mt: mt, leaves: !same && mt.Sent != nil}
+func (mt *Meter) wrap(nc net.Conn) net.Conn {
+	localHost, _, localErr := net.SplitHostPort(nc.LocalAddr().String())
+	remoteHost, _, remoteErr := net.SplitHostPort(nc.RemoteAddr().String())
+	sameVM := localErr == nil && remoteErr == nil && localHost == remoteHost
+	return &conn{Conn: nc, mt: mt, remote: !sameVM && mt.Sent != nil}
 }
 
 // Read counts what comes in.
@@ -41,7 +41,7 @@
 func (cn *conn) Write(p []byte) (int, error) {
 	n, err := cn.Conn.Write(p)
 	cn.mt.Out.Add(int64(n))
-	if cn.leaves && n > 0 {
+	if cn.remote && n > 0 {
 		cn.mt.Sent(n)
 	}
 	return n, err
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return ln.mt.conn(nc), nil
+	return ln.mt.wrap(nc), nil
 }
 
 // Listener returns ln with its connections counted.
@@ -80,6 +80,6 @@
 		if err != nil {
 			return nil, err
 		}
-		return mt.conn(nc), nil
+		return mt.wrap(nc), nil
 	}
 }
--- a/internal/stat/trail/cause.go
+++ b/internal/stat/trail/cause.go
@@ -23,51 +23,51 @@
 }
 
 // Explain puts the lines in order and names the cause.
-func (lo *Log) Explain() *Report {
-	sortLines(lo.request)
-	sortLines(lo.beliefs)
-	rp := &Report{ID: lo.id, Lines: lo.request, Passed: lo.Passed}
-	if len(lo.request) == 0 {
-		rp.Causes = []string{"no line bears this id: the request reached no daemon of these logs, or its lines were left out" + lo.leftOut("", time.Time{})}
+func (co *Collector) Explain() *Report {
+	sortLines(co.requestLines)
+	sortLines(co.stateLines)
+	rp := &Report{ID: co.id, Lines: co.requestLines, Passed: co.Passed}
+	if len(co.requestLines) == 0 {
+		rp.Causes = []string{"no line bears this id: the request reached no daemon of these logs, or its lines were left out" + co.dropped("", time.Time{})}
 		return rp
 	}
-	end := lo.end()
-	rp.Beliefs = lo.inForce(rp.Lines[len(rp.Lines)-1].Time)
+	end := co.endLine()
+	rp.Beliefs = co.stateAt(rp.Lines[len(rp.Lines)-1].Time)
 	if end == nil {
-		first := lo.request[0]
-		rp.Causes = append(rp.Causes, "no line tells its end: the outlet was ended before it, or the line was left out"+lo.leftOut(first.VM, first.Time))
+		first := co.requestLines[0]
+		rp.Causes = append(rp.Causes, "no line tells its end: the outlet was ended before it, or the line was left out"+co.dropped(first.VM, first.Time))
 		return rp
 	}
-	rp.Causes = append(rp.Causes, lo.cause(end)...)
+	rp.Causes = append(rp.Causes, co.causes(end)...)
 	return rp
 }
 
-// end returns the line of the caller's own request, nil where there is none. A
+// endLine returns the line of the caller's own request, nil where there is none. A
 // caller that came back has another id.
-func (lo *Log) end() *Line {
+func (co *Collector) endLine() *Line {
 	var end *Line
-	for _, ln := range lo.request {
-		if ln.Event == logs.Request && ln.Text(logs.ID) == lo.id {
+	for _, ln := range co.requestLines {
+		if ln.Event == logs.Request && ln.Text(logs.ID) == co.id {
 			end = ln
 		}
 	}
 	return end
 }
 
-// inForce returns the last line of each kind of belief of the daemons that took
+// stateAt returns the last line of each kind of belief of the daemons that took
 // part, at a moment.
-func (lo *Log) inForce(at time.Time) []*Line {
-	part := map[string]bool{}
-	for _, ln := range lo.request {
-		part[ln.VM] = true
+func (co *Collector) stateAt(at time.Time) []*Line {
+	involved := map[string]bool{}
+	for _, ln := range co.requestLines {
+		involved[ln.VM] = true
 		if to := ln.Text(logs.VM); to != "" {
-			part[to] = true
+			involved[to] = true
 		}
 	}
-	type kind struct{ vm, event, about string }
+	type kind struct{ vm, event, subject string }
 	last := map[kind]*Line{}
-	for _, ln := range lo.beliefs {
-		if !part[ln.VM] || ln.Time.After(at) || ln.Event == logs.LeftOut {
+	for _, ln := range co.stateLines {
+		if !involved[ln.VM] || ln.Time.After(at) || ln.Event == logs.LinesDropped {
 			continue
 		}
 		last[kind{ln.VM, ln.Event, ln.Text("member") + ln.Text("domain")}] = ln
@@ -80,67 +80,67 @@
 	return list
 }
 
-// cause returns why a request ended as its line says.
-func (lo *Log) cause(end *Line) []string {
+// causes returns why a request ended as its line says.
+func (co *Collector) causes(end *Line) []string {
 	var list []string
 	reason := result.Reason(end.Text(logs.Reason))
-	tries := int(end.Number("attempts"))
-	say := func(format string, args ...any) { list = append(list, fmt.Sprintf(format, args...)) }
+	attempts := int(end.Number("attempts"))
+	add := func(format string, args ...any) { list = append(list, fmt.Sprintf(format, args...)) }
 	switch {
 	case end.Text(logs.Outcome) == result.Answered.String():
-		say("answered by the server beside %s after %v", end.Text(logs.VM), end.Span(logs.Took).Round(time.Millisecond))
-		list = append(list, lo.slow(end)...)
-	case reason.NoRoom() && tries == 0:
-		say("refused without being sent: most requests of its kind were refused lately, so the outlet of %s held this one back", end.VM)
+		add("answered by the server beside %s after %v", end.Text(logs.VM), end.Duration(logs.Took).Round(time.Millisecond))
+		list = append(list, co.timing(end)...)
+	case reason.NoRoom() && attempts == 0:
+		add("refused without being sent: most requests of its kind were refused lately, so the outlet of %s held this one back", end.VM)
 	case reason.NoRoom():
-		say("refused after %d servers had no room (%s)", tries, reason)
-		list = append(list, lo.refusals()...)
+		add("refused after %d servers had no room (%s)", attempts, reason)
+		list = append(list, co.refusals()...)
 	case reason == result.ReasonPoison:
-		say("not sent by the outlet of %s: backend servers ended when they ran this request, wherever its caller came", end.VM)
-		list = append(list, lo.poison()...)
+		add("not sent by the outlet of %s: backend servers ended when they ran this request, wherever its caller came", end.VM)
+		list = append(list, co.crashes()...)
 	case reason == result.ReasonNoServer:
-		say("no server of %s was known to the outlet of %s", end.Text("service"), end.VM)
+		add("no server of %s was known to the outlet of %s", end.Text("service"), end.VM)
 	case reason == result.ReasonDeadline:
-		say("given up on by the outlet of %s %v after it had been read, at a limit of %v; it had been read for %v when the outlet began to handle it",
-			end.VM, end.Span(logs.Took).Round(time.Millisecond), end.Span(logs.Limit).Round(time.Millisecond), end.Span(logs.Queued).Round(time.Millisecond))
-		list = append(list, lo.slow(end)...)
+		add("given up on by the outlet of %s %v after it had been read, at a limit of %v; it had been read for %v when the outlet began to handle it",
+			end.VM, end.Duration(logs.Took).Round(time.Millisecond), end.Duration(logs.Limit).Round(time.Millisecond), end.Duration(logs.Queued).Round(time.Millisecond))
+		list = append(list, co.timing(end)...)
 	case end.Text(logs.Outcome) == result.MayHaveRun.String() && reason != result.ReasonCallerGone:
-		list = append(list, lo.mayHaveRun(end)...)
+		list = append(list, co.mayHaveRun(end)...)
 	case reason == result.ReasonCallerGone:
-		say("the caller left after %v", end.Span(logs.Took).Round(time.Millisecond))
+		add("the caller left after %v", end.Duration(logs.Took).Round(time.Millisecond))
 	default:
-		say("ended as %s (%s) at the outlet of %s", end.Text(logs.Outcome), reason, end.VM)
+		add("ended as %s (%s) at the outlet of %s", end.Text(logs.Outcome), reason, end.VM)
 	}
-	return append(list, lo.oldVersion(end)...)
+	return append(list, co.staleVersion(end)...)
 }
 
-// slow tells where the time of an answered request went.
-func (lo *Log) slow(end *Line) []string {
+// timing tells where the time of an answered request went.
+func (co *Collector) timing(end *Line) []string {
 	var list []string
-	if d := end.Span(logs.Elapsed); d > 0 {
+	if d := end.Duration(logs.Elapsed); d > 0 {
 		list = append(list, fmt.Sprintf("the caller had been at it for %v before, as it came back after a refusal or called late", d.Round(time.Millisecond)))
 	}
-	wait, held := end.Span(logs.Wait), end.Span(logs.Held)
+	wait, held := end.Duration(logs.Wait), end.Duration(logs.Held)
 	if wait+held > 0 {
-		rest := end.Span(logs.Took) - wait - held
+		rest := end.Duration(logs.Took) - wait - held
 		list = append(list, fmt.Sprintf("%v of it waiting for a slot at the inlet, %v at the backend server, %v on the way and in attempts before",
 			wait, held, rest.Round(time.Millisecond)))
 	}
-	return append(list, lo.refusals()...)
+	return append(list, co.refusals()...)
 }
 
 // refusals names the servers that refused the request, with what the outlet
 // believed and what the inlet said.
-func (lo *Log) refusals() []string {
+func (co *Collector) refusals() []string {
 	var list []string
-	for _, ln := range lo.request {
-		if ln.Text(logs.ID) != lo.id {
+	for _, ln := range co.requestLines {
+		if ln.Text(logs.ID) != co.id {
 			continue
 		}
 		switch ln.Event {
 		case logs.Attempt:
 			list = append(list, fmt.Sprintf("%s did not take it (%s); the outlet believed %.0f requests there, %v old",
-				ln.Text(logs.VM), ln.Text(logs.Reason), ln.Number(logs.Load), ln.Span(logs.LoadAge).Round(time.Millisecond)))
+				ln.Text(logs.VM), ln.Text(logs.Reason), ln.Number(logs.Load), ln.Duration(logs.LoadAge).Round(time.Millisecond)))
 		case logs.Refused:
 			list = append(list, fmt.Sprintf("the inlet of %s says %s with load %s (running/waiting/slots/ms a slot is held/ms of backlog on its link)",
 				ln.VM, ln.Text(logs.Reason), ln.Text(logs.Load)))
@@ -150,32 +150,32 @@
 }
 
 // mayHaveRun tells what was lost of a request that was sent and not answered.
-func (lo *Log) mayHaveRun(end *Line) []string {
+func (co *Collector) mayHaveRun(end *Line) []string {
 	to := end.Text(logs.VM)
 	list := []string{fmt.Sprintf("it was sent to %s and no answer says that it has not run (%s)", to, end.Text(logs.Reason))}
-	for _, ln := range lo.request {
-		if ln.Event == logs.EndedUnder && ln.Text(logs.ID) == lo.id {
+	for _, ln := range co.requestLines {
+		if ln.Event == logs.EndedUnder && ln.Text(logs.ID) == co.id {
 			return append(list, fmt.Sprintf("the backend server %s beside %s ended while it ran it, and maybe others; its %s is %s", ln.Text(logs.Lifetime), ln.VM, logs.Key, ln.Text(logs.Key)))
 		}
-		if ln.Event == logs.Failed && ln.Text(logs.ID) == lo.id {
+		if ln.Event == logs.Failed && ln.Text(logs.ID) == co.id {
 			return append(list, fmt.Sprintf("the inlet of %s had handed it to its backend server, which did not answer it (%s)", ln.VM, ln.Text(logs.Reason)))
 		}
 	}
-	for _, ln := range lo.beliefs {
-		if ln.VM == to && ln.Event == "daemon-start" && ln.Time.After(end.Time.Add(-end.Span(logs.Took))) {
+	for _, ln := range co.stateLines {
+		if ln.VM == to && ln.Event == "daemon-start" && ln.Time.After(end.Time.Add(-end.Duration(logs.Took))) {
 			return append(list, fmt.Sprintf("the daemon of %s was lost meanwhile: a new one started at %s", to, ln.Time.Format(time.TimeOnly)))
 		}
 	}
-	return append(list, fmt.Sprintf("the inlet of %s has no line of it: it was lost, the way to it was, or its line was left out%s", to, lo.leftOut(to, end.Time)))
+	return append(list, fmt.Sprintf("the inlet of %s has no line of it: it was lost, the way to it was, or its line was left out%s", to, co.dropped(to, end.Time)))
 }
 
-// oldVersion reports whether others held a newer configuration than the request was
+// staleVersion reports whether others held a newer configuration than the request was
 // routed by, and what the daemon knew of the platform.
-func (lo *Log) oldVersion(end *Line) []string {
+func (co *Collector) staleVersion(end *Line) []string {
 	routed := end.Number(logs.Version)
-	began := end.Time.Add(-end.Span(logs.Took))
+	began := end.Time.Add(-end.Duration(logs.Took))
 	var newer *Line
-	for _, ln := range lo.beliefs {
+	for _, ln := range co.stateLines {
 		if ln.Event == "version-held" && ln.Number(logs.Version) > routed && ln.Time.Before(began) && (newer == nil || ln.Time.Before(newer.Time)) {
 			newer = ln
 		}
@@ -185,31 +185,31 @@
 	}
 	list := []string{fmt.Sprintf("it was routed by version %.0f; %s had held version %.0f for %v by then",
 		routed, newer.VM, newer.Number(logs.Version), began.Sub(newer.Time).Round(time.Millisecond))}
-	for _, ln := range lo.beliefs {
+	for _, ln := range co.stateLines {
 		if ln.VM == end.VM && !ln.Time.After(end.Time) && strings.HasPrefix(ln.Event, "version-") && ln.Event != "version-held" {
 			list = append(list, fmt.Sprintf("%s did not take version %.0f (%s: %s)", ln.VM, ln.Number(logs.Version), ln.Event, ln.Text("error")))
 		}
 	}
-	if ln := lo.last(end.VM, "platform-state", end.Time); ln != nil && ln.Fields["answers"] == false {
+	if ln := co.lastBefore(end.VM, "platform-state", end.Time); ln != nil && ln.Fields["answers"] == false {
 		list = append(list, fmt.Sprintf("the platform had not answered %s since %s", ln.VM, ln.Time.Format(time.TimeOnly)))
 	}
 	return list
 }
 
-// poison names a request that was refused since servers ended under it.
-func (lo *Log) poison() []string {
-	for _, ln := range lo.request {
-		if ln.Event == logs.PoisonRefused && ln.Text(logs.ID) == lo.id {
+// crashes names a request that was refused since servers ended under it.
+func (co *Collector) crashes() []string {
+	for _, ln := range co.requestLines {
+		if ln.Event == logs.PoisonRefused && ln.Text(logs.ID) == co.id {
 			return []string{fmt.Sprintf("%.0f ends were known there; the lines %s with %s %s tell of each", ln.Number(logs.Ends), logs.EndedUnder, logs.Key, ln.Text(logs.Key))}
 		}
 	}
 	return nil
 }
 
-// last returns the last line of an event of a VM until a moment.
-func (lo *Log) last(vm, event string, until time.Time) *Line {
+// lastBefore returns the last line of an event of a VM until a moment.
+func (co *Collector) lastBefore(vm, event string, until time.Time) *Line {
 	var last *Line
-	for _, ln := range lo.beliefs {
+	for _, ln := range co.stateLines {
 		if ln.VM == vm && ln.Event == event && !ln.Time.After(until) {
 			last = ln
 		}
@@ -217,12 +217,12 @@
 	return last
 }
 
-// leftOut says how many lines a daemon, or any, left out around a moment, which may
+// dropped says how many lines a daemon, or any, left out around a moment, which may
 // have been those looked for.
-func (lo *Log) leftOut(vm string, at time.Time) string {
+func (co *Collector) dropped(vm string, at time.Time) string {
 	n := 0.0
-	for _, ln := range lo.beliefs {
-		if ln.Event != logs.LeftOut || vm != "" && ln.VM != vm || !at.IsZero() && (ln.Time.Before(at) || ln.Time.Sub(at) > 2*reportSpan) {
+	for _, ln := range co.stateLines {
+		if ln.Event != logs.LinesDropped || vm != "" && ln.VM != vm || !at.IsZero() && (ln.Time.Before(at) || ln.Time.Sub(at) > 2*dropReportWindow) {
 			continue
 		}
 		for _, v := range ln.Fields {
@@ -237,5 +237,5 @@
 	return fmt.Sprintf(" (%.0f lines were left out then)", n)
 }
 
-// reportSpan is the time over which lines that were left out are counted together.
-const reportSpan = 5 * time.Second
+// dropReportWindow is the time over which lines that were left out are counted together.
+const dropReportWindow = 5 * time.Second
--- a/internal/stat/trail/read.go
+++ b/internal/stat/trail/read.go
@@ -35,23 +35,23 @@
 	return n
 }
 
-// Span returns a field that is a duration in nanoseconds.
-func (ln *Line) Span(name string) time.Duration { return time.Duration(ln.Number(name)) }
+// Duration returns a field that is a duration in nanoseconds.
+func (ln *Line) Duration(name string) time.Duration { return time.Duration(ln.Number(name)) }
 
-// beliefs are the events that change what a daemon believes.
-var beliefs = map[string]bool{
+// stateEvents are the events that change what a daemon believes.
+var stateEvents = map[string]bool{
 	"version-held": true, "version-refused": true, "version-unreadable": true, "platform-state": true,
 	"backend-server": true, "server-leaves": true, "server-withdrawn": true, "backend-server-unreachable": true,
 	"member-unheard": true, "failure-domain-reach": true, "daemon-start": true, "daemon-end": true, "stopping": true, "drain": true,
-	logs.ServerEnded: true, logs.PoisonFound: true, logs.PoisonCleared: true, logs.LeftOut: true,
+	logs.ServerEnded: true, logs.PoisonFound: true, logs.PoisonCleared: true, logs.LinesDropped: true,
 }
 
-// Log holds the lines that matter for one request.
-type Log struct {
+// Collector holds the lines that matter for one request.
+type Collector struct {
 	id string
-	// request are the lines that bear its id, or that of a call made for it.
-	request []*Line
-	beliefs []*Line
+	// requestLines are the lines that bear its id, or that of a call made for it.
+	requestLines []*Line
+	stateLines   []*Line
 	Passed
 }
 
@@ -64,19 +64,19 @@
 }
 
 // New returns a log without lines for the request with an id.
-func New(id string) *Log { return &Log{id: id} }
+func New(id string) *Collector { return &Collector{id: id} }
 
 // Read adds the lines of one log.
-func (lo *Log) Read(r io.Reader) error { return Scan(r, &lo.Passed, lo.add) }
+func (co *Collector) Read(r io.Reader) error { return Scan(r, &co.Passed, co.add) }
 
 // Scan hands the lines of one log to take, and counts those that are none of a daemon's.
 // Text before the first brace of a line, which collectors put there, is passed over.
-func Scan(r io.Reader, pa *Passed, take func(*Line)) error {
+func Scan(r io.Reader, pa *Passed, handle func(*Line)) error {
 	br := bufio.NewReader(r)
 	for {
 		raw, err := br.ReadBytes('\n')
 		if ln := pa.parse(raw); ln != nil {
-			take(ln)
+			handle(ln)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -117,13 +117,13 @@
 	return ln
 }
 
-func (lo *Log) add(ln *Line) {
+func (co *Collector) add(ln *Line) {
 	id := ln.Text(logs.ID)
 	switch {
-	case id != "" && (id == lo.id || strings.HasPrefix(id, lo.id+".")):
-		lo.request = append(lo.request, ln)
-	case beliefs[ln.Event]:
-		lo.beliefs = append(lo.beliefs, ln)
+	case id != "" && (id == co.id || strings.HasPrefix(id, co.id+".")):
+		co.requestLines = append(co.requestLines, ln)
+	case stateEvents[ln.Event]:
+		co.stateLines = append(co.stateLines, ln)
 	}
 }
 
--- a/internal/stat/trail/trail_test.go
+++ b/internal/stat/trail/trail_test.go
@@ -18,7 +18,7 @@
 	return fmt.Sprintf(`{"time":%q,"level":"INFO","msg":%q,"vm":%q%s}`, at.Format(time.RFC3339Nano), event, vm, fields)
 }
 
-// request is the end of request "x" at VM a.
+// requestLines is the end of request "x" at VM a.
 func request(ms int, outcome, reason string, attempts int, more string) string {
 	return line(ms, "a", "request", fmt.Sprintf(`"id":"x","service":"booking","version":7,"outcome":%q,"reason":%q,"attempts":%d%s`, outcome, reason, attempts, more))
 }
@@ -76,11 +76,11 @@
 		{"unknown id", []string{line(10, "b", "version-held", `"version":8`)}, []string{"no line bears this id"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			lo := New("x")
-			if err := lo.Read(strings.NewReader(strings.Join(tc.log, "\n"))); err != nil {
+			co := New("x")
+			if err := co.Read(strings.NewReader(strings.Join(tc.log, "\n"))); err != nil {
 				t.Fatal(err)
 			}
-			rp := lo.Explain()
+			rp := co.Explain()
 			if len(rp.Causes) != len(tc.want) {
 				t.Fatalf("causes %q, want %d", rp.Causes, len(tc.want))
 			}
@@ -89,23 +89,23 @@
 					t.Errorf("cause %d is %q, want %q in it", i, rp.Causes[i], want)
 				}
 			}
-			if lo.Foreign+lo.Broken != 0 {
-				t.Errorf("%d foreign and %d broken lines", lo.Foreign, lo.Broken)
+			if co.Foreign+co.Broken != 0 {
+				t.Errorf("%d foreign and %d broken lines", co.Foreign, co.Broken)
 			}
 		})
 	}
 }
 
-// TestPassedOver: a log that was cut in the middle of a line, with lines of other
+// TestSkippedLines: a log that was cut in the middle of a line, with lines of other
 // programs and text before each line, is no error.
-func TestPassedOver(t *testing.T) {
-	lo := New("x")
+func TestSkippedLines(t *testing.T) {
+	co := New("x")
 	log := "12.3 s vm-a: " + request(30, "answered", "", 1, `,"to-vm":"b"`) + "\nnot a line\n\n{\"a\":1}\n" +
 		line(20, "a", "request", `"id":"xy"`) + "\n" + line(25, "b", "request", `"id":"x.call","service":"portal"`) + "\n" + line(26, "a", "request", `"id":"x"`)[:40]
-	if err := lo.Read(strings.NewReader(log)); err != nil {
+	if err := co.Read(strings.NewReader(log)); err != nil {
 		t.Fatal(err)
 	}
-	rp := lo.Explain()
+	rp := co.Explain()
 	if rp.Foreign != 2 || rp.Broken != 1 || len(rp.Lines) != 2 || rp.Lines[0].VM != "b" {
 		t.Errorf("%d foreign, %d broken, %d lines: %+v", rp.Foreign, rp.Broken, len(rp.Lines), rp.Lines)
 	}
@@ -115,11 +115,11 @@
 	f.Add(request(30, "answered", "", 1, ""))
 	f.Add(`{"time":1,"msg":{}}`)
 	f.Fuzz(func(t *testing.T, s string) {
-		lo := New("x")
-		if err := lo.Read(strings.NewReader(s)); err != nil {
+		co := New("x")
+		if err := co.Read(strings.NewReader(s)); err != nil {
 			t.Fatal(err)
 		}
-		if rp := lo.Explain(); len(rp.Causes) == 0 {
+		if rp := co.Explain(); len(rp.Causes) == 0 {
 			t.Error("no cause is named")
 		}
 	})
--- a/internal/stat/usage/usage.go
+++ b/internal/stat/usage/usage.go
@@ -17,14 +17,14 @@
 	Processor time.Duration
 }
 
-// tick is the unit of processor time in /proc (USER_HZ, proc(5)).
-const tick = time.Second / 100
+// clockTick is the unit of processor time in /proc (USER_HZ, proc(5)).
+const clockTick = time.Second / 100
 
 // The places of user and system time in /proc/PID/stat, counted from the field
 // behind the program's name.
 const (
-	userField   = 11
-	systemField = 12
+	utimeField = 11
+	stimeField = 12
 )
 
 // Of returns the usage of the process pid, or of this one for 0.
@@ -33,18 +33,18 @@
 	if pid != 0 {
 		dir = "/proc/" + strconv.Itoa(pid)
 	}
-	resident, err := resident(dir + "/status")
+	resident, err := residentBytes(dir + "/status")
 	if err != nil {
 		return Usage{}, err
 	}
-	processor, err := processor(dir + "/stat")
+	cpu, err := cpuTime(dir + "/stat")
 	if err != nil {
 		return Usage{}, err
 	}
-	return Usage{Resident: resident, Processor: processor}, nil
+	return Usage{Resident: resident, Processor: cpu}, nil
 }
 
-func resident(file string) (int64, error) {
+func residentBytes(file string) (int64, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return 0, err
@@ -60,23 +60,23 @@
 	return 0, fmt.Errorf("usage: %s has no VmRSS", file)
 }
 
-func processor(file string) (time.Duration, error) {
+func cpuTime(file string) (time.Duration, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return 0, err
 	}
 	// The program's name, in parentheses, may hold spaces.
 	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
-	if len(fields) <= systemField {
+	if len(fields) <= stimeField {
 		return 0, fmt.Errorf("usage: %s has %d fields", file, len(fields))
 	}
 	sum := time.Duration(0)
-	for _, i := range []int{userField, systemField} {
+	for _, i := range []int{utimeField, stimeField} {
 		n, err := strconv.ParseInt(fields[i], 10, 64)
 		if err != nil {
 			return 0, fmt.Errorf("usage: %s: %w", file, err)
 		}
-		sum += time.Duration(n) * tick
+		sum += time.Duration(n) * clockTick
 	}
 	return sum, nil
 }
