--- a/internal/stat/logs/logs_test.go
+++ b/internal/stat/logs/logs_test.go
@@ -44,8 +44,8 @@
 		if pending := len(wr.pending); pending > maxPending {
 			t.Errorf("%d bytes are held, bound %d", pending, maxPending)
 		}
-		if wr.Lost() < 20_000-2*maxPending/200-1 {
-			t.Errorf("%d of 20000 lines are counted as lost", wr.Lost())
+		if wr.Dropped() < 20_000-2*maxPending/200-1 {
+			t.Errorf("%d of 20000 lines are counted as lost", wr.Dropped())
 		}
 		close(bw.unblock)
 		cancel()
--- a/internal/stat/logs/writer.go
+++ b/internal/stat/logs/writer.go
@@ -55,8 +55,8 @@
 	return len(p), nil
 }
 
-// Lost returns how many lines found no room.
-func (wr *Writer) Lost() int64 { return wr.dropped.Load() }
+// Dropped returns how many lines found no room.
+func (wr *Writer) Dropped() int64 { return wr.dropped.Load() }
 
 // Run writes what comes until ctx ends, and then what is left.
 func (wr *Writer) Run(ctx context.Context) {
