--- a/internal/stat/acct/acct.go
+++ b/internal/stat/acct/acct.go
@@ -13,51 +13,53 @@
 	"github.com/flamingomast/flamingomast/internal/stat/trail"
 )
 
-// Account is what became of the requests of a span of time.
+// Account summarizes the requests in a set of logs.
 type Account struct {
-	// From and Until are the times of the first and last end of a request.
+	// From and Until are the times at which the first and the last request ended.
 	From   time.Time `json:"from"`
 	Until  time.Time `json:"until"`
 	Routes []*Route  `json:"routes"`
-	// Windows divide the span into pieces of equal length.
+	// Windows divide the time from From to Until into windows of equal length.
 	Windows []*Window `json:"windows"`
-	// LeftOut counts lines that the daemons left out by their own bounds: with any,
-	// all counts here are lower limits.
+	// DroppedLines counts the log lines that the daemons dropped to limit the rate. If there are
+	// any, all counts here are lower bounds.
 	LeftOut int `json:"left-out-lines"`
-	// Fleet is what the daemons took and sent, nil where no log tells.
+	// Fleet is the resource usage of the daemons, nil if no log reports it.
 	Fleet *Fleet `json:"fleet,omitempty"`
 	trail.Passed
 }
 
-// Route sums up the requests of one route.
+// Route summarizes the requests of one route.
 type Route struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
 	Counts
-	// Back counts the further tries of callers that came back, Again the attempts
-	// beyond the first of each request.
+	// CallerRetries counts the requests that callers had sent before, Retries the outlets' attempts
+	// beyond the first at each request.
 	Back  int `json:"back"`
 	Again int `json:"again"`
-	// Reasons counts what was refused or failed, by outcome and reason.
+	// Reasons counts the refused and failed requests by outcome and reason.
 	Reasons map[string]int `json:"reasons"`
-	// BesideFree counts refusals for want of room while a server of the service had a
-	// free slot, as far as the answers of the logs tell.
+	// AvoidableRefusals counts refusals for lack of slots while another server of the service had
+	// a free slot, as far as the logged answers show.
 	BesideFree int `json:"beside-free"`
-	// NotReached counts the failures of requests that, as their inlets tell, no backend
-	// server got: their callers may not send again what may run only once.
+	// NotDelivered counts the failed requests that, according to the inlets, no backend server
+	// received. Their callers cannot know this, so they may not repeat a request that must not
+	// run twice.
 	NotReached int `json:"not-reached"`
-	// ByCall counts the requests that failed after a call made for them had failed, by
-	// the route of the call.
+	// FailedCalls counts the refused and failed requests for which a call made on their behalf was
+	// not answered, by the route of the call.
 	ByCall map[string]int `json:"by-call"`
-	// Before is how long callers had been at a request before it came; Wait and Held
-	// are for a slot and in it; Took is all the time at the outlet. Of answered ones.
+	// Elapsed is the time that callers had spent on a request before it arrived, Wait the wait for
+	// a slot, ServiceTime the time in the slot, and Took the total time at the outlet. They cover
+	// answered requests only.
 	Before Times `json:"before"`
 	Wait   Times `json:"wait"`
 	Held   Times `json:"held"`
 	Took   Times `json:"took"`
 }
 
-// Counts tells apart how requests ended.
+// Counts holds the numbers of requests by outcome.
 type Counts struct {
 	InTime  int `json:"in-time"`
 	Late    int `json:"late"`
@@ -65,35 +67,35 @@
 	Failed  int `json:"failed"`
 }
 
-// Window counts the requests that ended in a piece of the span.
+// Window counts the requests that ended within a window that begins at From.
 type Window struct {
 	From time.Time `json:"from"`
 	Counts
 }
 
-// Times are quantiles, in nanoseconds.
+// Times are quantiles in nanoseconds.
 type Times struct {
 	Middle time.Duration `json:"middle"`
 	Ninth  time.Duration `json:"nine-in-ten"`
 }
 
-// windowLength is the length of a window: long enough for some hundred requests of a
-// small fleet, short enough to show a fault of some seconds.
+// windowLength is long enough for some hundred requests in a small fleet, and short enough to
+// show a fault that lasts a few seconds.
 const windowLength = 2 * time.Second
 
-// Reader gathers the lines of logs. The zero value has none.
+// Reader gathers the lines of several logs. The zero value is ready for use.
 type Reader struct {
 	requests []*trail.Line
-	// slots has how many each VM's backend server has, by the refusals of its inlet.
+	// slots holds the number of slots of each VM's backend server, as its inlet reports in refusals.
 	slots        map[string]int
 	droppedLines int
 	processes    processes
-	// refusals counts, for each request, the tries that inlets did not hand over.
+	// refusals counts, for each request ID, the attempts that inlets refused.
 	refusals map[string]int
 	trail.Passed
 }
 
-// Read adds the lines of one log.
+// Read adds the lines of a log.
 func (rd *Reader) Read(r io.Reader) error {
 	return trail.Scan(r, &rd.Passed, func(ln *trail.Line) {
 		switch ln.Event {
@@ -120,7 +122,7 @@
 	})
 }
 
-// Account sums up what was read.
+// Account returns a summary of the lines read.
 func (rd *Reader) Account() *Account {
 	slices.SortStableFunc(rd.requests, func(a, b *trail.Line) int { return a.Time.Compare(b.Time) })
 	ac := &Account{LeftOut: rd.droppedLines, Fleet: rd.processes.sum(), Passed: rd.Passed}
@@ -150,13 +152,14 @@
 	return ac
 }
 
-// failedUndelivered reports whether a request failed though none of its tries was handed over.
+// failedUndelivered reports whether a request failed although inlets refused all its attempts.
 func (rd *Reader) failedUndelivered(ln *trail.Line) bool {
 	attempts := int(ln.Number("attempts"))
 	return ln.Text(logs.Outcome) == result.MayHaveRun.String() && attempts > 0 && rd.refusals[ln.Text(logs.ID)] >= attempts
 }
 
-// window returns the window of a time, which is not before that of the last.
+// window returns the window that contains at, which must not be before From, and adds missing
+// windows up to it.
 func (ac *Account) window(at time.Time) *Window {
 	n := int(at.Sub(ac.From) / windowLength)
 	for len(ac.Windows) <= n {
@@ -167,8 +170,8 @@
 
 func (co *Counts) all() int { return co.InTime + co.Late + co.Refused + co.Failed }
 
-// add counts the end of a request. What the caller had spent before counts against its
-// objective.
+// add counts a request by its outcome. Time that the caller spent on earlier attempts counts
+// against the objective.
 func (co *Counts) add(ln *trail.Line) {
 	objective := ln.Duration(logs.Objective)
 	switch outcome := ln.Text(logs.Outcome); {
@@ -183,7 +186,7 @@
 	}
 }
 
-// routeSamples is a route with the times of its answered requests.
+// routeSamples is a route with the durations of its answered requests.
 type routeSamples struct {
 	*Route
 	elapsed, wait, serviceTime, took []time.Duration
@@ -224,8 +227,8 @@
 	return Times{Middle: list[len(list)/2], Ninth: list[len(list)*9/10]}
 }
 
-// failedCalls returns, by the id of a request, the route of the first call made for it
-// that was not answered. A call's id is that of its request, a dot and a name.
+// failedCalls returns, by request ID, the route of the first call made on behalf of the request
+// that was not answered. The ID of a call is that of its request, a dot and a name.
 func failedCalls(requests []*trail.Line) map[string]string {
 	calls := map[string]string{}
 	for _, ln := range requests {
--- a/internal/stat/acct/acct_test.go
+++ b/internal/stat/acct/acct_test.go
@@ -11,36 +11,36 @@
 
 var noon = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 
-// line is the end of a request at ms after noon.
+// line returns the line that records the outcome of a request, at milliseconds after noon.
 func line(at int, id, route, outcome, reason, vm string, attempts, elapsed, wait, held, took int) string {
 	return fmt.Sprintf(`{"time":%q,"level":"INFO","msg":"request","vm":"a","id":%q,"service":"s-%s","route":%q,"outcome":%q,"reason":%q,"attempts":%d,"to-vm":%q,"elapsed":%d,"objective":400000000,"wait":%d,"held":%d,"took":%d}`,
 		noon.Add(time.Duration(at)*time.Millisecond).Format(time.RFC3339Nano), id, route, route, outcome, reason, attempts, vm,
 		elapsed*1_000_000, wait*1_000_000, held*1_000_000, took*1_000_000)
 }
 
-// refused is a refusal by the inlet of a VM that tells its load.
+// refused returns the line of a refusal by the inlet of a VM, with its load.
 func refused(at int, vm, load string) string {
 	return fmt.Sprintf(`{"time":%q,"level":"WARN","msg":"inlet-refused","vm":%q,"load":%q}`,
 		noon.Add(time.Duration(at)*time.Millisecond).Format(time.RFC3339Nano), vm, load)
 }
 
-// TestAccount: users complain of a busy hour, and all that there is are logs of several
-// daemons. The account tells how many requests were late and for what, which call failed
-// which request, and that one was refused while another server had room.
+// TestAccount summarizes the logs of two daemons. The account must show how many requests were
+// late, which failed call made a request fail, and that one request was refused while another
+// server had a free slot.
 func TestAccount(t *testing.T) {
 	first := strings.Join([]string{
 		line(100, "1", "r", "answered", "", "x", 1, 0, 10, 80, 100),
 		line(200, "2", "r", "answered", "", "x", 2, 300, 50, 100, 160),
 		line(250, "3.a", "c", "not-run", "slots-full", "z", 2, 0, 0, 0, 5),
 		line(260, "3", "r", "may-have-run", "failed", "x", 1, 0, 0, 0, 120),
-		// Both slots of x were held until 900.
+		// Both slots of x were in use until 900 ms.
 		line(900, "5", "r", "answered", "", "x", 1, 0, 0, 500, 500),
 		line(900, "6", "r", "answered", "", "x", 1, 0, 0, 500, 500),
 		refused(450, "x", "2/1/2/100"),
 		"not a line of ours",
 	}, "\n")
 	second := strings.Join([]string{
-		// y had two of three slots in use until 300 and one of them at 500.
+		// y had two of its three slots in use until 300 ms, and one at 500 ms.
 		line(300, "7", "r", "answered", "", "y", 1, 0, 0, 200, 210),
 		line(300, "8", "r", "answered", "", "y", 1, 0, 0, 200, 210),
 		line(600, "9", "r", "answered", "", "y", 1, 0, 0, 200, 210),
@@ -77,9 +77,8 @@
 	}
 }
 
-// TestFleet: the mesh itself takes more memory and calls than before, and an on-call has
-// only logs. The account sums the last usage line of each process, those of processes that
-// were replaced as well.
+// TestFleet checks that the account sums the last usage line of each process, including processes
+// that were replaced, and counts failed requests that no server received.
 func TestFleet(t *testing.T) {
 	usage := func(at int, vm string, resident, processor, watches int) string {
 		return fmt.Sprintf(`{"time":%q,"level":"INFO","msg":"usage","vm":%q,"resident":%d,"processor-ms":%d,"control-out":10,"path-out":100,"calls":{"watch/op":%d,"list/relays":1},"links":{"across/records":7}}`,
@@ -106,11 +105,11 @@
 		t.Error(diff)
 	}
 	if got := ac.Routes[0].NotReached; got != 1 {
-		t.Errorf("%d requests failed that no server got, want 1", got)
+		t.Errorf("%d failed requests were not delivered, want 1", got)
 	}
 }
 
-// TestNoRequests: logs without a request give an empty account.
+// TestNoRequests checks that logs without requests yield an empty account.
 func TestNoRequests(t *testing.T) {
 	var rd Reader
 	if err := rd.Read(strings.NewReader("x\n{\"time\":\n")); err != nil {
--- a/internal/stat/acct/doc.go
+++ b/internal/stat/acct/doc.go
@@ -1,4 +1,4 @@
-// Package acct joins the logs of daemons into one account of a span of time: for each
-// route how many requests were answered in time, late or not at all, for which reason,
-// and where their time went.
+// Package acct summarizes the logs of several daemons: for each route, how many requests were
+// answered in time, answered late, refused or failed, for which reasons, and where their time was
+// spent.
 package acct
--- a/internal/stat/acct/fleet.go
+++ b/internal/stat/acct/fleet.go
@@ -7,37 +7,39 @@
 	"github.com/flamingomast/flamingomast/internal/stat/trail"
 )
 
-// Fleet is what the daemons took and sent, by the last usage line of each process.
+// Fleet is the resource usage of all daemons, from the last usage line of each process.
 type Fleet struct {
-	// Processes have written a usage line; what came after the last one is missing.
+	// Processes is the number of processes that logged a usage line. Usage after the last line of
+	// a process is not included.
 	Processes int `json:"processes"`
-	// Resident is the mean of a process in bytes at its last line, ResidentMost the most
-	// at any line.
+	// Resident is the mean resident set of the processes in bytes at their last lines, MaxResident
+	// the largest in any line.
 	Resident     int64         `json:"resident-bytes"`
 	ResidentMost int64         `json:"resident-bytes-most"`
 	Processor    time.Duration `json:"processor"`
-	// ControlOut and PathOut are bytes sent between daemons: control, and requests with
-	// their answers.
+	// ControlBytes and PathBytes are the bytes that daemons sent to each other: control messages,
+	// and requests with their answers.
 	ControlOut int64 `json:"control-bytes"`
 	PathOut    int64 `json:"path-bytes"`
-	// Calls are those to the platform's store by purpose, Read the bytes that they
-	// brought, Links the bytes that links sent by kind.
+	// StoreCalls counts calls to the platform's store and StoreBytesRead the bytes that they
+	// returned, both by purpose. LinkBytes counts the bytes sent on links by kind.
 	Calls map[string]int64 `json:"calls"`
 	Read  map[string]int64 `json:"read-bytes"`
 	Links map[string]int64 `json:"link-bytes"`
 }
 
-// processes gathers usage lines: the last one of each process, whose counts begin at its
-// start. The zero value has none.
+// processes keeps the last usage line of each process. The counts in a line start from zero with
+// the process. The zero value is ready for use.
 type processes struct {
-	// last has the last line of the process that each VM runs, ended those of former
-	// ones.
+	// last holds the last line of each VM's present process, replaced those of its earlier
+	// processes.
 	last        map[string]*trail.Line
 	replaced    []*trail.Line
 	maxResident int64
 }
 
-// add takes a usage line. Lines of one VM come in order.
+// add records a usage line. The lines of a VM must be added in order of time. A processor time
+// below that of the line before means that a new process has started.
 func (ps *processes) add(ln *trail.Line) {
 	if ps.last == nil {
 		ps.last = map[string]*trail.Line{}
@@ -49,7 +51,7 @@
 	ps.last[ln.VM] = ln
 }
 
-// sum returns what all processes took, nil where none told.
+// sum returns the usage of all processes, or nil if there are no usage lines.
 func (ps *processes) sum() *Fleet {
 	all := ps.replaced
 	for _, ln := range ps.last {
@@ -72,11 +74,11 @@
 	return fl
 }
 
-// addCounts adds the counts of a group of a line.
+// addCounts adds the counts in a group field of a usage line.
 func addCounts(to map[string]int64, group any) {
 	fields, ok := group.(map[string]any)
 	if !ok {
-		// The daemon had none of them.
+		// The group is missing if the daemon has nothing to count in it.
 		return
 	}
 	for name, v := range fields {
--- a/internal/stat/acct/slots.go
+++ b/internal/stat/acct/slots.go
@@ -9,21 +9,21 @@
 	"github.com/flamingomast/flamingomast/internal/stat/trail"
 )
 
-// slotUse has, for each service and VM, when its slots were held.
+// slotUse records, by service and VM, when the slots of the backend server were in use.
 type slotUse map[string]map[string]*server
 
-// server is when the slots of one backend server were held.
+// server records when the slots of one backend server were in use.
 type server struct {
 	spans []span
-	// slots is how many it has, as its inlet says when it refuses a request; 0 where it
-	// refused none, and then nobody was refused beside it.
+	// slots is the number of slots that the inlet reports when it refuses a request. It is 0 if
+	// the inlet refused none, and the server then counts as having no free slot.
 	slots int
 }
 
 type span struct{ from, until time.Time }
 
-// slotUseOf reads from answered requests when slots were held: until the answer came, for
-// as long as its inlet says. The slots of each VM are those that it tells in refusals.
+// slotUseOf derives the use of slots from answered requests: a slot was in use until the answer
+// arrived, for the service time that the inlet reported. slots holds the number of slots by VM.
 func slotUseOf(requests []*trail.Line, slots map[string]int) slotUse {
 	all := slotUse{}
 	for _, ln := range requests {
@@ -48,10 +48,10 @@
 	return all
 }
 
-// maxHold bounds for how long a slot is held, so that not all spans are looked at.
+// maxHold is the longest time that a slot is assumed to be in use. It bounds the spans to search.
 const maxHold = 5 * time.Second
 
-// heldAt returns how many slots were held at a moment.
+// heldAt returns how many slots were in use at a given time.
 func (se *server) heldAt(now time.Time) int {
 	first, _ := slices.BinarySearchFunc(se.spans, now.Add(-maxHold), func(sp span, at time.Time) int { return sp.from.Compare(at) })
 	n := 0
@@ -66,12 +66,11 @@
 	return n
 }
 
-// inTransit is how many requests of a server are taken to be on their way to or from it,
-// with a slot that looks free.
+// inTransit is the number of requests assumed to be in transit to or from a server, so that their
+// slots look free.
 const inTransit = 1
 
-// hasFree reports whether a server of a service that answered in the seconds around a moment
-// had a free slot then.
+// hasFree reports whether an active server of a service had a free slot at a given time.
 func (su slotUse) hasFree(service string, now time.Time) bool {
 	for _, se := range su[service] {
 		if se.active(now) && se.heldAt(now)+inTransit < se.slots {
@@ -81,8 +80,8 @@
 	return false
 }
 
-// active reports whether a request began within a second before a moment and one within a
-// second after it: a server that is gone has no free slot.
+// active reports whether a request began within a second before the given time and another within
+// a second after it. A server that has stopped has no free slots.
 func (se *server) active(now time.Time) bool {
 	i, _ := slices.BinarySearchFunc(se.spans, now, func(sp span, at time.Time) int { return sp.from.Compare(at) })
 	return i > 0 && now.Sub(se.spans[i-1].from) < time.Second && i < len(se.spans) && se.spans[i].from.Sub(now) < time.Second
--- a/internal/stat/expo/doc.go
+++ b/internal/stat/expo/doc.go
@@ -1,2 +1,2 @@
-// Package expo writes expvar metrics as the text that common collectors read.
+// Package expo writes expvar metrics in the text exposition format that common collectors read.
 package expo
--- a/internal/stat/expo/expo.go
+++ b/internal/stat/expo/expo.go
@@ -11,16 +11,17 @@
 	"strings"
 )
 
-// prefix begins the name of each metric.
+// prefix is prepended to the name of each metric.
 const prefix = "flamingomast_"
 
-// Write writes the numbers of vars, a line each. Its own numbers become metrics;
-// a map in it holds series by name, which become a label, with the numbers of
-// each in turn or maps of them, whose keys become another label.
+// Write writes the numbers and booleans in vars, one sample per line. Top-level values become
+// metrics without labels. The keys of a top-level map become the label series. If the values of
+// that map are maps themselves, their keys become part of the metric name, and the keys of maps
+// within those become the label key.
 func Write(w io.Writer, vars *expvar.Map) error {
 	var top map[string]any
 	if err := json.Unmarshal([]byte(vars.String()), &top); err != nil {
-		return fmt.Errorf("expo: the metrics cannot be read: %w", err)
+		return fmt.Errorf("expo: cannot decode the expvar metrics: %w", err)
 	}
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(top)) {
@@ -56,7 +57,7 @@
 	}
 }
 
-// writeSample writes one number; what is none is left out.
+// writeSample writes a sample. It skips values that are neither numbers nor booleans.
 func writeSample(b *strings.Builder, name, labels string, v any) {
 	text := ""
 	switch v := v.(type) {
--- a/internal/stat/expo/expo_test.go
+++ b/internal/stat/expo/expo_test.go
@@ -13,7 +13,7 @@
 	vars := new(expvar.Map)
 	vars.Set("version-held", expvar.Func(func() any { return 12 }))
 	vars.Set("relay", expvar.Func(func() any { return true }))
-	vars.Set("vm", expvar.Func(func() any { return "a name is no number" }))
+	vars.Set("vm", expvar.Func(func() any { return "not a number" }))
 	series := new(expvar.Map)
 	outcomes := new(expvar.Map)
 	outcomes.Add(`not-run/"full"`, 3)
@@ -32,7 +32,7 @@
 	// flamingomast_version_held 12
 }
 
-// TestHistograms: the histograms of the path come out as quantiles.
+// TestHistograms checks that histograms are written as counts and quantiles.
 func TestHistograms(t *testing.T) {
 	var set hist.Set
 	set.For("booking", "default").Latency.Record(1e6)
--- a/internal/stat/hist/doc.go
+++ b/internal/stat/hist/doc.go
@@ -1,3 +1,3 @@
-// Package hist keeps histograms and counters of requests for each service and
-// class, and shows them through expvar.
+// Package hist keeps histograms and counters of requests by service and class, and exports them
+// through expvar.
 package hist
--- a/internal/stat/hist/hist.go
+++ b/internal/stat/hist/hist.go
@@ -9,12 +9,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range of durations that a histogram tells apart; longer ones count as
-// the longest.
+// The range of durations in a histogram. Durations outside it are clamped to its ends.
 const (
 	shortest = time.Microsecond
 	longest  = time.Minute
-	// digits is the precision of a value in decimal digits.
+	// digits is the precision in significant decimal digits.
 	digits = 2
 )
 
@@ -35,7 +34,8 @@
 	_ = du.hi.RecordValue(max(us, shortest.Microseconds()))
 }
 
-// Quantile returns the duration below which the share q, from 0 to 100, lies.
+// Quantile returns the duration at percentile q, which ranges from 0 to 100, or 0 if the histogram
+// is empty.
 func (du *Durations) Quantile(q float64) time.Duration {
 	du.mu.Lock()
 	defer du.mu.Unlock()
@@ -45,7 +45,7 @@
 	return time.Duration(du.hi.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// summary is what a histogram shows, in milliseconds.
+// summary is the exported form of a histogram, with durations in milliseconds.
 type summary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50-ms"`
@@ -55,7 +55,7 @@
 	Max   float64 `json:"max-ms"`
 }
 
-// String returns the count and some quantiles as JSON.
+// String returns the count, some quantiles and the maximum as JSON.
 func (du *Durations) String() string {
 	du.mu.Lock()
 	defer du.mu.Unlock()
@@ -74,20 +74,19 @@
 	return string(b)
 }
 
-// Series is what is counted for one service and class on one side of the path.
+// Series holds the metrics of a service and class at an outlet or at an inlet.
 type Series struct {
-	// Latency is of whole requests, Queue of the wait for a slot, or at an outlet of the
-	// time between the reading of a request and its handling.
+	// Latency is the duration of whole requests. Queue is, at an inlet, the wait for a slot and, at
+	// an outlet, the time from the reading of a request to the start of its handling.
 	Latency, Queue Durations
-	// Outcomes counts requests by outcome and reason, Attempts by how often
-	// they were sent.
+	// Outcomes counts requests by outcome and reason, Attempts by the number of attempts.
 	Outcomes, Attempts expvar.Map
 }
 
-// Set holds the series of one side of the path, by service and class. The zero
-// value is ready for use.
+// Set holds the series of an outlet or an inlet by service and class. The zero value is ready for
+// use.
 type Set struct {
-	series sync.Map // of *Series by key
+	series sync.Map // key to *Series
 	vars   expvar.Map
 }
 
@@ -95,7 +94,7 @@
 	service, class string
 }
 
-// For returns the series of a service and class.
+// For returns the series of a service and class, and creates it if necessary.
 func (st *Set) For(service, class string) *Series {
 	ky := key{service: service, class: class}
 	if v, ok := st.series.Load(ky); ok {
@@ -114,5 +113,5 @@
 	return sr
 }
 
-// Var returns all series for expvar.
+// Var returns all series as an expvar variable.
 func (st *Set) Var() expvar.Var { return &st.vars }
--- a/internal/stat/logs/events.go
+++ b/internal/stat/logs/events.go
@@ -1,76 +1,77 @@
 package logs
 
-// The events that touch a request, and the fields of their lines.
+// The events that concern requests, and the fields of their lines.
 const (
-	// Request is the end of a request at the outlet that took it.
+	// Request records the outcome of a request at the outlet that received it.
 	Request = "request"
-	// Attempt is a try at one backend server that did not end in an answer.
+	// Attempt is an attempt at one backend server that did not yield an answer.
 	Attempt = "attempt"
-	// Refused is a request that an inlet did not hand over, Failed one that it
-	// handed over and that was not answered.
+	// InletRefused is a request that an inlet did not forward to its backend server, InletFailed
+	// one that it forwarded and that was not answered.
 	Refused = "inlet-refused"
 	Failed  = "inlet-failed"
-	// DeadlineUnset is a deadline of a caller's connection that could not be set: the
-	// caller has gone, or its connection knows none.
+	// SetDeadlineFailed is a failure to set the deadline of a caller's connection: the caller has
+	// disconnected, or the connection does not support deadlines.
 	DeadlineUnset = "caller-deadline-unset"
-	// ServerEnded is the end of a backend server that was running requests.
+	// ServerCrashed is the crash of a backend server: its process ended while it ran requests.
 	ServerEnded = "backend-server-ended"
-	// EndedUnder is a request that a backend server was running when it ended.
+	// RunningAtCrash is a request that a backend server was running when it crashed.
 	EndedUnder = "ended-under"
-	// PoisonFound is a request that is not run any more, as servers end under it;
-	// PoisonCleared is one that was answered since.
+	// PoisonFound is a request that is not run any more because servers crash on it,
+	// PoisonCleared one that has since been answered.
 	PoisonFound   = "poison-found"
 	PoisonCleared = "poison-cleared"
-	// PoisonRefused is a request that an outlet did not send for that.
+	// PoisonRefused is a request that an outlet did not send because it is a poison request.
 	PoisonRefused = "poison-refused"
 
-	// Usage is what a daemon has taken and sent since its start; Calls groups its calls
-	// to the platform's store by purpose, Read the bytes that came back, Links what its
-	// links have sent by kind.
+	// Usage reports the resource usage of a daemon since its start. StoreCalls groups its calls to
+	// the platform's store and StoreBytesRead the bytes that they returned, both by purpose.
+	// LinkBytes groups the bytes sent on its links by kind.
 	Usage = "usage"
 	Calls = "calls"
 	Read  = "read"
 	Links = "links"
 
-	// ID is the caller's id of a request.
+	// ID is the ID that the caller gave to a request.
 	ID = "id"
-	// Key is what package ident names a request by: the same for each try of its caller,
-	// and for another caller that asks for the same.
+	// RequestKey is the key that package ident computes for a request. It is the same for each
+	// attempt of its caller, and for other callers that send an equal request.
 	Key = "request-key"
-	// Ends is how many backend servers are known to have ended under a request.
+	// Crashes is the number of backend servers known to have crashed while running a request.
 	Ends = "ends"
-	// Version is the configuration that a request was routed by.
+	// Version is the version of the configuration that a request was routed by.
 	Version = "version"
 	// Outcome and Reason are those of package result.
 	Outcome = "outcome"
 	Reason  = "reason"
-	// VM is the one that a request was sent to, Lifetime its backend server.
+	// TargetVM is the VM that a request was sent to, Lifetime the lifetime of its backend server.
 	VM = "to-vm"
-	// Service is the one that a line is about.
+	// Service is the service that a line concerns.
 	Service = "service"
-	// Software is the version of its software, on the lines of services that are being
-	// rolled out.
+	// Software is the software version of the backend server. It is set only for services with a
+	// rollout in progress.
 	Software = "software"
 	Lifetime = "lifetime"
-	// Took is the time from the arrival to the end, in nanoseconds.
+	// Took is the time from the arrival of a request to its end, in nanoseconds.
 	Took = "took"
-	// Queued is how long a request had been read when the outlet began to handle it,
-	// Limit how long after that reading it is given up on, in nanoseconds.
+	// Queued is the time from the reading of a request to the start of its handling at the outlet,
+	// Limit the timeout counted from that reading, in nanoseconds.
 	Queued = "queued"
 	Limit  = "limit"
-	// Error is what broke the last attempt at a request.
+	// Error is the error that ended the last attempt at a request.
 	Error = "error"
-	// Objective is the time within which the answer has its full worth, in
-	// nanoseconds, 0 where none is declared.
+	// Objective is the declared target latency in nanoseconds, 0 if there is none.
 	Objective = "objective"
-	// Elapsed is how long the caller had been at a request before it came.
+	// Elapsed is the time that the caller had spent on a request before it arrived, in
+	// nanoseconds.
 	Elapsed = "elapsed"
-	// Wait is how long a request waited for a slot, Held for how long it held it
-	// until its answer had been read, in nanoseconds, as its inlet says.
+	// Wait is the time that a request waited for a slot, ServiceTime the time from then until its
+	// answer had been read, in nanoseconds, as reported by the inlet.
 	Wait = "wait"
 	Held = "held"
-	// Load is running, waiting, slots and the mean time in ms that a slot is
-	// held, joined by slashes; LoadAge is its age in milliseconds.
+	// Load is, on lines of an inlet, a result.Load as text: running requests, waiting requests,
+	// slots and times in milliseconds, joined by slashes. On lines of an outlet it is the number of
+	// requests assumed at the server, and LoadAge is the age of that number in nanoseconds.
 	Load    = "load"
 	LoadAge = "load-age"
 )
--- a/internal/stat/logs/limit.go
+++ b/internal/stat/logs/limit.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// The number of lines that are kept.
+// The limits on the number of lines.
 const (
-	// rate and burst are for each event and level: with some twenty events a
-	// daemon writes a few hundred lines a second at most, whatever the load.
+	// rate, in lines per second, and burst apply to each event and level. With about twenty events,
+	// a daemon writes at most a few hundred lines per second under any load.
 	rate  = 10.0
 	burst = 40.0
-	// warnFactor is how many times as many lines of failures are kept.
+	// warnFactor multiplies both limits for warnings and errors.
 	warnFactor = 4
-	// reportInterval is how often the number of lines that were left out is told.
+	// reportInterval is the minimum time between reports of dropped lines.
 	reportInterval = 5 * time.Second
 )
 
-// LinesDropped is the event that tells how many lines of which event were left out.
+// LinesDropped is the event that reports the number of dropped lines by event.
 const LinesDropped = "log-lines-left-out"
 
-// Handler keeps a bounded number of lines of each event, failures before
-// successes.
+// Handler limits the rate of lines of each event and level. Warnings and errors have a limit of
+// their own, so that lines of successes cannot displace them.
 type Handler struct {
 	next slog.Handler
 	li   *limiter
@@ -46,25 +46,26 @@
 	dropped int
 }
 
-// NewHandler returns a handler before next.
+// NewHandler returns a handler that passes the lines within the limits to next.
 func NewHandler(next slog.Handler) *Handler {
 	return &Handler{next: next, li: &limiter{buckets: map[key]*bucket{}}}
 }
 
-// Enabled passes the question on.
+// Enabled reports whether the next handler is enabled for a level.
 func (ha *Handler) Enabled(ctx context.Context, lv slog.Level) bool { return ha.next.Enabled(ctx, lv) }
 
-// WithAttrs returns a handler that shares the bounds.
+// WithAttrs returns a handler with additional attributes that shares the limits.
 func (ha *Handler) WithAttrs(attrs []slog.Attr) slog.Handler {
 	return &Handler{next: ha.next.WithAttrs(attrs), li: ha.li}
 }
 
-// WithGroup returns a handler that shares the bounds.
+// WithGroup returns a handler with a group that shares the limits.
 func (ha *Handler) WithGroup(name string) slog.Handler {
 	return &Handler{next: ha.next.WithGroup(name), li: ha.li}
 }
 
-// Handle writes a line unless there were too many of its event.
+// Handle passes a line on unless it exceeds the limits. It also reports dropped lines when a
+// report is due.
 func (ha *Handler) Handle(ctx context.Context, rec slog.Record) error {
 	keep, dropped := ha.li.admit(key{rec.Message, rec.Level}, rec.Time)
 	if dropped != nil {
@@ -82,7 +83,8 @@
 	return ha.next.Handle(ctx, rec)
 }
 
-// admit reports whether a line is kept, and from time to time how many were not.
+// admit reports whether a line is within the limits. If a report is due, it also returns the
+// number of dropped lines by event.
 func (li *limiter) admit(ky key, now time.Time) (keep bool, dropped map[string]int) {
 	li.mu.Lock()
 	defer li.mu.Unlock()
--- a/internal/stat/logs/logs_test.go
+++ b/internal/stat/logs/logs_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// blockedWriter is a reader of the log that has stopped reading.
+// blockedWriter blocks each write until unblock is closed, as a pipe whose reader has stopped.
 type blockedWriter struct{ unblock chan struct{} }
 
 func (bw blockedWriter) Write(p []byte) (int, error) {
@@ -20,8 +20,8 @@
 	return len(p), nil
 }
 
-// TestStoppedReader: the pipe behind standard output is full and nobody reads.
-// Requests go on; what is lost is counted and memory is bounded.
+// TestStoppedReader checks that writes do not block when the pipe behind standard output is full
+// and nobody reads it, that dropped lines are counted and that the memory used is bounded.
 func TestStoppedReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bw := blockedWriter{unblock: make(chan struct{})}
@@ -42,10 +42,10 @@
 			_, _ = wr.Write(line)
 		}
 		if pending := len(wr.pending); pending > maxPending {
-			t.Errorf("%d bytes are held, bound %d", pending, maxPending)
+			t.Errorf("%d bytes are pending, limit %d", pending, maxPending)
 		}
 		if wr.Dropped() < 20_000-2*maxPending/200-1 {
-			t.Errorf("%d of 20000 lines are counted as lost", wr.Dropped())
+			t.Errorf("%d of 20000 lines are counted as dropped", wr.Dropped())
 		}
 		close(bw.unblock)
 		cancel()
@@ -53,8 +53,8 @@
 	})
 }
 
-// TestBound: five times the load writes no more lines, says how many it left
-// out, and keeps the failures among ten times as many successes.
+// TestBound checks that the number of lines stays within the limits under load, that dropped lines
+// are reported, and that warnings are kept among ten times as many lines of successes.
 func TestBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
@@ -84,18 +84,18 @@
 			kept[line["level"].(string)]++
 		}
 		if n := kept["INFO"]; n > burst+rate*seconds+1 {
-			t.Errorf("%d lines of successes, bound %g", n, burst+rate*seconds+1)
+			t.Errorf("%d lines of successes, limit %g", n, burst+rate*seconds+1)
 		}
 		if n := kept["WARN"]; n < 500 {
 			t.Errorf("%d of 1000 lines of failures are kept", n)
 		}
 		if dropped < 4000 {
-			t.Errorf("%g lines are told as left out", dropped)
+			t.Errorf("%g lines are reported as dropped", dropped)
 		}
 	})
 }
 
-// BenchmarkLine is the price of a line that is kept and of one that is not.
+// BenchmarkLine measures the cost of a line that is written and of one that is dropped.
 func BenchmarkLine(b *testing.B) {
 	wr := NewWriter(io.Discard)
 	go wr.Run(b.Context())
--- a/internal/stat/logs/writer.go
+++ b/internal/stat/logs/writer.go
@@ -8,21 +8,20 @@
 	"time"
 )
 
-// The bounds of a writer.
+// The limits of a writer.
 const (
-	// maxPending is how many bytes wait for the reader of the log. One that stops
-	// reading costs lines, and no request waits for it.
+	// maxPending is the maximum number of bytes that wait to be written. If the reader of the log
+	// stops reading, further lines are dropped, and no request waits.
 	maxPending = 256 << 10
-	// flushInterval is how long lines wait to be written together: one system call
-	// for all instead of one each.
+	// flushInterval is the time for which lines are collected, to write them with one system call
+	// instead of one per line.
 	flushInterval = 50 * time.Millisecond
 )
 
-// Writer passes lines on in the background. Its methods may be called from any
-// goroutine.
+// Writer writes lines in the background. Its methods are safe for concurrent use.
 type Writer struct {
 	out io.Writer
-	// dropped counts the lines that found no room.
+	// dropped counts the lines that exceeded maxPending.
 	dropped atomic.Int64
 
 	mu      sync.Mutex
@@ -30,12 +29,12 @@
 	wake    chan struct{}
 }
 
-// NewWriter returns a writer to out; Run writes.
+// NewWriter returns a writer to out. Nothing is written until Run is called.
 func NewWriter(out io.Writer) *Writer {
 	return &Writer{out: out, wake: make(chan struct{}, 1)}
 }
 
-// Write takes a line; it never blocks and never fails.
+// Write queues a line, or drops it if too many bytes are pending. It never blocks and never fails.
 func (wr *Writer) Write(p []byte) (int, error) {
 	wr.mu.Lock()
 	if len(wr.pending)+len(p) > maxPending {
@@ -55,10 +54,10 @@
 	return len(p), nil
 }
 
-// Dropped returns how many lines found no room.
+// Dropped returns the number of dropped lines.
 func (wr *Writer) Dropped() int64 { return wr.dropped.Load() }
 
-// Run writes what comes until ctx ends, and then what is left.
+// Run writes queued lines until ctx is done, and then the remaining ones.
 func (wr *Writer) Run(ctx context.Context) {
 	var spare []byte
 	for {
@@ -76,8 +75,8 @@
 	}
 }
 
-// flush writes all that waits. A line that cannot be written is lost: there is
-// nowhere else to say so.
+// flush writes all pending lines. Write errors are ignored, since there is nowhere else to report
+// them.
 func (wr *Writer) flush(spare *[]byte) {
 	wr.mu.Lock()
 	batch := wr.pending
--- a/internal/stat/meter/doc.go
+++ b/internal/stat/meter/doc.go
@@ -1,3 +1,2 @@
-// Package meter counts the bytes of connections, both ways and with all
-// framing above TCP.
+// Package meter counts the bytes that connections read and write, including all framing above TCP.
 package meter
--- a/internal/stat/meter/meter.go
+++ b/internal/stat/meter/meter.go
@@ -8,18 +8,18 @@
 	"syscall"
 )
 
-// Meter counts bytes. The zero value is ready for use.
+// Meter counts the bytes of connections. The zero value is ready for use.
 type Meter struct {
 	In, Out atomic.Int64
-	// Sent, if set, is told of bytes that were written to another VM. It is set
-	// before use.
+	// OnSent, if not nil, is called with the number of bytes of each write to another VM. It must
+	// be set before the first connection.
 	Sent func(n int)
 }
 
 type conn struct {
 	net.Conn
 	mt *Meter
-	// remote is set for a connection to another VM.
+	// remote says that writes are reported to OnSent: there is one, and the peer is on another VM.
 	remote bool
 }
 
@@ -30,14 +30,14 @@
 	return &conn{Conn: nc, mt: mt, remote: !sameVM && mt.Sent != nil}
 }
 
-// Read counts what comes in.
+// Read reads from the connection and counts the bytes.
 func (cn *conn) Read(p []byte) (int, error) {
 	n, err := cn.Conn.Read(p)
 	cn.mt.In.Add(int64(n))
 	return n, err
 }
 
-// Write counts what goes out.
+// Write writes to the connection and counts the bytes.
 func (cn *conn) Write(p []byte) (int, error) {
 	n, err := cn.Conn.Write(p)
 	cn.mt.Out.Add(int64(n))
@@ -61,7 +61,7 @@
 	mt *Meter
 }
 
-// Accept counts the bytes of the connections it returns.
+// Accept returns the next connection, whose bytes are counted.
 func (ln *listener) Accept() (net.Conn, error) {
 	nc, err := ln.Listener.Accept()
 	if err != nil {
@@ -70,10 +70,10 @@
 	return ln.mt.wrap(nc), nil
 }
 
-// Listener returns ln with its connections counted.
+// Listener wraps ln to count the bytes of its connections.
 func (mt *Meter) Listener(ln net.Listener) net.Listener { return &listener{Listener: ln, mt: mt} }
 
-// Dialer returns dial with its connections counted.
+// Dialer wraps dial to count the bytes of its connections.
 func (mt *Meter) Dialer(dial func(ctx context.Context, addr string) (net.Conn, error)) func(ctx context.Context, addr string) (net.Conn, error) {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		nc, err := dial(ctx, addr)
--- a/internal/stat/trail/cause.go
+++ b/internal/stat/trail/cause.go
@@ -9,41 +9,41 @@
 	"github.com/flamingomast/flamingomast/internal/stat/logs"
 )
 
-// Report is what became of a request and why, as far as the logs tell.
+// Report describes the outcome of a request and its causes, as far as the logs show them.
 type Report struct {
 	ID string `json:"id"`
-	// Lines are those of the request and of calls made for it, in order.
+	// Lines are those of the request and of calls made on its behalf, in order of time.
 	Lines []*Line `json:"lines"`
-	// Beliefs are what the daemons that took part went by: the last line of each
-	// kind before the request ended.
+	// State is the state of the daemons involved: for each kind of event, the last line before
+	// the request ended.
 	Beliefs []*Line `json:"beliefs"`
-	// Causes are sentences, the nearest cause first.
+	// Causes are sentences for the operator, the most direct cause first.
 	Causes []string `json:"causes"`
 	Passed
 }
 
-// Explain puts the lines in order and names the cause.
+// Explain sorts the lines by time and determines the causes of the outcome.
 func (co *Collector) Explain() *Report {
 	sortLines(co.requestLines)
 	sortLines(co.stateLines)
 	rp := &Report{ID: co.id, Lines: co.requestLines, Passed: co.Passed}
 	if len(co.requestLines) == 0 {
-		rp.Causes = []string{"no line bears this id: the request reached no daemon of these logs, or its lines were left out" + co.dropped("", time.Time{})}
+		rp.Causes = []string{"no log line has this id: the request did not reach any daemon whose log was given, or its lines were left out" + co.dropped("", time.Time{})}
 		return rp
 	}
 	end := co.endLine()
 	rp.Beliefs = co.stateAt(rp.Lines[len(rp.Lines)-1].Time)
 	if end == nil {
 		first := co.requestLines[0]
-		rp.Causes = append(rp.Causes, "no line tells its end: the outlet was ended before it, or the line was left out"+co.dropped(first.VM, first.Time))
+		rp.Causes = append(rp.Causes, "no log line records its outcome: the daemon of its outlet ended first, or the line was left out"+co.dropped(first.VM, first.Time))
 		return rp
 	}
 	rp.Causes = append(rp.Causes, co.causes(end)...)
 	return rp
 }
 
-// endLine returns the line of the caller's own request, nil where there is none. A
-// caller that came back has another id.
+// endLine returns the line that records the outcome of the request itself, or nil if there is
+// none. A retry by the caller has another ID.
 func (co *Collector) endLine() *Line {
 	var end *Line
 	for _, ln := range co.requestLines {
@@ -54,8 +54,8 @@
 	return end
 }
 
-// stateAt returns the last line of each kind of belief of the daemons that took
-// part, at a moment.
+// stateAt returns the state of the daemons involved at a given time: the last line of each VM,
+// event and subject.
 func (co *Collector) stateAt(at time.Time) []*Line {
 	involved := map[string]bool{}
 	for _, ln := range co.requestLines {
@@ -80,7 +80,7 @@
 	return list
 }
 
-// causes returns why a request ended as its line says.
+// causes explains the outcome that end records.
 func (co *Collector) causes(end *Line) []string {
 	var list []string
 	reason := result.Reason(end.Text(logs.Reason))
@@ -91,46 +91,46 @@
 		add("answered by the server beside %s after %v", end.Text(logs.VM), end.Duration(logs.Took).Round(time.Millisecond))
 		list = append(list, co.timing(end)...)
 	case reason.NoRoom() && attempts == 0:
-		add("refused without being sent: most requests of its kind were refused lately, so the outlet of %s held this one back", end.VM)
+		add("refused without being sent: most recent requests of its kind were refused, so the outlet of %s throttled this one", end.VM)
 	case reason.NoRoom():
 		add("refused after %d servers had no room (%s)", attempts, reason)
 		list = append(list, co.refusals()...)
 	case reason == result.ReasonPoison:
-		add("not sent by the outlet of %s: backend servers ended when they ran this request, wherever its caller came", end.VM)
+		add("not sent by the outlet of %s: backend servers crashed when they ran this request, whichever outlet it came through", end.VM)
 		list = append(list, co.crashes()...)
 	case reason == result.ReasonNoServer:
 		add("no server of %s was known to the outlet of %s", end.Text("service"), end.VM)
 	case reason == result.ReasonDeadline:
-		add("given up on by the outlet of %s %v after it had been read, at a limit of %v; it had been read for %v when the outlet began to handle it",
+		add("timed out at the outlet of %s %v after it was read (limit %v); it had waited %v before the outlet began to handle it",
 			end.VM, end.Duration(logs.Took).Round(time.Millisecond), end.Duration(logs.Limit).Round(time.Millisecond), end.Duration(logs.Queued).Round(time.Millisecond))
 		list = append(list, co.timing(end)...)
 	case end.Text(logs.Outcome) == result.MayHaveRun.String() && reason != result.ReasonCallerGone:
 		list = append(list, co.mayHaveRun(end)...)
 	case reason == result.ReasonCallerGone:
-		add("the caller left after %v", end.Duration(logs.Took).Round(time.Millisecond))
+		add("the caller disconnected after %v", end.Duration(logs.Took).Round(time.Millisecond))
 	default:
 		add("ended as %s (%s) at the outlet of %s", end.Text(logs.Outcome), reason, end.VM)
 	}
 	return append(list, co.staleVersion(end)...)
 }
 
-// timing tells where the time of an answered request went.
+// timing breaks down the time that the request took.
 func (co *Collector) timing(end *Line) []string {
 	var list []string
 	if d := end.Duration(logs.Elapsed); d > 0 {
-		list = append(list, fmt.Sprintf("the caller had been at it for %v before, as it came back after a refusal or called late", d.Round(time.Millisecond)))
+		list = append(list, fmt.Sprintf("the caller had spent %v on it before, because it retried after a refusal or called late", d.Round(time.Millisecond)))
 	}
 	wait, held := end.Duration(logs.Wait), end.Duration(logs.Held)
 	if wait+held > 0 {
 		rest := end.Duration(logs.Took) - wait - held
-		list = append(list, fmt.Sprintf("%v of it waiting for a slot at the inlet, %v at the backend server, %v on the way and in attempts before",
+		list = append(list, fmt.Sprintf("%v of it waiting for a slot at the inlet, %v at the backend server, %v in transit and in earlier attempts",
 			wait, held, rest.Round(time.Millisecond)))
 	}
 	return append(list, co.refusals()...)
 }
 
-// refusals names the servers that refused the request, with what the outlet
-// believed and what the inlet said.
+// refusals lists the servers that refused the request, with the load that the outlet assumed and
+// the load that the inlet reported.
 func (co *Collector) refusals() []string {
 	var list []string
 	for _, ln := range co.requestLines {
@@ -149,13 +149,14 @@
 	return list
 }
 
-// mayHaveRun tells what was lost of a request that was sent and not answered.
+// mayHaveRun explains why a request that was sent got no answer: the backend server, the daemon
+// beside it or the connection failed.
 func (co *Collector) mayHaveRun(end *Line) []string {
 	to := end.Text(logs.VM)
 	list := []string{fmt.Sprintf("it was sent to %s and no answer says that it has not run (%s)", to, end.Text(logs.Reason))}
 	for _, ln := range co.requestLines {
 		if ln.Event == logs.EndedUnder && ln.Text(logs.ID) == co.id {
-			return append(list, fmt.Sprintf("the backend server %s beside %s ended while it ran it, and maybe others; its %s is %s", ln.Text(logs.Lifetime), ln.VM, logs.Key, ln.Text(logs.Key)))
+			return append(list, fmt.Sprintf("the backend server %s beside %s crashed while running it, and possibly other requests; its %s is %s", ln.Text(logs.Lifetime), ln.VM, logs.Key, ln.Text(logs.Key)))
 		}
 		if ln.Event == logs.Failed && ln.Text(logs.ID) == co.id {
 			return append(list, fmt.Sprintf("the inlet of %s had handed it to its backend server, which did not answer it (%s)", ln.VM, ln.Text(logs.Reason)))
@@ -163,14 +164,14 @@
 	}
 	for _, ln := range co.stateLines {
 		if ln.VM == to && ln.Event == "daemon-start" && ln.Time.After(end.Time.Add(-end.Duration(logs.Took))) {
-			return append(list, fmt.Sprintf("the daemon of %s was lost meanwhile: a new one started at %s", to, ln.Time.Format(time.TimeOnly)))
+			return append(list, fmt.Sprintf("the daemon of %s ended meanwhile: a new one started at %s", to, ln.Time.Format(time.TimeOnly)))
 		}
 	}
-	return append(list, fmt.Sprintf("the inlet of %s has no line of it: it was lost, the way to it was, or its line was left out%s", to, co.dropped(to, end.Time)))
+	return append(list, fmt.Sprintf("the inlet of %s logged nothing about it: that daemon or the connection to it failed, or its line was left out%s", to, co.dropped(to, end.Time)))
 }
 
-// staleVersion reports whether others held a newer configuration than the request was
-// routed by, and what the daemon knew of the platform.
+// staleVersion reports whether the request was routed by an older configuration version than
+// other daemons held, and why its daemon did not have the newer one.
 func (co *Collector) staleVersion(end *Line) []string {
 	routed := end.Number(logs.Version)
 	began := end.Time.Add(-end.Duration(logs.Took))
@@ -187,7 +188,7 @@
 		routed, newer.VM, newer.Number(logs.Version), began.Sub(newer.Time).Round(time.Millisecond))}
 	for _, ln := range co.stateLines {
 		if ln.VM == end.VM && !ln.Time.After(end.Time) && strings.HasPrefix(ln.Event, "version-") && ln.Event != "version-held" {
-			list = append(list, fmt.Sprintf("%s did not take version %.0f (%s: %s)", ln.VM, ln.Number(logs.Version), ln.Event, ln.Text("error")))
+			list = append(list, fmt.Sprintf("%s did not apply version %.0f (%s: %s)", ln.VM, ln.Number(logs.Version), ln.Event, ln.Text("error")))
 		}
 	}
 	if ln := co.lastBefore(end.VM, "platform-state", end.Time); ln != nil && ln.Fields["answers"] == false {
@@ -196,17 +197,17 @@
 	return list
 }
 
-// crashes names a request that was refused since servers ended under it.
+// crashes says how many backend servers are known to have crashed on a poison request.
 func (co *Collector) crashes() []string {
 	for _, ln := range co.requestLines {
 		if ln.Event == logs.PoisonRefused && ln.Text(logs.ID) == co.id {
-			return []string{fmt.Sprintf("%.0f ends were known there; the lines %s with %s %s tell of each", ln.Number(logs.Ends), logs.EndedUnder, logs.Key, ln.Text(logs.Key))}
+			return []string{fmt.Sprintf("%.0f crashes were known there; see the %s lines with %s %s", ln.Number(logs.Ends), logs.EndedUnder, logs.Key, ln.Text(logs.Key))}
 		}
 	}
 	return nil
 }
 
-// lastBefore returns the last line of an event of a VM until a moment.
+// lastBefore returns the last line of an event of a VM that is not after until.
 func (co *Collector) lastBefore(vm, event string, until time.Time) *Line {
 	var last *Line
 	for _, ln := range co.stateLines {
@@ -217,8 +218,8 @@
 	return last
 }
 
-// dropped says how many lines a daemon, or any, left out around a moment, which may
-// have been those looked for.
+// dropped says how many lines the daemon of a VM, or any daemon if vm is empty, dropped shortly
+// after a given time, or at any time if at is zero. The lines looked for may be among them.
 func (co *Collector) dropped(vm string, at time.Time) string {
 	n := 0.0
 	for _, ln := range co.stateLines {
@@ -237,5 +238,5 @@
 	return fmt.Sprintf(" (%.0f lines were left out then)", n)
 }
 
-// dropReportWindow is the time over which lines that were left out are counted together.
+// dropReportWindow is the interval at which daemons report the number of dropped lines.
 const dropReportWindow = 5 * time.Second
--- a/internal/stat/trail/doc.go
+++ b/internal/stat/trail/doc.go
@@ -1,3 +1,2 @@
-// Package trail finds the cause of what became of one request in the logs of
-// several daemons.
+// Package trail explains the outcome of a single request from the logs of several daemons.
 package trail
--- a/internal/stat/trail/read.go
+++ b/internal/stat/trail/read.go
@@ -19,26 +19,27 @@
 	Time  time.Time `json:"time"`
 	VM    string    `json:"vm"`
 	Event string    `json:"event"`
-	// Fields are the others, as they were written.
+	// Fields are the remaining fields of the JSON object.
 	Fields map[string]any `json:"fields"`
 }
 
-// Text returns a field that is a text, empty where it is not there.
+// Text returns a string field, or "" if it is missing.
 func (ln *Line) Text(name string) string {
 	s, _ := ln.Fields[name].(string)
 	return s
 }
 
-// Number returns a field that is a number, 0 where it is not there.
+// Number returns a numeric field, or 0 if it is missing.
 func (ln *Line) Number(name string) float64 {
 	n, _ := ln.Fields[name].(float64)
 	return n
 }
 
-// Duration returns a field that is a duration in nanoseconds.
+// Duration returns a field that holds a duration in nanoseconds, or 0 if it is missing.
 func (ln *Line) Duration(name string) time.Duration { return time.Duration(ln.Number(name)) }
 
-// stateEvents are the events that change what a daemon believes.
+// stateEvents are the events that report a change in a daemon's state, including what it knows
+// of other daemons, backend servers and configuration versions.
 var stateEvents = map[string]bool{
 	"version-held": true, "version-refused": true, "version-unreadable": true, "platform-state": true,
 	"backend-server": true, "server-leaves": true, "server-withdrawn": true, "backend-server-unreachable": true,
@@ -46,31 +47,31 @@
 	logs.ServerEnded: true, logs.PoisonFound: true, logs.PoisonCleared: true, logs.LinesDropped: true,
 }
 
-// Collector holds the lines that matter for one request.
+// Collector gathers the log lines that concern one request.
 type Collector struct {
 	id string
-	// requestLines are the lines that bear its id, or that of a call made for it.
+	// requestLines have the request's ID, or that of a call made on its behalf.
 	requestLines []*Line
 	stateLines   []*Line
 	Passed
 }
 
-// Passed counts lines that were passed over.
+// Passed counts the lines that were skipped.
 type Passed struct {
-	// Foreign are none of a daemon's, Broken begin as one and cannot be read, such
-	// as the last one of a log that was cut.
+	// Foreign counts lines that no daemon wrote. Malformed counts lines that contain a brace but
+	// no valid JSON object after it, such as the last line of a truncated log.
 	Foreign int `json:"foreign-lines"`
 	Broken  int `json:"broken-lines"`
 }
 
-// New returns a log without lines for the request with an id.
+// New returns an empty collector for the request with the given ID.
 func New(id string) *Collector { return &Collector{id: id} }
 
-// Read adds the lines of one log.
+// Read adds the lines of a log.
 func (co *Collector) Read(r io.Reader) error { return Scan(r, &co.Passed, co.add) }
 
-// Scan hands the lines of one log to take, and counts those that are none of a daemon's.
-// Text before the first brace of a line, which collectors put there, is passed over.
+// Scan calls handle for each line of a log and counts the lines that no daemon wrote. It ignores
+// text before the first brace of a line, since log collectors prepend their own fields.
 func Scan(r io.Reader, pa *Passed, handle func(*Line)) error {
 	br := bufio.NewReader(r)
 	for {
@@ -87,7 +88,7 @@
 	}
 }
 
-// parse returns a line, nil for one that is passed over.
+// parse decodes a line and returns nil if it is skipped.
 func (pa *Passed) parse(raw []byte) *Line {
 	raw = bytes.TrimSpace(raw)
 	if len(raw) == 0 {
--- a/internal/stat/trail/trail_test.go
+++ b/internal/stat/trail/trail_test.go
@@ -9,7 +9,7 @@
 	"github.com/flamingomast/flamingomast/internal/path/result"
 )
 
-// line writes a line of a log at some milliseconds of a second.
+// line returns a log line, ms milliseconds into the second 03:04:05.
 func line(ms int, vm, event, fields string) string {
 	at := time.Date(2030, 1, 2, 3, 4, 5, ms*int(time.Millisecond), time.UTC)
 	if fields != "" {
@@ -18,13 +18,13 @@
 	return fmt.Sprintf(`{"time":%q,"level":"INFO","msg":%q,"vm":%q%s}`, at.Format(time.RFC3339Nano), event, vm, fields)
 }
 
-// requestLines is the end of request "x" at VM a.
+// request returns the line that records the outcome of request "x" at VM a.
 func request(ms int, outcome, reason string, attempts int, more string) string {
 	return line(ms, "a", "request", fmt.Sprintf(`"id":"x","service":"booking","version":7,"outcome":%q,"reason":%q,"attempts":%d%s`, outcome, reason, attempts, more))
 }
 
-// TestCauses explains requests from the lines that daemons write. Each case is a
-// complaint that an engineer gets.
+// TestCauses checks the causes that are derived from the daemons' log lines. Each case is a
+// typical complaint of a caller.
 func TestCauses(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -36,31 +36,31 @@
 			line(20, "a", "attempt", `"id":"x","to-vm":"b","reason":"slots-full","load":1,"load-age":900000000`),
 			line(19, "b", "inlet-refused", `"id":"x","reason":"slots-full","load":"6/1/6/80"`),
 		}, []string{"refused after 2 servers had no room (slots-full)", "the inlet of b says slots-full with load 6/1/6/80", "the outlet believed 1 requests there, 900ms old"}},
-		{"held back by the outlet", []string{request(30, "not-run", "slots-full", 0, "")}, []string{"refused without being sent"}},
+		{"throttled by the outlet", []string{request(30, "not-run", "slots-full", 0, "")}, []string{"refused without being sent"}},
 		{"no server known", []string{request(30, "not-run", string(result.ReasonNoServer), 0, "")}, []string{"no server of booking was known to the outlet of a"}},
-		{"502, the server broke off", []string{
+		{"502, the server closed the connection", []string{
 			request(30, "may-have-run", "connection-broken", 1, `,"to-vm":"b","took":20000000`),
 			line(29, "b", "inlet-failed", `"id":"x","outcome":"may-have-run","reason":"connection-broken"`),
 		}, []string{"it was sent to b and no answer says that it has not run", "the inlet of b had handed it to its backend server"}},
 		{"502, the daemon was killed", []string{
 			request(30, "may-have-run", "connection-broken", 1, `,"to-vm":"b","took":20000000`),
 			line(200, "b", "daemon-start", ""),
-		}, []string{"it was sent to b", "the daemon of b was lost meanwhile: a new one started at 03:04:05"}},
+		}, []string{"it was sent to b", "the daemon of b ended meanwhile: a new one started at 03:04:05"}},
 		{"502, nothing known of the inlet", []string{
 			request(30, "may-have-run", "connection-broken", 1, `,"to-vm":"b","took":20000000`),
 			line(900, "b", "log-lines-left-out", `"inlet-failed":12`),
 		}, []string{"it was sent to b", "its line was left out (12 lines were left out then)"}},
-		{"502, the server ended", []string{
+		{"502, the server crashed", []string{
 			request(30, "may-have-run", "server-ended", 1, `,"to-vm":"b","took":20000000`),
 			line(29, "b", "ended-under", `"id":"x","request-key":"ab12","lifetime":"i-1"`),
-		}, []string{"it was sent to b", "the backend server i-1 beside b ended while it ran it, and maybe others; its request-key is ab12"}},
-		{"503, servers ended under it", []string{
+		}, []string{"it was sent to b", "the backend server i-1 beside b crashed while running it, and possibly other requests; its request-key is ab12"}},
+		{"503, poison request", []string{
 			request(30, "not-run", string(result.ReasonPoison), 0, ""),
 			line(29, "a", "poison-refused", `"id":"x","request-key":"ab12","ends":3`),
-		}, []string{"not sent by the outlet of a: backend servers ended when they ran this request", "3 ends were known there; the lines ended-under with request-key ab12"}},
+		}, []string{"not sent by the outlet of a: backend servers crashed when they ran this request", "3 crashes were known there; see the ended-under lines with request-key ab12"}},
 		{"late", []string{request(900, "answered", "", 1, `,"to-vm":"b","elapsed":100000000,"wait":50000000,"held":600000000,"took":700000000`)},
-			[]string{"answered by the server beside b after 700ms", "been at it for 100ms before", "50ms of it waiting for a slot at the inlet, 600ms at the backend server, 50ms on the way"}},
-		{"the old route", []string{
+			[]string{"answered by the server beside b after 700ms", "had spent 100ms on it before", "50ms of it waiting for a slot at the inlet, 600ms at the backend server, 50ms in transit"}},
+		{"routed by an old version", []string{
 			request(900, "answered", "", 1, `,"to-vm":"b","took":10000000`),
 			line(100, "c", "version-held", `"version":8`), line(120, "b", "version-held", `"version":8`),
 			line(50, "a", "platform-state", `"answers":false`),
@@ -68,12 +68,12 @@
 		{"a version that was refused", []string{
 			request(900, "answered", "", 1, `,"took":10000000`), line(100, "c", "version-held", `"version":8`),
 			line(110, "a", "version-refused", `"version":8,"error":"no service nowhere"`),
-		}, []string{"answered", "it was routed by version 7", "a did not take version 8 (version-refused: no service nowhere)"}},
+		}, []string{"answered", "it was routed by version 7", "a did not apply version 8 (version-refused: no service nowhere)"}},
 		{"read long before it was handled", []string{request(900, "may-have-run", "deadline-passed", 1, `,"to-vm":"b","took":1500000000,"limit":1500000000,"queued":1400000000`)},
-			[]string{"given up on by the outlet of a 1.5s after it had been read, at a limit of 1.5s; it had been read for 1.4s when"}},
-		{"the caller left", []string{request(900, "may-have-run", "caller-gone", 1, `,"took":500000000`)}, []string{"the caller left after 500ms"}},
-		{"the outlet was killed", []string{line(10, "b", "inlet-failed", `"id":"x","reason":"caller-gone"`)}, []string{"no line tells its end"}},
-		{"unknown id", []string{line(10, "b", "version-held", `"version":8`)}, []string{"no line bears this id"}},
+			[]string{"timed out at the outlet of a 1.5s after it was read (limit 1.5s); it had waited 1.4s before"}},
+		{"the caller disconnected", []string{request(900, "may-have-run", "caller-gone", 1, `,"took":500000000`)}, []string{"the caller disconnected after 500ms"}},
+		{"the outlet was killed", []string{line(10, "b", "inlet-failed", `"id":"x","reason":"caller-gone"`)}, []string{"no log line records its outcome"}},
+		{"unknown id", []string{line(10, "b", "version-held", `"version":8`)}, []string{"no log line has this id"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			co := New("x")
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestSkippedLines: a log that was cut in the middle of a line, with lines of other
-// programs and text before each line, is no error.
+// TestSkippedLines checks that a log is read without an error if it ends within a line, contains
+// lines of other programs, or has text before a line.
 func TestSkippedLines(t *testing.T) {
 	co := New("x")
 	log := "12.3 s vm-a: " + request(30, "answered", "", 1, `,"to-vm":"b"`) + "\nnot a line\n\n{\"a\":1}\n" +
--- a/internal/stat/usage/doc.go
+++ b/internal/stat/usage/doc.go
@@ -1,3 +1,2 @@
-// Package usage reads the memory and processor time of a process from the
-// system.
+// Package usage reads the memory and CPU time of a process from /proc.
 package usage
--- a/internal/stat/usage/usage.go
+++ b/internal/stat/usage/usage.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// Usage is what a process takes of its machine.
+// Usage is the resource usage of a process.
 type Usage struct {
-	// Resident is its resident set in bytes.
+	// Resident is the size of the resident set in bytes.
 	Resident int64
-	// Processor is the time that its threads have run.
+	// CPUTime is the user and system time of all threads.
 	Processor time.Duration
 }
 
-// clockTick is the unit of processor time in /proc (USER_HZ, proc(5)).
+// clockTick is the unit of CPU time in /proc (1/USER_HZ, see proc(5)).
 const clockTick = time.Second / 100
 
-// The places of user and system time in /proc/PID/stat, counted from the field
-// behind the program's name.
+// The positions of user and system time in /proc/PID/stat, counted from the field after the
+// program name.
 const (
 	utimeField = 11
 	stimeField = 12
 )
 
-// Of returns the usage of the process pid, or of this one for 0.
+// Of returns the usage of the process pid, or of the calling process if pid is 0.
 func Of(pid int) (Usage, error) {
 	dir := "/proc/self"
 	if pid != 0 {
@@ -57,7 +57,7 @@
 		kb, err := strconv.ParseInt(strings.TrimSpace(strings.TrimSuffix(rest, "kB")), 10, 64)
 		return kb << 10, err
 	}
-	return 0, fmt.Errorf("usage: %s has no VmRSS", file)
+	return 0, fmt.Errorf("usage: no VmRSS in %s", file)
 }
 
 func cpuTime(file string) (time.Duration, error) {
@@ -65,10 +65,10 @@
 	if err != nil {
 		return 0, err
 	}
-	// The program's name, in parentheses, may hold spaces.
+	// The program name is in parentheses and may contain spaces.
 	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
 	if len(fields) <= stimeField {
-		return 0, fmt.Errorf("usage: %s has %d fields", file, len(fields))
+		return 0, fmt.Errorf("usage: %s has only %d fields after the program name", file, len(fields))
 	}
 	sum := time.Duration(0)
 	for _, i := range []int{utimeField, stimeField} {
--- a/internal/stat/usage/usage_test.go
+++ b/internal/stat/usage/usage_test.go
@@ -18,6 +18,6 @@
 		t.Errorf("usage %+v, %+v, %v", self, last, err)
 	}
 	if _, err := Of(1 << 30); err == nil {
-		t.Error("no error for a process that is not there")
+		t.Error("no error for a process that does not exist")
 	}
 }
