--- a/internal/stat/acct/acct.go
+++ b/internal/stat/acct/acct.go
@@ -40,8 +40,8 @@
 	Again int `json:"again"`
 	// Reasons counts the refused and failed requests by outcome and reason.
 	Reasons map[string]int `json:"reasons"`
-	// AvoidableRefusals counts refusals for lack of slots while another server of the service had
-	// a free slot, as far as the logged answers show.
+	// AvoidableRefusals counts refusals for lack of slots while a server of the service had a free
+	// slot, as far as the logged answers show.
 	BesideFree int `json:"beside-free"`
 	// NotDelivered counts the failed requests that, according to the inlets, no backend server
 	// received. Their callers cannot know this, so they may not repeat a request that must not
@@ -73,7 +73,7 @@
 	Counts
 }
 
-// Times are quantiles in nanoseconds.
+// Times holds the median and the 90th percentile of a set of durations.
 type Times struct {
 	Middle time.Duration `json:"middle"`
 	Ninth  time.Duration `json:"nine-in-ten"`
