--- a/internal/node/daemon/usage.go
+++ b/internal/node/daemon/usage.go
@@ -57,7 +57,7 @@
 			attrs = append(attrs, slog.Uint64(me.field, samples[i].Value.Uint64()))
 		}
 	}
-	attrs = append(attrs, group(logs.Calls, &dm.guard.Purposes), group(logs.Read, &dm.guard.Read), group(logs.Links, dm.Node.Traffic))
+	attrs = append(attrs, group(logs.Calls, &dm.guard.CallsByPurpose), group(logs.Read, &dm.guard.BytesByPurpose), group(logs.Links, dm.Node.Traffic))
 	dm.log.LogAttrs(context.Background(), slog.LevelInfo, logs.Usage, attrs...)
 }
 
--- a/internal/node/demo/server.go
+++ b/internal/node/demo/server.go
@@ -80,7 +80,7 @@
 	// Began, if set, is called for each request that it begins.
 	Began func(Ran)
 	// Fault, when set, is how it fails in place of answering.
-	Fault faulty.Behave
+	Fault faulty.Handler
 }
 
 // ServeHTTP answers one request.
--- a/internal/node/soak/callers.go
+++ b/internal/node/soak/callers.go
@@ -76,7 +76,7 @@
 	}
 	req.Host = qu.host
 	req.Header.Set(demo.IDHeader, qu.id)
-	req.Header.Set(result.TimeoutMs, fmt.Sprint(callTimeout.Milliseconds()))
+	req.Header.Set(result.TimeoutHeader, fmt.Sprint(callTimeout.Milliseconds()))
 	if !qu.chunks {
 		req.ContentLength = int64(len(qu.body))
 	}
--- a/internal/node/soak/world.go
+++ b/internal/node/soak/world.go
@@ -76,7 +76,7 @@
 	v := &vm{name: fmt.Sprintf("vm-%d", i), domain: domains[i%len(domains)], service: service, software: software}
 	v.settings = filepath.Join(dir, v.name+".yaml")
 	for _, addr := range []*string{&v.outlet, &v.inlet, &v.control, &v.admin} {
-		free, err := addrs.FreeOn(addrs.Own())
+		free, err := addrs.FreeOn(addrs.ProcessIP())
 		if err != nil {
 			return nil, err
 		}
@@ -104,7 +104,7 @@
 
 // start starts the platform and all VMs, and waits until each holds the first version.
 func (wo *world) start(ctx context.Context) (err error) {
-	if wo.address, err = addrs.FreeOn(addrs.Own()); err != nil {
+	if wo.address, err = addrs.FreeOn(addrs.ProcessIP()); err != nil {
 		return err
 	}
 	if wo.platform, err = wo.la.start("platform", nil, "dev-platform", "--listen", wo.address); err != nil {
@@ -163,7 +163,7 @@
 		return err
 	}
 	res, err := accept.Submit(ctx, wo.kv, accept.Submission{
-		ID: fmt.Sprintf("soak-%d-%d", floor, rand.Uint32()), Base: hd.Last.Version, Content: co, Whole: true, Floor: floor, Resume: true,
+		ID: fmt.Sprintf("soak-%d-%d", floor, rand.Uint32()), Base: hd.Last.Version, Content: co, NoRebase: true, Floor: floor, Resume: true,
 	})
 	for err == nil {
 		newest := wo.version.Load()
--- a/internal/path/outlet/poison.go
+++ b/internal/path/outlet/poison.go
@@ -23,8 +23,8 @@
 		// Its body broke off, which the attempt finds as well.
 		return nil
 	}
-	key := ident.Of(rq.r, lead)
-	rq.ends = vw.Ends(key)
+	key := ident.KeyOf(rq.r, lead)
+	rq.ends = vw.CrashCount(key)
 	if !vw.Refuses(key, time.Now(), rq.ou.spread) {
 		return nil
 	}
--- a/internal/stat/acct/acct.go
+++ b/internal/stat/acct/acct.go
@@ -209,7 +209,7 @@
 	if call := calls[ln.Text(logs.ID)]; call != "" {
 		rs.ByCall[call]++
 	}
-	if result.Reason(ln.Text(logs.Reason)) == result.ReasonFull && slots.hasFree(ln.Text("service"), ln.Time) {
+	if result.Reason(ln.Text(logs.Reason)) == result.ReasonSlotsFull && slots.hasFree(ln.Text("service"), ln.Time) {
 		rs.BesideFree++
 	}
 }
--- a/internal/stat/trail/cause.go
+++ b/internal/stat/trail/cause.go
@@ -90,9 +90,9 @@
 	case end.Text(logs.Outcome) == result.Answered.String():
 		add("answered by the server beside %s after %v", end.Text(logs.VM), end.Duration(logs.Took).Round(time.Millisecond))
 		list = append(list, co.timing(end)...)
-	case reason.NoRoom() && attempts == 0:
+	case reason.NoCapacity() && attempts == 0:
 		add("refused without being sent: most recent requests of its kind were refused, so the outlet of %s throttled this one", end.VM)
-	case reason.NoRoom():
+	case reason.NoCapacity():
 		add("refused after %d servers had no room (%s)", attempts, reason)
 		list = append(list, co.refusals()...)
 	case reason == result.ReasonPoison:
@@ -100,7 +100,7 @@
 		list = append(list, co.crashes()...)
 	case reason == result.ReasonNoServer:
 		add("no server of %s was known to the outlet of %s", end.Text("service"), end.VM)
-	case reason == result.ReasonDeadline:
+	case reason == result.ReasonDeadlinePassed:
 		add("timed out at the outlet of %s %v after it was read (limit %v); it had waited %v before the outlet began to handle it",
 			end.VM, end.Duration(logs.Took).Round(time.Millisecond), end.Duration(logs.Limit).Round(time.Millisecond), end.Duration(logs.Queued).Round(time.Millisecond))
 		list = append(list, co.timing(end)...)
