--- a/internal/stat/acct/acct.go
+++ b/internal/stat/acct/acct.go
@@ -13,150 +13,153 @@
 	"github.com/flamingomast/flamingomast/internal/stat/trail"
 )
 
-// Account is what became of the requests of a span of time.
+// Account summarizes the requests in a set of logs.
 type Account struct {
-	// From and Until are the times of the first and last end of a request.
+	// From and Until are the times at which the first and the last request ended.
 	From   time.Time `json:"from"`
 	Until  time.Time `json:"until"`
 	Routes []*Route  `json:"routes"`
-	// Windows divide the span into pieces of equal length.
+	// Windows divide the time from From to Until into windows of equal length.
 	Windows []*Window `json:"windows"`
-	// LeftOut counts lines that the daemons left out by their own bounds: with any,
-	// all counts here are lower limits.
+	// DroppedLines counts the log lines that the daemons dropped to limit the rate. If there are
+	// any, all counts here are lower bounds.
 	LeftOut int `json:"left-out-lines"`
-	// Fleet is what the daemons took and sent, nil where no log tells.
+	// Fleet is the resource usage of the daemons, nil if no log reports it.
 	Fleet *Fleet `json:"fleet,omitempty"`
 	trail.Passed
 }
 
-// Route sums up the requests of one route.
+// Route summarizes the requests of one route.
 type Route struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
-	Count
-	// Back counts the further tries of callers that came back, Again the attempts
-	// beyond the first of each request.
+	Counts
+	// CallerRetries counts the requests that callers had sent before, Retries the outlets' attempts
+	// beyond the first at each request.
 	Back  int `json:"back"`
 	Again int `json:"again"`
-	// Reasons counts what was refused or failed, by outcome and reason.
+	// Reasons counts the refused and failed requests by outcome and reason.
 	Reasons map[string]int `json:"reasons"`
-	// BesideFree counts refusals for want of room while a server of the service had a
-	// free slot, as far as the answers of the logs tell.
+	// AvoidableRefusals counts refusals for lack of slots while a server of the service had a free
+	// slot, as far as the logged answers show.
 	BesideFree int `json:"beside-free"`
-	// NotReached counts the failures of requests that, as their inlets tell, no backend
-	// server got: their callers may not send again what may run only once.
+	// NotDelivered counts the failed requests that, according to the inlets, no backend server
+	// received. Their callers cannot know this, so they may not repeat a request that must not
+	// run twice.
 	NotReached int `json:"not-reached"`
-	// ByCall counts the requests that failed after a call made for them had failed, by
-	// the route of the call.
+	// FailedCalls counts the refused and failed requests for which a call made on their behalf was
+	// not answered, by the route of the call.
 	ByCall map[string]int `json:"by-call"`
-	// Before is how long callers had been at a request before it came; Wait and Held
-	// are for a slot and in it; Took is all the time at the outlet. Of answered ones.
+	// Elapsed is the time that callers had spent on a request before it arrived, Wait the wait for
+	// a slot, ServiceTime the time in the slot, and Took the total time at the outlet. They cover
+	// answered requests only.
 	Before Times `json:"before"`
 	Wait   Times `json:"wait"`
 	Held   Times `json:"held"`
 	Took   Times `json:"took"`
 }
 
-// Count tells apart how requests ended.
-type Count struct {
+// Counts holds the numbers of requests by outcome.
+type Counts struct {
 	InTime  int `json:"in-time"`
 	Late    int `json:"late"`
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
 }
 
-// Window counts the requests that ended in a piece of the span.
+// Window counts the requests that ended within a window that begins at From.
 type Window struct {
 	From time.Time `json:"from"`
-	Count
+	Counts
 }
 
-// Times are quantiles, in nanoseconds.
+// Times holds the median and the 90th percentile of a set of durations.
 type Times struct {
 	Middle time.Duration `json:"middle"`
 	Ninth  time.Duration `json:"nine-in-ten"`
 }
 
-// windowLength is the length of a window: long enough for some hundred requests of a
-// small fleet, short enough to show a fault of some seconds.
+// windowLength is long enough for some hundred requests in a small fleet, and short enough to
+// show a fault that lasts a few seconds.
 const windowLength = 2 * time.Second
 
-// Reader gathers the lines of logs. The zero value has none.
+// Reader gathers the lines of several logs. The zero value is ready for use.
 type Reader struct {
 	requests []*trail.Line
-	// slots has how many each VM's backend server has, by the refusals of its inlet.
-	slots   map[string]int
-	leftOut int
-	fleet   processes
-	// notRun counts, for each request, the tries that inlets did not hand over.
-	notRun map[string]int
+	// slots holds the number of slots of each VM's backend server, as its inlet reports in refusals.
+	slots        map[string]int
+	droppedLines int
+	processes    processes
+	// refusals counts, for each request ID, the attempts that inlets refused.
+	refusals map[string]int
 	trail.Passed
 }
 
-// Read adds the lines of one log.
+// Read adds the lines of a log.
 func (rd *Reader) Read(r io.Reader) error {
 	return trail.Scan(r, &rd.Passed, func(ln *trail.Line) {
 		switch ln.Event {
 		case logs.Request:
 			rd.requests = append(rd.requests, ln)
 		case logs.Usage:
-			rd.fleet.add(ln)
+			rd.processes.add(ln)
 		case logs.Refused:
-			if rd.notRun == nil {
-				rd.notRun = map[string]int{}
+			if rd.refusals == nil {
+				rd.refusals = map[string]int{}
 			}
-			rd.notRun[ln.Text(logs.ID)]++
+			rd.refusals[ln.Text(logs.ID)]++
 			if ld, ok := result.ParseLoad(ln.Text(logs.Load)); ok {
 				if rd.slots == nil {
 					rd.slots = map[string]int{}
 				}
 				rd.slots[ln.VM] = ld.Slots
 			}
-		case logs.LeftOut:
+		case logs.LinesDropped:
 			for name := range ln.Fields {
-				rd.leftOut += int(ln.Number(name))
+				rd.droppedLines += int(ln.Number(name))
 			}
 		}
 	})
 }
 
-// Account sums up what was read.
+// Account returns a summary of the lines read.
 func (rd *Reader) Account() *Account {
 	slices.SortStableFunc(rd.requests, func(a, b *trail.Line) int { return a.Time.Compare(b.Time) })
-	ac := &Account{LeftOut: rd.leftOut, Fleet: rd.fleet.sum(), Passed: rd.Passed}
+	ac := &Account{LeftOut: rd.droppedLines, Fleet: rd.processes.sum(), Passed: rd.Passed}
 	if len(rd.requests) == 0 {
 		return ac
 	}
 	ac.From, ac.Until = rd.requests[0].Time, rd.requests[len(rd.requests)-1].Time
-	calls, slots := failedCalls(rd.requests), slotsOf(rd.requests, rd.slots)
-	routes := map[string]*gathered{}
+	calls, slots := failedCalls(rd.requests), slotUseOf(rd.requests, rd.slots)
+	routes := map[string]*routeSamples{}
 	for _, ln := range rd.requests {
 		name := ln.Text("route")
-		ga := routes[name]
-		if ga == nil {
-			ga = &gathered{Route: &Route{Name: name, Service: ln.Text("service"), Reasons: map[string]int{}, ByCall: map[string]int{}}}
-			routes[name] = ga
+		rs := routes[name]
+		if rs == nil {
+			rs = &routeSamples{Route: &Route{Name: name, Service: ln.Text("service"), Reasons: map[string]int{}, ByCall: map[string]int{}}}
+			routes[name] = rs
 		}
-		ga.add(ln, calls, slots)
-		if rd.lostUnrun(ln) {
-			ga.NotReached++
+		rs.add(ln, calls, slots)
+		if rd.failedUndelivered(ln) {
+			rs.NotReached++
 		}
 		ac.window(ln.Time).add(ln)
 	}
 	for _, name := range slices.Sorted(maps.Keys(routes)) {
-		ac.Routes = append(ac.Routes, routes[name].finish())
+		ac.Routes = append(ac.Routes, routes[name].summarize())
 	}
-	slices.SortStableFunc(ac.Routes, func(a, b *Route) int { return cmp.Compare(b.Count.all(), a.Count.all()) })
+	slices.SortStableFunc(ac.Routes, func(a, b *Route) int { return cmp.Compare(b.Counts.all(), a.Counts.all()) })
 	return ac
 }
 
-// lostUnrun reports whether a request failed though none of its tries was handed over.
-func (rd *Reader) lostUnrun(ln *trail.Line) bool {
-	tries := int(ln.Number("attempts"))
-	return ln.Text(logs.Outcome) == result.MayHaveRun.String() && tries > 0 && rd.notRun[ln.Text(logs.ID)] >= tries
+// failedUndelivered reports whether a request failed although inlets refused all its attempts.
+func (rd *Reader) failedUndelivered(ln *trail.Line) bool {
+	attempts := int(ln.Number("attempts"))
+	return ln.Text(logs.Outcome) == result.MayHaveRun.String() && attempts > 0 && rd.refusals[ln.Text(logs.ID)] >= attempts
 }
 
-// window returns the window of a time, which is not before that of the last.
+// window returns the window that contains at, which must not be before From, and adds missing
+// windows up to it.
 func (ac *Account) window(at time.Time) *Window {
 	n := int(at.Sub(ac.From) / windowLength)
 	for len(ac.Windows) <= n {
@@ -165,14 +168,14 @@
 	return ac.Windows[n]
 }
 
-func (co *Count) all() int { return co.InTime + co.Late + co.Refused + co.Failed }
+func (co *Counts) all() int { return co.InTime + co.Late + co.Refused + co.Failed }
 
-// add counts the end of a request. What the caller had spent before counts against its
-// objective.
-func (co *Count) add(ln *trail.Line) {
-	objective := ln.Span(logs.Objective)
+// add counts a request by its outcome. Time that the caller spent on earlier attempts counts
+// against the objective.
+func (co *Counts) add(ln *trail.Line) {
+	objective := ln.Duration(logs.Objective)
 	switch outcome := ln.Text(logs.Outcome); {
-	case outcome == result.Answered.String() && (objective == 0 || ln.Span(logs.Elapsed)+ln.Span(logs.Took) <= objective):
+	case outcome == result.Answered.String() && (objective == 0 || ln.Duration(logs.Elapsed)+ln.Duration(logs.Took) <= objective):
 		co.InTime++
 	case outcome == result.Answered.String():
 		co.Late++
@@ -183,40 +186,40 @@
 	}
 }
 
-// gathered is a route with the times of its answered requests.
-type gathered struct {
+// routeSamples is a route with the durations of its answered requests.
+type routeSamples struct {
 	*Route
-	before, wait, held, took []time.Duration
+	elapsed, wait, serviceTime, took []time.Duration
 }
 
-func (ga *gathered) add(ln *trail.Line, calls map[string]string, slots held) {
-	ga.Count.add(ln)
-	if ln.Span(logs.Elapsed) > 0 {
-		ga.Back++
+func (rs *routeSamples) add(ln *trail.Line, calls map[string]string, slots slotUse) {
+	rs.Counts.add(ln)
+	if ln.Duration(logs.Elapsed) > 0 {
+		rs.Back++
 	}
-	ga.Again += max(0, int(ln.Number("attempts"))-1)
+	rs.Again += max(0, int(ln.Number("attempts"))-1)
 	if ln.Text(logs.Outcome) == result.Answered.String() {
-		ga.before = append(ga.before, ln.Span(logs.Elapsed))
-		ga.wait = append(ga.wait, ln.Span(logs.Wait))
-		ga.held = append(ga.held, ln.Span(logs.Held))
-		ga.took = append(ga.took, ln.Span(logs.Took))
+		rs.elapsed = append(rs.elapsed, ln.Duration(logs.Elapsed))
+		rs.wait = append(rs.wait, ln.Duration(logs.Wait))
+		rs.serviceTime = append(rs.serviceTime, ln.Duration(logs.Held))
+		rs.took = append(rs.took, ln.Duration(logs.Took))
 		return
 	}
-	ga.Reasons[ln.Text(logs.Outcome)+"/"+ln.Text(logs.Reason)]++
+	rs.Reasons[ln.Text(logs.Outcome)+"/"+ln.Text(logs.Reason)]++
 	if call := calls[ln.Text(logs.ID)]; call != "" {
-		ga.ByCall[call]++
+		rs.ByCall[call]++
 	}
-	if result.Reason(ln.Text(logs.Reason)) == result.ReasonSlotsFull && slots.free(ln.Text("service"), ln.Time) {
-		ga.BesideFree++
+	if result.Reason(ln.Text(logs.Reason)) == result.ReasonSlotsFull && slots.hasFree(ln.Text("service"), ln.Time) {
+		rs.BesideFree++
 	}
 }
 
-func (ga *gathered) finish() *Route {
-	ga.Before, ga.Wait, ga.Held, ga.Took = times(ga.before), times(ga.wait), times(ga.held), times(ga.took)
-	return ga.Route
+func (rs *routeSamples) summarize() *Route {
+	rs.Before, rs.Wait, rs.Held, rs.Took = quantiles(rs.elapsed), quantiles(rs.wait), quantiles(rs.serviceTime), quantiles(rs.took)
+	return rs.Route
 }
 
-func times(list []time.Duration) Times {
+func quantiles(list []time.Duration) Times {
 	if len(list) == 0 {
 		return Times{}
 	}
@@ -224,8 +227,8 @@
 	return Times{Middle: list[len(list)/2], Ninth: list[len(list)*9/10]}
 }
 
-// failedCalls returns, by the id of a request, the route of the first call made for it
-// that was not answered. A call's id is that of its request, a dot and a name.
+// failedCalls returns, by request ID, the route of the first call made on behalf of the request
+// that was not answered. The ID of a call is that of its request, a dot and a name.
 func failedCalls(requests []*trail.Line) map[string]string {
 	calls := map[string]string{}
 	for _, ln := range requests {
