--- a/internal/mesh/ctrl/crashes.go
+++ b/internal/mesh/ctrl/crashes.go
@@ -87,6 +87,6 @@
 	case after < poison.RefuseThreshold:
 		event, level = logs.PoisonCleared, slog.LevelInfo
 	}
-	nd.log.LogAttrs(context.Background(), level, event, slog.String(logs.Key, key.String()), slog.Int(logs.Ends, after))
+	nd.log.LogAttrs(context.Background(), level, event, slog.String(logs.RequestKey, key.String()), slog.Int(logs.Crashes, after))
 	nd.poison.due.Store(true)
 }
--- a/internal/node/cmds/account.go
+++ b/internal/node/cmds/account.go
@@ -59,7 +59,7 @@
 	fmt.Fprintln(tw, "route\tservice\tin time\tlate\trefused\tfailed\tcame back\tsent again\tbeside free\tbefore\twait\theld\ttook\t")
 	for _, rt := range ac.Routes {
 		fmt.Fprintf(tw, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t\n", rt.Name, rt.Service, rt.InTime, rt.Late, rt.Refused, rt.Failed,
-			rt.Back, rt.Again, rt.BesideFree, formatQuantiles(rt.Before), formatQuantiles(rt.Wait), formatQuantiles(rt.Held), formatQuantiles(rt.Took))
+			rt.CallerRetries, rt.Retries, rt.AvoidableRefusals, formatQuantiles(rt.Elapsed), formatQuantiles(rt.Wait), formatQuantiles(rt.ServiceTime), formatQuantiles(rt.Took))
 	}
 	fmt.Fprintln(tw)
 	fmt.Fprintln(tw, "from\tin time\tlate\trefused\tfailed\t")
@@ -73,18 +73,18 @@
 		if len(rt.Reasons) > 0 {
 			fmt.Fprintf(ap.out, "\n%s was not answered: %s\n", rt.Name, formatCounts(rt.Reasons))
 		}
-		if len(rt.ByCall) > 0 {
-			fmt.Fprintf(ap.out, "%s failed after a call that was not answered: %s\n", rt.Name, formatCounts(rt.ByCall))
+		if len(rt.FailedCalls) > 0 {
+			fmt.Fprintf(ap.out, "%s failed after a call that was not answered: %s\n", rt.Name, formatCounts(rt.FailedCalls))
 		}
-		if rt.NotReached > 0 {
-			fmt.Fprintf(ap.out, "%s failed %d times though no backend server got the request\n", rt.Name, rt.NotReached)
+		if rt.NotDelivered > 0 {
+			fmt.Fprintf(ap.out, "%s failed %d times though no backend server got the request\n", rt.Name, rt.NotDelivered)
 		}
 	}
 	ap.printFleet(ac.Fleet)
-	if ac.LeftOut > 0 {
-		fmt.Fprintf(ap.out, "\nthe daemons left out %d lines, so all counts are lower limits\n", ac.LeftOut)
+	if ac.DroppedLines > 0 {
+		fmt.Fprintf(ap.out, "\nthe daemons left out %d lines, so all counts are lower limits\n", ac.DroppedLines)
 	}
-	ap.printSkipped(ac.Passed)
+	ap.printSkipped(ac.Skipped)
 	return nil
 }
 
@@ -95,11 +95,11 @@
 	}
 	const mega = 1e6
 	fmt.Fprintf(ap.out, "\n%d processes: %.1f MB resident on average, %.1f at most; %.1f s of processor time; %.1f MB of control traffic and %.1f MB of requests sent\n",
-		fl.Processes, float64(fl.Resident)/mega, float64(fl.ResidentMost)/mega, fl.Processor.Seconds(), float64(fl.ControlOut)/mega, float64(fl.PathOut)/mega)
+		fl.Processes, float64(fl.Resident)/mega, float64(fl.MaxResident)/mega, fl.CPUTime.Seconds(), float64(fl.ControlBytes)/mega, float64(fl.PathBytes)/mega)
 	for _, row := range []struct {
 		name string
 		by   map[string]int64
-	}{{"calls to the platform", fl.Calls}, {"bytes read from the platform", fl.Read}, {"bytes on links", fl.Links}} {
+	}{{"calls to the platform", fl.StoreCalls}, {"bytes read from the platform", fl.StoreBytesRead}, {"bytes on links", fl.LinkBytes}} {
 		if len(row.by) > 0 {
 			fmt.Fprintf(ap.out, "%s: %s\n", row.name, formatCounts(row.by))
 		}
@@ -107,8 +107,8 @@
 }
 
 // formatQuantiles formats the median and the 90th percentile in milliseconds.
-func formatQuantiles(ti acct.Times) string {
-	return fmt.Sprintf("%d/%d ms", ti.Middle.Round(time.Millisecond).Milliseconds(), ti.Ninth.Round(time.Millisecond).Milliseconds())
+func formatQuantiles(ti acct.Quantiles) string {
+	return fmt.Sprintf("%d/%d ms", ti.Median.Round(time.Millisecond).Milliseconds(), ti.P90.Round(time.Millisecond).Milliseconds())
 }
 
 func formatCounts[N int | int64](by map[string]N) string {
--- a/internal/node/cmds/explain.go
+++ b/internal/node/cmds/explain.go
@@ -53,13 +53,13 @@
 		fmt.Fprintln(ap.out, cause)
 	}
 	ap.printLines("lines of the request and of the calls made for it", rp.Lines)
-	ap.printLines("state that the daemons acted on", rp.Beliefs)
-	ap.printSkipped(rp.Passed)
+	ap.printLines("state that the daemons acted on", rp.State)
+	ap.printSkipped(rp.Skipped)
 }
 
-func (ap *app) printSkipped(pa trail.Passed) {
-	if pa.Foreign+pa.Broken > 0 {
-		fmt.Fprintf(ap.out, "\npassed over: %d lines of others, %d that cannot be read\n", pa.Foreign, pa.Broken)
+func (ap *app) printSkipped(pa trail.Skipped) {
+	if pa.Foreign+pa.Malformed > 0 {
+		fmt.Fprintf(ap.out, "\npassed over: %d lines of others, %d that cannot be read\n", pa.Foreign, pa.Malformed)
 	}
 }
 
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -124,7 +124,7 @@
 	}
 	dm.guard = guard.New(*kv)
 	link := pacer.New(se.LinkRate)
-	dm.controlBytes.Sent, dm.pathBytes.Sent = link.Sent, link.Sent
+	dm.controlBytes.OnSent, dm.pathBytes.OnSent = link.Sent, link.Sent
 	var src ctrl.Source
 	if dm.adapter.Source != nil {
 		src = dm.adapter.Source(se.Domains)
@@ -331,7 +331,7 @@
 	num("slots-running", func() int64 { return int64(dm.Inlet.Gate.Load().Running) })
 	num("slots-waiting", func() int64 { return int64(dm.Inlet.Gate.Load().Waiting) })
 	num("resident-bytes", func() int64 { return ownUsage().Resident })
-	num("processor-ms", func() int64 { return ownUsage().Processor.Milliseconds() })
+	num("processor-ms", func() int64 { return ownUsage().CPUTime.Milliseconds() })
 	m.Set("outlet", dm.Outlet.Stats.Var())
 	m.Set("inlet", dm.Inlet.Stats.Var())
 	return m
--- a/internal/path/inlet/crash.go
+++ b/internal/path/inlet/crash.go
@@ -158,8 +158,8 @@
 	if rf.Outcome == result.MayHaveRun {
 		rf.Reason = result.ReasonServerCrashed
 		if id, ok := requestIDOf(r, pr); ok {
-			in.Log.LogAttrs(context.Background(), slog.LevelWarn, logs.EndedUnder, slog.String(logs.ID, in.callerRequestID(r)),
-				slog.String(logs.Key, id.key.String()), slog.String(logs.Lifetime, tg.Lifetime))
+			in.Log.LogAttrs(context.Background(), slog.LevelWarn, logs.RunningAtCrash, slog.String(logs.ID, in.callerRequestID(r)),
+				slog.String(logs.RequestKey, id.key.String()), slog.String(logs.Lifetime, tg.Lifetime))
 			ids = append(ids, id)
 		}
 	}
@@ -172,7 +172,7 @@
 
 // logCrash logs that an instance of the server crashed, and how many requests it was running.
 func (in *Inlet) logCrash(tg *Target, running int) {
-	in.Log.LogAttrs(context.Background(), slog.LevelWarn, logs.ServerEnded,
+	in.Log.LogAttrs(context.Background(), slog.LevelWarn, logs.ServerCrashed,
 		slog.String(logs.Lifetime, tg.Lifetime), slog.Int("running", running))
 }
 
--- a/internal/path/inlet/inlet.go
+++ b/internal/path/inlet/inlet.go
@@ -190,9 +190,9 @@
 func (in *Inlet) refuse(w http.ResponseWriter, r *http.Request, rf *result.Refusal) {
 	load := in.load().String()
 	w.Header().Set(result.LoadHeader, load)
-	event := logs.Refused
+	event := logs.InletRefused
 	if rf.Outcome != result.NotRun || rf.Reason == result.ReasonShed {
-		event = logs.Failed
+		event = logs.InletFailed
 	}
 	in.Log.LogAttrs(context.Background(), slog.LevelWarn, event, slog.String(logs.ID, in.callerRequestID(r)),
 		slog.String(logs.Outcome, rf.Outcome.String()), slog.String(logs.Reason, string(rf.Reason)),
--- a/internal/path/outlet/outlet.go
+++ b/internal/path/outlet/outlet.go
@@ -272,7 +272,7 @@
 	rc := http.NewResponseController(w)
 	set := func(read, write time.Time) {
 		if err := errors.Join(rc.SetReadDeadline(read), rc.SetWriteDeadline(write)); err != nil {
-			ou.log.Debug(logs.DeadlineUnset, slog.Any("error", err))
+			ou.log.Debug(logs.SetDeadlineFailed, slog.Any("error", err))
 		}
 	}
 	// The write deadline is later, so that a caller whose body did not arrive in time can still be
--- a/internal/path/outlet/poison.go
+++ b/internal/path/outlet/poison.go
@@ -30,7 +30,7 @@
 		return nil
 	}
 	rq.ou.log.LogAttrs(context.Background(), slog.LevelInfo, logs.PoisonRefused,
-		slog.String(logs.ID, rq.id()), slog.String(logs.Key, key.String()), slog.Int(logs.Ends, rq.serverExits))
+		slog.String(logs.ID, rq.id()), slog.String(logs.RequestKey, key.String()), slog.Int(logs.Crashes, rq.serverExits))
 	return &result.Refusal{
 		Outcome: result.NotRun, Reason: result.ReasonPoison,
 		Detail: "backend servers exited while running this request; it is refused for now",
--- a/internal/path/outlet/request.go
+++ b/internal/path/outlet/request.go
@@ -305,10 +305,10 @@
 	rq.ou.log.LogAttrs(context.Background(), level, logs.Request, slog.String(logs.ID, rq.id()),
 		slog.String("service", rq.sv.Name), slog.String("route", rq.route.Name), slog.Uint64(logs.Version, rq.version),
 		slog.String("method", rq.r.Method), slog.String(logs.Outcome, oc.String()), slog.String(logs.Reason, string(re)),
-		slog.Int("attempts", rq.attempts), slog.String(logs.VM, rq.vm), rq.softwareAttr(), slog.Duration(logs.Elapsed, rq.elapsed),
+		slog.Int("attempts", rq.attempts), slog.String(logs.TargetVM, rq.vm), rq.softwareAttr(), slog.Duration(logs.Elapsed, rq.elapsed),
 		slog.Duration(logs.Queued, rq.queued), slog.Duration(logs.Limit, rq.limit), rq.causeAttr(),
 		slog.Duration(logs.Objective, rq.route.Objective),
-		slog.Duration(logs.Wait, rq.spent.Wait), slog.Duration(logs.Held, rq.spent.ServiceTime), slog.Duration(logs.Took, took))
+		slog.Duration(logs.Wait, rq.spent.Wait), slog.Duration(logs.ServiceTime, rq.spent.ServiceTime), slog.Duration(logs.Took, took))
 }
 
 // softwareAttr returns the log attribute for the last server's software version, empty unless the
@@ -333,7 +333,7 @@
 func (rq *request) logAttempt(ep *pick.Endpoint, rf *result.Refusal) {
 	load, age := ep.EstimatedLoad(time.Now())
 	rq.ou.log.LogAttrs(context.Background(), slog.LevelInfo, logs.Attempt, slog.String(logs.ID, rq.id()),
-		slog.String(logs.VM, ep.VM), slog.String(logs.Outcome, rf.Outcome.String()), slog.String(logs.Reason, string(rf.Reason)),
+		slog.String(logs.TargetVM, ep.VM), slog.String(logs.Outcome, rf.Outcome.String()), slog.String(logs.Reason, string(rf.Reason)),
 		slog.Float64(logs.Load, load), slog.Duration(logs.LoadAge, age), slog.Duration(logs.Took, time.Since(rq.start)), rf.CauseAttr())
 }
 
--- a/internal/stat/acct/acct.go
+++ b/internal/stat/acct/acct.go
@@ -23,10 +23,10 @@
 	Windows []*Window `json:"windows"`
 	// DroppedLines counts the log lines that the daemons dropped to limit the rate. If there are
 	// any, all counts here are lower bounds.
-	LeftOut int `json:"left-out-lines"`
+	DroppedLines int `json:"left-out-lines"`
 	// Fleet is the resource usage of the daemons, nil if no log reports it.
 	Fleet *Fleet `json:"fleet,omitempty"`
-	trail.Passed
+	trail.Skipped
 }
 
 // Route summarizes the requests of one route.
@@ -36,27 +36,27 @@
 	Counts
 	// CallerRetries counts the requests that callers had sent before, Retries the outlets' attempts
 	// beyond the first at each request.
-	Back  int `json:"back"`
-	Again int `json:"again"`
+	CallerRetries int `json:"back"`
+	Retries       int `json:"again"`
 	// Reasons counts the refused and failed requests by outcome and reason.
 	Reasons map[string]int `json:"reasons"`
 	// AvoidableRefusals counts refusals for lack of slots while a server of the service had a free
 	// slot, as far as the logged answers show.
-	BesideFree int `json:"beside-free"`
+	AvoidableRefusals int `json:"beside-free"`
 	// NotDelivered counts the failed requests that, according to the inlets, no backend server
 	// received. Their callers cannot know this, so they may not repeat a request that must not
 	// run twice.
-	NotReached int `json:"not-reached"`
+	NotDelivered int `json:"not-reached"`
 	// FailedCalls counts the refused and failed requests for which a call made on their behalf was
 	// not answered, by the route of the call.
-	ByCall map[string]int `json:"by-call"`
+	FailedCalls map[string]int `json:"by-call"`
 	// Elapsed is the time that callers had spent on a request before it arrived, Wait the wait for
 	// a slot, ServiceTime the time in the slot, and Took the total time at the outlet. They cover
 	// answered requests only.
-	Before Times `json:"before"`
-	Wait   Times `json:"wait"`
-	Held   Times `json:"held"`
-	Took   Times `json:"took"`
+	Elapsed     Quantiles `json:"before"`
+	Wait        Quantiles `json:"wait"`
+	ServiceTime Quantiles `json:"held"`
+	Took        Quantiles `json:"took"`
 }
 
 // Counts holds the numbers of requests by outcome.
@@ -73,10 +73,10 @@
 	Counts
 }
 
-// Times holds the median and the 90th percentile of a set of durations.
-type Times struct {
-	Middle time.Duration `json:"middle"`
-	Ninth  time.Duration `json:"nine-in-ten"`
+// Quantiles holds the median and the 90th percentile of a set of durations.
+type Quantiles struct {
+	Median time.Duration `json:"middle"`
+	P90    time.Duration `json:"nine-in-ten"`
 }
 
 // windowLength is long enough for some hundred requests in a small fleet, and short enough to
@@ -92,18 +92,18 @@
 	processes    processes
 	// refusals counts, for each request ID, the attempts that inlets refused.
 	refusals map[string]int
-	trail.Passed
+	trail.Skipped
 }
 
 // Read adds the lines of a log.
 func (rd *Reader) Read(r io.Reader) error {
-	return trail.Scan(r, &rd.Passed, func(ln *trail.Line) {
+	return trail.Scan(r, &rd.Skipped, func(ln *trail.Line) {
 		switch ln.Event {
 		case logs.Request:
 			rd.requests = append(rd.requests, ln)
 		case logs.Usage:
 			rd.processes.add(ln)
-		case logs.Refused:
+		case logs.InletRefused:
 			if rd.refusals == nil {
 				rd.refusals = map[string]int{}
 			}
@@ -125,7 +125,7 @@
 // Account returns a summary of the lines read.
 func (rd *Reader) Account() *Account {
 	slices.SortStableFunc(rd.requests, func(a, b *trail.Line) int { return a.Time.Compare(b.Time) })
-	ac := &Account{LeftOut: rd.droppedLines, Fleet: rd.processes.sum(), Passed: rd.Passed}
+	ac := &Account{DroppedLines: rd.droppedLines, Fleet: rd.processes.sum(), Skipped: rd.Skipped}
 	if len(rd.requests) == 0 {
 		return ac
 	}
@@ -136,12 +136,12 @@
 		name := ln.Text("route")
 		rs := routes[name]
 		if rs == nil {
-			rs = &routeSamples{Route: &Route{Name: name, Service: ln.Text("service"), Reasons: map[string]int{}, ByCall: map[string]int{}}}
+			rs = &routeSamples{Route: &Route{Name: name, Service: ln.Text("service"), Reasons: map[string]int{}, FailedCalls: map[string]int{}}}
 			routes[name] = rs
 		}
 		rs.add(ln, calls, slots)
 		if rd.failedUndelivered(ln) {
-			rs.NotReached++
+			rs.NotDelivered++
 		}
 		ac.window(ln.Time).add(ln)
 	}
@@ -195,36 +195,36 @@
 func (rs *routeSamples) add(ln *trail.Line, calls map[string]string, slots slotUse) {
 	rs.Counts.add(ln)
 	if ln.Duration(logs.Elapsed) > 0 {
-		rs.Back++
+		rs.CallerRetries++
 	}
-	rs.Again += max(0, int(ln.Number("attempts"))-1)
+	rs.Retries += max(0, int(ln.Number("attempts"))-1)
 	if ln.Text(logs.Outcome) == result.Answered.String() {
 		rs.elapsed = append(rs.elapsed, ln.Duration(logs.Elapsed))
 		rs.wait = append(rs.wait, ln.Duration(logs.Wait))
-		rs.serviceTime = append(rs.serviceTime, ln.Duration(logs.Held))
+		rs.serviceTime = append(rs.serviceTime, ln.Duration(logs.ServiceTime))
 		rs.took = append(rs.took, ln.Duration(logs.Took))
 		return
 	}
 	rs.Reasons[ln.Text(logs.Outcome)+"/"+ln.Text(logs.Reason)]++
 	if call := calls[ln.Text(logs.ID)]; call != "" {
-		rs.ByCall[call]++
+		rs.FailedCalls[call]++
 	}
 	if result.Reason(ln.Text(logs.Reason)) == result.ReasonSlotsFull && slots.hasFree(ln.Text("service"), ln.Time) {
-		rs.BesideFree++
+		rs.AvoidableRefusals++
 	}
 }
 
 func (rs *routeSamples) summarize() *Route {
-	rs.Before, rs.Wait, rs.Held, rs.Took = quantiles(rs.elapsed), quantiles(rs.wait), quantiles(rs.serviceTime), quantiles(rs.took)
+	rs.Elapsed, rs.Wait, rs.ServiceTime, rs.Took = quantiles(rs.elapsed), quantiles(rs.wait), quantiles(rs.serviceTime), quantiles(rs.took)
 	return rs.Route
 }
 
-func quantiles(list []time.Duration) Times {
+func quantiles(list []time.Duration) Quantiles {
 	if len(list) == 0 {
-		return Times{}
+		return Quantiles{}
 	}
 	slices.Sort(list)
-	return Times{Middle: list[len(list)/2], Ninth: list[len(list)*9/10]}
+	return Quantiles{Median: list[len(list)/2], P90: list[len(list)*9/10]}
 }
 
 // failedCalls returns, by request ID, the route of the first call made on behalf of the request
--- a/internal/stat/acct/fleet.go
+++ b/internal/stat/acct/fleet.go
@@ -14,18 +14,18 @@
 	Processes int `json:"processes"`
 	// Resident is the mean resident set of the processes in bytes at their last lines, MaxResident
 	// the largest in any line.
-	Resident     int64         `json:"resident-bytes"`
-	ResidentMost int64         `json:"resident-bytes-most"`
-	Processor    time.Duration `json:"processor"`
+	Resident    int64         `json:"resident-bytes"`
+	MaxResident int64         `json:"resident-bytes-most"`
+	CPUTime     time.Duration `json:"processor"`
 	// ControlBytes and PathBytes are the bytes that daemons sent to each other: control messages,
 	// and requests with their answers.
-	ControlOut int64 `json:"control-bytes"`
-	PathOut    int64 `json:"path-bytes"`
+	ControlBytes int64 `json:"control-bytes"`
+	PathBytes    int64 `json:"path-bytes"`
 	// StoreCalls counts calls to the platform's store and StoreBytesRead the bytes that they
 	// returned, both by purpose. LinkBytes counts the bytes sent on links by kind.
-	Calls map[string]int64 `json:"calls"`
-	Read  map[string]int64 `json:"read-bytes"`
-	Links map[string]int64 `json:"link-bytes"`
+	StoreCalls     map[string]int64 `json:"calls"`
+	StoreBytesRead map[string]int64 `json:"read-bytes"`
+	LinkBytes      map[string]int64 `json:"link-bytes"`
 }
 
 // processes keeps the last usage line of each process. The counts in a line start from zero with
@@ -60,13 +60,13 @@
 	if len(all) == 0 {
 		return nil
 	}
-	fl := &Fleet{Processes: len(all), ResidentMost: ps.maxResident, Calls: map[string]int64{}, Read: map[string]int64{}, Links: map[string]int64{}}
+	fl := &Fleet{Processes: len(all), MaxResident: ps.maxResident, StoreCalls: map[string]int64{}, StoreBytesRead: map[string]int64{}, LinkBytes: map[string]int64{}}
 	for _, ln := range all {
 		fl.Resident += int64(ln.Number("resident"))
-		fl.Processor += time.Duration(ln.Number("processor-ms")) * time.Millisecond
-		fl.ControlOut += int64(ln.Number("control-out"))
-		fl.PathOut += int64(ln.Number("path-out"))
-		for name, to := range map[string]map[string]int64{logs.Calls: fl.Calls, logs.Read: fl.Read, logs.Links: fl.Links} {
+		fl.CPUTime += time.Duration(ln.Number("processor-ms")) * time.Millisecond
+		fl.ControlBytes += int64(ln.Number("control-out"))
+		fl.PathBytes += int64(ln.Number("path-out"))
+		for name, to := range map[string]map[string]int64{logs.StoreCalls: fl.StoreCalls, logs.StoreBytesRead: fl.StoreBytesRead, logs.LinkBytes: fl.LinkBytes} {
 			addCounts(to, ln.Fields[name])
 		}
 	}
--- a/internal/stat/logs/events.go
+++ b/internal/stat/logs/events.go
@@ -8,15 +8,15 @@
 	Attempt = "attempt"
 	// InletRefused is a request that an inlet did not forward to its backend server, InletFailed
 	// one that it forwarded and that was not answered.
-	Refused = "inlet-refused"
-	Failed  = "inlet-failed"
+	InletRefused = "inlet-refused"
+	InletFailed  = "inlet-failed"
 	// SetDeadlineFailed is a failure to set the deadline of a caller's connection: the caller has
 	// disconnected, or the connection does not support deadlines.
-	DeadlineUnset = "caller-deadline-unset"
+	SetDeadlineFailed = "caller-deadline-unset"
 	// ServerCrashed is the crash of a backend server: its process ended while it ran requests.
-	ServerEnded = "backend-server-ended"
+	ServerCrashed = "backend-server-ended"
 	// RunningAtCrash is a request that a backend server was running when it crashed.
-	EndedUnder = "ended-under"
+	RunningAtCrash = "ended-under"
 	// PoisonFound is a request that is not run any more because servers crash on it,
 	// PoisonCleared one that has since been answered.
 	PoisonFound   = "poison-found"
@@ -27,25 +27,25 @@
 	// Usage reports the resource usage of a daemon since its start. StoreCalls groups its calls to
 	// the platform's store and StoreBytesRead the bytes that they returned, both by purpose.
 	// LinkBytes groups the bytes sent on its links by kind.
-	Usage = "usage"
-	Calls = "calls"
-	Read  = "read"
-	Links = "links"
+	Usage          = "usage"
+	StoreCalls     = "calls"
+	StoreBytesRead = "read"
+	LinkBytes      = "links"
 
 	// ID is the ID that the caller gave to a request.
 	ID = "id"
 	// RequestKey is the key that package ident computes for a request. It is the same for each
 	// attempt of its caller, and for other callers that send an equal request.
-	Key = "request-key"
+	RequestKey = "request-key"
 	// Crashes is the number of backend servers known to have crashed while running a request.
-	Ends = "ends"
+	Crashes = "ends"
 	// Version is the version of the configuration that a request was routed by.
 	Version = "version"
 	// Outcome and Reason are those of package result.
 	Outcome = "outcome"
 	Reason  = "reason"
 	// TargetVM is the VM that a request was sent to, Lifetime the lifetime of its backend server.
-	VM = "to-vm"
+	TargetVM = "to-vm"
 	// Service is the service that a line concerns.
 	Service = "service"
 	// Software is the software version of the backend server. It is set only for services with a
@@ -67,8 +67,8 @@
 	Elapsed = "elapsed"
 	// Wait is the time that a request waited for a slot, ServiceTime the time from then until its
 	// answer had been read, in nanoseconds, as reported by the inlet.
-	Wait = "wait"
-	Held = "held"
+	Wait        = "wait"
+	ServiceTime = "held"
 	// Load is, on lines of an inlet, a result.Load as text: running requests, waiting requests,
 	// slots and times in milliseconds, joined by slashes. On lines of an outlet it is the number of
 	// requests assumed at the server, and LoadAge is the age of that number in nanoseconds.
--- a/internal/stat/meter/meter.go
+++ b/internal/stat/meter/meter.go
@@ -13,7 +13,7 @@
 	In, Out atomic.Int64
 	// OnSent, if not nil, is called with the number of bytes of each write to another VM. It must
 	// be set before the first connection.
-	Sent func(n int)
+	OnSent func(n int)
 }
 
 type conn struct {
@@ -27,7 +27,7 @@
 	localHost, _, localErr := net.SplitHostPort(nc.LocalAddr().String())
 	remoteHost, _, remoteErr := net.SplitHostPort(nc.RemoteAddr().String())
 	sameVM := localErr == nil && remoteErr == nil && localHost == remoteHost
-	return &conn{Conn: nc, mt: mt, remote: !sameVM && mt.Sent != nil}
+	return &conn{Conn: nc, mt: mt, remote: !sameVM && mt.OnSent != nil}
 }
 
 // Read reads from the connection and counts the bytes.
@@ -42,7 +42,7 @@
 	n, err := cn.Conn.Write(p)
 	cn.mt.Out.Add(int64(n))
 	if cn.remote && n > 0 {
-		cn.mt.Sent(n)
+		cn.mt.OnSent(n)
 	}
 	return n, err
 }
--- a/internal/stat/trail/cause.go
+++ b/internal/stat/trail/cause.go
@@ -16,23 +16,23 @@
 	Lines []*Line `json:"lines"`
 	// State is the state of the daemons involved: for each kind of event, the last line before
 	// the request ended.
-	Beliefs []*Line `json:"beliefs"`
+	State []*Line `json:"beliefs"`
 	// Causes are sentences for the operator, the most direct cause first.
 	Causes []string `json:"causes"`
-	Passed
+	Skipped
 }
 
 // Explain sorts the lines by time and determines the causes of the outcome.
 func (co *Collector) Explain() *Report {
 	sortLines(co.requestLines)
 	sortLines(co.stateLines)
-	rp := &Report{ID: co.id, Lines: co.requestLines, Passed: co.Passed}
+	rp := &Report{ID: co.id, Lines: co.requestLines, Skipped: co.Skipped}
 	if len(co.requestLines) == 0 {
 		rp.Causes = []string{"no log line has this id: the request did not reach any daemon whose log was given, or its lines were left out" + co.dropped("", time.Time{})}
 		return rp
 	}
 	end := co.endLine()
-	rp.Beliefs = co.stateAt(rp.Lines[len(rp.Lines)-1].Time)
+	rp.State = co.stateAt(rp.Lines[len(rp.Lines)-1].Time)
 	if end == nil {
 		first := co.requestLines[0]
 		rp.Causes = append(rp.Causes, "no log line records its outcome: the daemon of its outlet ended first, or the line was left out"+co.dropped(first.VM, first.Time))
@@ -60,7 +60,7 @@
 	involved := map[string]bool{}
 	for _, ln := range co.requestLines {
 		involved[ln.VM] = true
-		if to := ln.Text(logs.VM); to != "" {
+		if to := ln.Text(logs.TargetVM); to != "" {
 			involved[to] = true
 		}
 	}
@@ -88,7 +88,7 @@
 	add := func(format string, args ...any) { list = append(list, fmt.Sprintf(format, args...)) }
 	switch {
 	case end.Text(logs.Outcome) == result.Answered.String():
-		add("answered by the server beside %s after %v", end.Text(logs.VM), end.Duration(logs.Took).Round(time.Millisecond))
+		add("answered by the server beside %s after %v", end.Text(logs.TargetVM), end.Duration(logs.Took).Round(time.Millisecond))
 		list = append(list, co.timing(end)...)
 	case reason.NoCapacity() && attempts == 0:
 		add("refused without being sent: most recent requests of its kind were refused, so the outlet of %s throttled this one", end.VM)
@@ -120,7 +120,7 @@
 	if d := end.Duration(logs.Elapsed); d > 0 {
 		list = append(list, fmt.Sprintf("the caller had spent %v on it before, because it retried after a refusal or called late", d.Round(time.Millisecond)))
 	}
-	wait, held := end.Duration(logs.Wait), end.Duration(logs.Held)
+	wait, held := end.Duration(logs.Wait), end.Duration(logs.ServiceTime)
 	if wait+held > 0 {
 		rest := end.Duration(logs.Took) - wait - held
 		list = append(list, fmt.Sprintf("%v of it waiting for a slot at the inlet, %v at the backend server, %v in transit and in earlier attempts",
@@ -140,8 +140,8 @@
 		switch ln.Event {
 		case logs.Attempt:
 			list = append(list, fmt.Sprintf("%s did not take it (%s); the outlet believed %.0f requests there, %v old",
-				ln.Text(logs.VM), ln.Text(logs.Reason), ln.Number(logs.Load), ln.Duration(logs.LoadAge).Round(time.Millisecond)))
-		case logs.Refused:
+				ln.Text(logs.TargetVM), ln.Text(logs.Reason), ln.Number(logs.Load), ln.Duration(logs.LoadAge).Round(time.Millisecond)))
+		case logs.InletRefused:
 			list = append(list, fmt.Sprintf("the inlet of %s says %s with load %s (running/waiting/slots/ms a slot is held/ms of backlog on its link)",
 				ln.VM, ln.Text(logs.Reason), ln.Text(logs.Load)))
 		}
@@ -152,13 +152,13 @@
 // mayHaveRun explains why a request that was sent got no answer: the backend server, the daemon
 // beside it or the connection failed.
 func (co *Collector) mayHaveRun(end *Line) []string {
-	to := end.Text(logs.VM)
+	to := end.Text(logs.TargetVM)
 	list := []string{fmt.Sprintf("it was sent to %s and no answer says that it has not run (%s)", to, end.Text(logs.Reason))}
 	for _, ln := range co.requestLines {
-		if ln.Event == logs.EndedUnder && ln.Text(logs.ID) == co.id {
-			return append(list, fmt.Sprintf("the backend server %s beside %s crashed while running it, and possibly other requests; its %s is %s", ln.Text(logs.Lifetime), ln.VM, logs.Key, ln.Text(logs.Key)))
+		if ln.Event == logs.RunningAtCrash && ln.Text(logs.ID) == co.id {
+			return append(list, fmt.Sprintf("the backend server %s beside %s crashed while running it, and possibly other requests; its %s is %s", ln.Text(logs.Lifetime), ln.VM, logs.RequestKey, ln.Text(logs.RequestKey)))
 		}
-		if ln.Event == logs.Failed && ln.Text(logs.ID) == co.id {
+		if ln.Event == logs.InletFailed && ln.Text(logs.ID) == co.id {
 			return append(list, fmt.Sprintf("the inlet of %s had handed it to its backend server, which did not answer it (%s)", ln.VM, ln.Text(logs.Reason)))
 		}
 	}
@@ -201,7 +201,7 @@
 func (co *Collector) crashes() []string {
 	for _, ln := range co.requestLines {
 		if ln.Event == logs.PoisonRefused && ln.Text(logs.ID) == co.id {
-			return []string{fmt.Sprintf("%.0f crashes were known there; see the %s lines with %s %s", ln.Number(logs.Ends), logs.EndedUnder, logs.Key, ln.Text(logs.Key))}
+			return []string{fmt.Sprintf("%.0f crashes were known there; see the %s lines with %s %s", ln.Number(logs.Crashes), logs.RunningAtCrash, logs.RequestKey, ln.Text(logs.RequestKey))}
 		}
 	}
 	return nil
--- a/internal/stat/trail/read.go
+++ b/internal/stat/trail/read.go
@@ -44,7 +44,7 @@
 	"version-held": true, "version-refused": true, "version-unreadable": true, "platform-state": true,
 	"backend-server": true, "server-leaves": true, "server-withdrawn": true, "backend-server-unreachable": true,
 	"member-unheard": true, "failure-domain-reach": true, "daemon-start": true, "daemon-end": true, "stopping": true, "drain": true,
-	logs.ServerEnded: true, logs.PoisonFound: true, logs.PoisonCleared: true, logs.LinesDropped: true,
+	logs.ServerCrashed: true, logs.PoisonFound: true, logs.PoisonCleared: true, logs.LinesDropped: true,
 }
 
 // Collector gathers the log lines that concern one request.
@@ -53,30 +53,30 @@
 	// requestLines have the request's ID, or that of a call made on its behalf.
 	requestLines []*Line
 	stateLines   []*Line
-	Passed
+	Skipped
 }
 
-// Passed counts the lines that were skipped.
-type Passed struct {
+// Skipped counts the lines that were skipped.
+type Skipped struct {
 	// Foreign counts lines that no daemon wrote. Malformed counts lines that contain a brace but
 	// no valid JSON object after it, such as the last line of a truncated log.
-	Foreign int `json:"foreign-lines"`
-	Broken  int `json:"broken-lines"`
+	Foreign   int `json:"foreign-lines"`
+	Malformed int `json:"broken-lines"`
 }
 
 // New returns an empty collector for the request with the given ID.
 func New(id string) *Collector { return &Collector{id: id} }
 
 // Read adds the lines of a log.
-func (co *Collector) Read(r io.Reader) error { return Scan(r, &co.Passed, co.add) }
+func (co *Collector) Read(r io.Reader) error { return Scan(r, &co.Skipped, co.add) }
 
 // Scan calls handle for each line of a log and counts the lines that no daemon wrote. It ignores
 // text before the first brace of a line, since log collectors prepend their own fields.
-func Scan(r io.Reader, pa *Passed, handle func(*Line)) error {
+func Scan(r io.Reader, sk *Skipped, handle func(*Line)) error {
 	br := bufio.NewReader(r)
 	for {
 		raw, err := br.ReadBytes('\n')
-		if ln := pa.parse(raw); ln != nil {
+		if ln := sk.parse(raw); ln != nil {
 			handle(ln)
 		}
 		if errors.Is(err, io.EOF) {
@@ -89,26 +89,26 @@
 }
 
 // parse decodes a line and returns nil if it is skipped.
-func (pa *Passed) parse(raw []byte) *Line {
+func (sk *Skipped) parse(raw []byte) *Line {
 	raw = bytes.TrimSpace(raw)
 	if len(raw) == 0 {
 		return nil
 	}
 	start := bytes.IndexByte(raw, '{')
 	if start < 0 {
-		pa.Foreign++
+		sk.Foreign++
 		return nil
 	}
 	var fields map[string]any
 	if err := json.Unmarshal(raw[start:], &fields); err != nil {
-		pa.Broken++
+		sk.Malformed++
 		return nil
 	}
 	ln := &Line{Fields: fields}
 	ln.VM, ln.Event = ln.Text("vm"), ln.Text("msg")
 	at, err := time.Parse(time.RFC3339Nano, ln.Text("time"))
 	if err != nil || ln.Event == "" {
-		pa.Foreign++
+		sk.Foreign++
 		return nil
 	}
 	ln.Time = at
--- a/internal/stat/trail/trail_test.go
+++ b/internal/stat/trail/trail_test.go
@@ -89,8 +89,8 @@
 					t.Errorf("cause %d is %q, want %q in it", i, rp.Causes[i], want)
 				}
 			}
-			if co.Foreign+co.Broken != 0 {
-				t.Errorf("%d foreign and %d broken lines", co.Foreign, co.Broken)
+			if co.Foreign+co.Malformed != 0 {
+				t.Errorf("%d foreign and %d broken lines", co.Foreign, co.Malformed)
 			}
 		})
 	}
@@ -106,8 +106,8 @@
 		t.Fatal(err)
 	}
 	rp := co.Explain()
-	if rp.Foreign != 2 || rp.Broken != 1 || len(rp.Lines) != 2 || rp.Lines[0].VM != "b" {
-		t.Errorf("%d foreign, %d broken, %d lines: %+v", rp.Foreign, rp.Broken, len(rp.Lines), rp.Lines)
+	if rp.Foreign != 2 || rp.Malformed != 1 || len(rp.Lines) != 2 || rp.Lines[0].VM != "b" {
+		t.Errorf("%d foreign, %d broken, %d lines: %+v", rp.Foreign, rp.Malformed, len(rp.Lines), rp.Lines)
 	}
 }
 
--- a/internal/stat/usage/usage.go
+++ b/internal/stat/usage/usage.go
@@ -14,7 +14,7 @@
 	// Resident is the size of the resident set in bytes.
 	Resident int64
 	// CPUTime is the user and system time of all threads.
-	Processor time.Duration
+	CPUTime time.Duration
 }
 
 // clockTick is the unit of CPU time in /proc (1/USER_HZ, see proc(5)).
@@ -41,7 +41,7 @@
 	if err != nil {
 		return Usage{}, err
 	}
-	return Usage{Resident: resident, Processor: cpu}, nil
+	return Usage{Resident: resident, CPUTime: cpu}, nil
 }
 
 func residentBytes(file string) (int64, error) {
