--- a/cmd/flamingomast/process_test.go
+++ b/cmd/flamingomast/process_test.go
@@ -20,9 +20,9 @@
 	"github.com/flamingomast/flamingomast/internal/node/admin"
 )
 
-// limit bounds each wait for a condition. It is far above what is needed, so
+// waitTimeout bounds each wait for a condition. It is far above what is needed, so
 // that a busy machine gives the same verdict.
-const limit = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
 var (
 	buildOnce sync.Once
@@ -98,14 +98,14 @@
 // eventually waits for a condition.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), limit)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for !ok() {
 		select {
 		case <-ctx.Done():
-			t.Fatalf("not in %s: %s", limit, what)
+			t.Fatalf("not in %s: %s", waitTimeout, what)
 		case <-tick.C:
 		}
 	}
@@ -206,7 +206,7 @@
 // apply applies the declarations and waits until they are in force everywhere.
 func (me *mesh) apply(base string, more ...string) string {
 	me.t.Helper()
-	args := append([]string{"apply", "--platform", me.platform, "--daemon", me.vms[0].admin, "--base", base, "--wait", limit.String()}, more...)
+	args := append([]string{"apply", "--platform", me.platform, "--daemon", me.vms[0].admin, "--base", base, "--wait", waitTimeout.String()}, more...)
 	out, code := run(me.t, append(args, me.dir)...)
 	if code != 0 {
 		me.t.Fatalf("apply: exit %d\n%s", code, out)
@@ -344,15 +344,15 @@
 	me.servedBy(me.vms[0], v.name)
 
 	const running = 8
-	bad := make(chan string, running)
+	problems := make(chan string, running)
 	for i := range running {
 		go func() {
 			body, status, err := me.vms[0].get("booking", fmt.Sprintf("/visits/%d", i))
 			if err != nil || status != http.StatusOK || !strings.Contains(body, fmt.Sprintf("/visits/%d ", i)) {
-				bad <- fmt.Sprintf("request %d: status %d, error %v, body %q", i, status, err, body)
+				problems <- fmt.Sprintf("request %d: status %d, error %v, body %q", i, status, err, body)
 				return
 			}
-			bad <- ""
+			problems <- ""
 		}()
 	}
 	eventually(t, "all requests run at the VM", func() bool {
@@ -366,7 +366,7 @@
 	})
 	v.daemon.signal(syscall.SIGTERM)
 	for range running {
-		if msg := <-bad; msg != "" {
+		if msg := <-problems; msg != "" {
 			t.Error(msg)
 		}
 	}
--- a/cmd/flamingomast/soak_test.go
+++ b/cmd/flamingomast/soak_test.go
@@ -12,15 +12,15 @@
 // older, and daemons and servers that are killed, stopped and paused.
 func TestSoak(t *testing.T) {
 	plan := []soak.Step{
-		{At: 500 * time.Millisecond, Kind: soak.RollBad},
-		{At: time.Second, Kind: soak.CopyPlatform},
-		{At: 2 * time.Second, Kind: soak.Change},
-		{At: 2500 * time.Millisecond, Kind: soak.KillDaemon, VM: 1, For: 500 * time.Millisecond},
-		{At: 3 * time.Second, Kind: soak.OlderPlatform},
-		{At: 4 * time.Second, Kind: soak.StopDaemon, VM: 2, For: 300 * time.Millisecond},
-		{At: 5 * time.Second, Kind: soak.KillServer, VM: 0, For: 300 * time.Millisecond},
-		{At: 6 * time.Second, Kind: soak.PauseDaemon, VM: 3, For: time.Second},
-		{At: 7 * time.Second, Kind: soak.DrainServer, VM: 4, For: 300 * time.Millisecond},
+		{At: 500 * time.Millisecond, Kind: soak.RolloutBad},
+		{At: time.Second, Kind: soak.BackUpPlatform},
+		{At: 2 * time.Second, Kind: soak.ChangeConfig},
+		{At: 2500 * time.Millisecond, Kind: soak.KillDaemon, VM: 1, Duration: 500 * time.Millisecond},
+		{At: 3 * time.Second, Kind: soak.RestorePlatform},
+		{At: 4 * time.Second, Kind: soak.StopDaemon, VM: 2, Duration: 300 * time.Millisecond},
+		{At: 5 * time.Second, Kind: soak.KillServer, VM: 0, Duration: 300 * time.Millisecond},
+		{At: 6 * time.Second, Kind: soak.PauseDaemon, VM: 3, Duration: time.Second},
+		{At: 7 * time.Second, Kind: soak.DrainServer, VM: 4, Duration: 300 * time.Millisecond},
 	}
 	runSoak(t, soak.Options{For: 14 * time.Second, Plan: plan})
 }
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	t.Logf("%d requests, rollout %s", re.Sent, re.Rollout)
-	for _, one := range re.Failed() {
-		t.Errorf("%s: %d cases, %q", one.Check, one.Cases, one.Failures)
+	for _, result := range re.Failed() {
+		t.Errorf("%s: %d cases, %q", result.Check, result.Cases, result.Failures)
 	}
 }
--- a/internal/node/demo/callers.go
+++ b/internal/node/demo/callers.go
@@ -19,8 +19,8 @@
 
 // The load of a demonstration.
 const (
-	workers  = 8
-	thinking = 10 * time.Millisecond
+	workers   = 8
+	thinkTime = 10 * time.Millisecond
 )
 
 // callers send steady requests through the outlets of all units, in turn GET
@@ -44,7 +44,7 @@
 // refresh lists the outlets anew.
 func (cl *callers) refresh() {
 	var list []string
-	cl.fl.eachUnit(func(un *unit) { list = append(list, un.se.Outlet) })
+	cl.fl.eachVM(func(rv *runningVM) { list = append(list, rv.se.Outlet) })
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	cl.outlets = list
@@ -62,7 +62,7 @@
 		wg.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				cl.send(fmt.Sprintf("%d-%d", w, n), n%2 == 0)
-				_ = wait(ctx, thinking)
+				_ = sleep(ctx, thinkTime)
 			}
 		})
 	}
@@ -90,25 +90,25 @@
 	cl.requests.Add(1)
 	res, err := cl.http.Do(req)
 	if err != nil {
-		cl.fail(id, err.Error())
+		cl.recordFailure(id, err.Error())
 		return
 	}
 	defer res.Body.Close()
 	text, err := io.ReadAll(res.Body)
 	switch {
 	case err != nil:
-		cl.fail(id, err.Error())
+		cl.recordFailure(id, err.Error())
 	case res.Header.Get(result.OutcomeHeader) == result.NotRun.String():
 		cl.notRun.Add(1)
 		cl.fl.op.Log.Warn("request-refused", slog.String("id", id), slog.String("reason", res.Header.Get(result.ReasonHeader)))
 	case res.StatusCode != http.StatusOK || !strings.Contains(string(text), "/demo/"+id+" "):
-		cl.fail(id, res.Status+" "+string(text))
+		cl.recordFailure(id, res.Status+" "+string(text))
 	default:
 		cl.answered.Add(1)
 	}
 }
 
-func (cl *callers) fail(id, why string) {
+func (cl *callers) recordFailure(id, cause string) {
 	cl.failed.Add(1)
-	cl.fl.op.Log.Error("request-failed", slog.String("id", id), slog.String("cause", why))
+	cl.fl.op.Log.Error("request-failed", slog.String("id", id), slog.String("cause", cause))
 }
--- a/internal/node/demo/demo.go
+++ b/internal/node/demo/demo.go
@@ -38,7 +38,7 @@
 	Answered      int64  `json:"answered"`
 	NotRun        int64  `json:"refused-not-run"`
 	Failed        int64  `json:"failed"`
-	Doubled       int    `json:"doubled"`
+	Duplicated    int    `json:"doubled"`
 	Version       uint64 `json:"version"`
 	ConvergenceMs int64  `json:"convergence-ms"`
 	// Behind is how many daemons do not hold the last version.
@@ -46,31 +46,31 @@
 }
 
 // OK reports whether nothing went wrong.
-func (sm *Summary) OK() bool { return sm.Failed == 0 && sm.Doubled == 0 && sm.Behind == 0 }
+func (sm *Summary) OK() bool { return sm.Failed == 0 && sm.Duplicated == 0 && sm.Behind == 0 }
 
 // The times of a demonstration.
 const (
-	workTime   = 5 * time.Millisecond
-	startLimit = 15 * time.Second
-	holdLimit  = 10 * time.Second
-	minFor     = 4 * time.Second
+	serviceTime        = 5 * time.Millisecond
+	startTimeout       = 15 * time.Second
+	convergenceTimeout = 10 * time.Second
+	minDuration        = 4 * time.Second
 )
 
 // fleet is everything that a demonstration runs.
 type fleet struct {
-	op       Options
-	ms       *decl.Mesh
-	st       *stand.Stand
-	platform string
-	ledger   Ledger
+	op           Options
+	ms           *decl.Mesh
+	st           *stand.Stand
+	platformAddr string
+	runs         Ledger
 
-	mu    sync.Mutex
-	units map[string]*unit // by VM
-	wg    conc.WaitGroup
+	mu  sync.Mutex
+	vms map[string]*runningVM // by VM
+	wg  conc.WaitGroup
 }
 
-// unit is a VM with its daemon and backend server.
-type unit struct {
+// runningVM is a VM with its daemon and backend server.
+type runningVM struct {
 	vm   decl.VM
 	dm   *daemon.Daemon
 	se   setup.Settings
@@ -87,33 +87,33 @@
 	if len(ms.VMs) == 0 {
 		return nil, fmt.Errorf("%s declares no VMs", op.Dir)
 	}
-	op.For = max(op.For, minFor)
+	op.For = max(op.For, minDuration)
 	ctx, cancel := context.WithCancel(ctx)
-	fl := &fleet{op: op, ms: ms, st: stand.New(), units: map[string]*unit{}}
+	fl := &fleet{op: op, ms: ms, st: stand.New(), vms: map[string]*runningVM{}}
 	// The order of the deferred calls matters: cancel, then wait.
 	defer fl.wg.Wait()
 	defer cancel()
 	if err := fl.start(ctx); err != nil {
 		return nil, err
 	}
-	return fl.play(ctx)
+	return fl.runScenario(ctx)
 }
 
-func (fl *fleet) event(name string, attrs ...any) { fl.op.Log.Info(name, attrs...) }
+func (fl *fleet) logEvent(name string, attrs ...any) { fl.op.Log.Info(name, attrs...) }
 
 func (fl *fleet) start(ctx context.Context) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	fl.platform = ln.Addr().String()
+	fl.platformAddr = ln.Addr().String()
 	fl.wg.Go(func() { _ = ServePlatform(ctx, ln, fl.st) })
-	fl.event("platform-start", slog.String("address", fl.platform))
+	fl.logEvent("platform-start", slog.String("address", fl.platformAddr))
 	if _, err := fl.apply(ctx, fl.ms, 0); err != nil {
 		return err
 	}
 	for _, vm := range fl.ms.VMs {
-		if err := fl.startUnit(ctx, vm); err != nil {
+		if err := fl.startVM(ctx, vm); err != nil {
 			return err
 		}
 	}
@@ -121,7 +121,7 @@
 }
 
 func (fl *fleet) settings(vm decl.VM) (setup.Settings, error) {
-	se := setup.Settings{VM: vm.Name, Domain: vm.Domain, Platform: fl.platform, DrainTimeout: 10 * time.Second}
+	se := setup.Settings{VM: vm.Name, Domain: vm.Domain, Platform: fl.platformAddr, DrainTimeout: 10 * time.Second}
 	var err error
 	for _, addr := range []*string{&se.Outlet, &se.Inlet, &se.Control, &se.Admin} {
 		var e error
@@ -131,24 +131,24 @@
 	return se, err
 }
 
-func (fl *fleet) startUnit(ctx context.Context, vm decl.VM) error {
+func (fl *fleet) startVM(ctx context.Context, vm decl.VM) error {
 	se, err := fl.settings(vm)
 	if err != nil {
 		return err
 	}
-	uctx, stop := context.WithCancel(ctx)
-	un := &unit{vm: vm, se: se, stop: stop, done: make(chan struct{})}
-	un.dm = daemon.New(se, daemon.Options{Log: fl.op.Log})
+	dctx, stop := context.WithCancel(ctx)
+	rv := &runningVM{vm: vm, se: se, stop: stop, done: make(chan struct{})}
+	rv.dm = daemon.New(se, daemon.Options{Log: fl.op.Log})
 	sctx, stopServer := context.WithCancel(context.WithoutCancel(ctx))
 	fl.wg.Go(func() {
-		defer close(un.done)
+		defer close(rv.done)
 		// The server outlives its daemon's drain.
 		defer stopServer()
-		if err := un.dm.Run(uctx); err != nil {
+		if err := rv.dm.Run(dctx); err != nil {
 			fl.op.Log.Error("daemon-failed", slog.String("vm", vm.Name), slog.Any("error", err))
 		}
 	})
-	sr := &Server{VM: vm.Name, Service: vm.Service, Listen: "127.0.0.1:0", Admin: se.Admin, Work: workTime, Ledger: &fl.ledger}
+	sr := &Server{VM: vm.Name, Service: vm.Service, Listen: "127.0.0.1:0", Admin: se.Admin, Work: serviceTime, Ledger: &fl.runs}
 	fl.wg.Go(func() {
 		if err := sr.Run(sctx); err != nil {
 			fl.op.Log.Error("backend-server-failed", slog.String("vm", vm.Name), slog.Any("error", err))
@@ -156,31 +156,31 @@
 	})
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	fl.units[vm.Name] = un
+	fl.vms[vm.Name] = rv
 	return nil
 }
 
-// eachUnit calls fn for the units, sorted by VM.
-func (fl *fleet) eachUnit(fn func(*unit)) {
+// eachVM calls fn for the units, sorted by VM.
+func (fl *fleet) eachVM(fn func(*runningVM)) {
 	fl.mu.Lock()
-	var list []*unit
-	for _, un := range fl.units {
-		list = append(list, un)
+	var list []*runningVM
+	for _, rv := range fl.vms {
+		list = append(list, rv)
 	}
 	fl.mu.Unlock()
-	slices.SortFunc(list, func(a, b *unit) int { return strings.Compare(a.vm.Name, b.vm.Name) })
-	for _, un := range list {
-		fn(un)
+	slices.SortFunc(list, func(a, b *runningVM) int { return strings.Compare(a.vm.Name, b.vm.Name) })
+	for _, rv := range list {
+		fn(rv)
 	}
 }
 
 // waitServing waits until every daemon routes to every backend server.
 func (fl *fleet) waitServing(ctx context.Context) error {
-	limit := time.After(startLimit)
+	timeout := time.After(startTimeout)
 	for {
 		missing := 0
-		fl.eachUnit(func(un *unit) {
-			tb := un.dm.Outlet.Table()
+		fl.eachVM(func(rv *runningVM) {
+			tb := rv.dm.Outlet.Table()
 			if tb == nil {
 				missing++
 				return
@@ -199,8 +199,8 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-limit:
-			return fmt.Errorf("%d of %d daemons did not find all backend servers in %s", missing, len(fl.ms.VMs), startLimit)
+		case <-timeout:
+			return fmt.Errorf("%d of %d daemons did not find all backend servers in %s", missing, len(fl.ms.VMs), startTimeout)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
@@ -218,15 +218,15 @@
 	if err != nil {
 		return 0, err
 	}
-	fl.event("applied", slog.Uint64("version", res.Entry.Version))
+	fl.logEvent("applied", slog.Uint64("version", res.Entry.Version))
 	return res.Entry.Version, nil
 }
 
-// behind returns how many daemons do not hold version.
-func (fl *fleet) behind(version uint64) int {
+// countBehind returns how many daemons do not hold version.
+func (fl *fleet) countBehind(version uint64) int {
 	n := 0
-	fl.eachUnit(func(un *unit) {
-		if un.dm.Node.Board.HeldVersion() < version {
+	fl.eachVM(func(rv *runningVM) {
+		if rv.dm.Node.Board.HeldVersion() < version {
 			n++
 		}
 	})
@@ -236,45 +236,45 @@
 // waitHeld waits until every daemon holds version and returns how long it took.
 func (fl *fleet) waitHeld(ctx context.Context, version uint64) time.Duration {
 	began := time.Now()
-	for fl.behind(version) > 0 && time.Since(began) < holdLimit && ctx.Err() == nil {
+	for fl.countBehind(version) > 0 && time.Since(began) < convergenceTimeout && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-// play sends requests, changes a rule and replaces a VM meanwhile.
-func (fl *fleet) play(ctx context.Context) (*Summary, error) {
+// runScenario sends requests, changes a rule and replaces a VM meanwhile.
+func (fl *fleet) runScenario(ctx context.Context) (*Summary, error) {
 	sm := &Summary{Event: "summary", Version: 1}
 	cl := newCallers(fl)
 	cctx, stopCallers := context.WithCancel(ctx)
 	defer stopCallers()
 	var callers conc.WaitGroup
 	callers.Go(func() { cl.run(cctx) })
-	fl.event("requests-start", slog.Int("vms", len(fl.ms.VMs)))
+	fl.logEvent("requests-start", slog.Int("vms", len(fl.ms.VMs)))
 
 	step := fl.op.For / 4
-	err := wait(ctx, step)
+	err := sleep(ctx, step)
 	if err == nil {
 		err = fl.changeRule(ctx, sm)
 	}
 	if err == nil {
-		err = wait(ctx, step)
+		err = sleep(ctx, step)
 	}
 	if err == nil {
 		err = fl.replaceVM(ctx, cl)
 	}
 	if err == nil {
-		err = wait(ctx, fl.op.For-2*step)
+		err = sleep(ctx, fl.op.For-2*step)
 	}
 	stopCallers()
 	callers.Wait()
 	sm.Requests, sm.Answered, sm.NotRun, sm.Failed = cl.requests.Load(), cl.answered.Load(), cl.notRun.Load(), cl.failed.Load()
-	sm.Doubled = fl.ledger.Doubled()
-	sm.Behind = fl.behind(sm.Version)
+	sm.Duplicated = fl.runs.Duplicates()
+	sm.Behind = fl.countBehind(sm.Version)
 	return sm, err
 }
 
-func wait(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -295,7 +295,7 @@
 	}
 	took := fl.waitHeld(ctx, version)
 	sm.Version, sm.ConvergenceMs = version, took.Milliseconds()
-	fl.event("in-force-everywhere", slog.Uint64("version", version), slog.Duration("took", took))
+	fl.logEvent("in-force-everywhere", slog.Uint64("version", version), slog.Duration("took", took))
 	return nil
 }
 
@@ -303,22 +303,22 @@
 func (fl *fleet) replaceVM(ctx context.Context, cl *callers) error {
 	vm := fl.ms.VMs[0]
 	fl.mu.Lock()
-	un := fl.units[vm.Name]
-	delete(fl.units, vm.Name)
+	rv := fl.vms[vm.Name]
+	delete(fl.vms, vm.Name)
 	fl.mu.Unlock()
 	cl.refresh()
-	fl.event("replace", slog.String("vm", vm.Name))
-	un.stop()
+	fl.logEvent("replace", slog.String("vm", vm.Name))
+	rv.stop()
 	select {
-	case <-un.done:
+	case <-rv.done:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	if err := fl.startUnit(ctx, vm); err != nil {
+	if err := fl.startVM(ctx, vm); err != nil {
 		return err
 	}
 	err := fl.waitServing(ctx)
 	cl.refresh()
-	fl.event("replaced", slog.String("vm", vm.Name))
+	fl.logEvent("replaced", slog.String("vm", vm.Name))
 	return err
 }
--- a/internal/node/demo/load.go
+++ b/internal/node/demo/load.go
@@ -44,8 +44,8 @@
 	AddedP99 float64 `json:"added-p99-ms"`
 }
 
-// warmUp is the part of the requests, 1 in so many, that is not measured.
-const warmUp = 10
+// warmUpDivisor is the part of the requests, 1 in so many, that is not measured.
+const warmUpDivisor = 10
 
 // Load sends the requests and returns a result for each target.
 func Load(ctx context.Context, op LoadOptions) ([]LoadResult, error) {
@@ -83,11 +83,11 @@
 		switch {
 		case err != nil:
 			ld.failed[i].Add(1)
-		case n >= targets*int64(ld.op.Requests)/warmUp:
+		case n >= targets*int64(ld.op.Requests)/warmUpDivisor:
 			ld.times[i].Record(took)
 		}
 		if ld.op.Pause > 0 {
-			_ = wait(ctx, rand.N(ld.op.Pause))
+			_ = sleep(ctx, rand.N(ld.op.Pause))
 		}
 	}
 }
--- a/internal/node/demo/server.go
+++ b/internal/node/demo/server.go
@@ -22,26 +22,26 @@
 
 // Ledger counts how often each request ran, over all servers that share it.
 type Ledger struct {
-	mu  sync.Mutex
-	ran map[string]int
+	mu   sync.Mutex
+	runs map[string]int
 }
 
-// Run notes that a request runs.
-func (le *Ledger) Run(id string) {
-	le.mu.Lock()
-	defer le.mu.Unlock()
-	if le.ran == nil {
-		le.ran = map[string]int{}
+// CountRun notes that a request runs.
+func (rc *Ledger) CountRun(id string) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	if rc.runs == nil {
+		rc.runs = map[string]int{}
 	}
-	le.ran[id]++
+	rc.runs[id]++
 }
 
-// Doubled returns how many requests ran more than once.
-func (le *Ledger) Doubled() int {
-	le.mu.Lock()
-	defer le.mu.Unlock()
+// Duplicates returns how many requests ran more than once.
+func (rc *Ledger) Duplicates() int {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
 	n := 0
-	for _, times := range le.ran {
+	for _, times := range rc.runs {
 		if times > 1 {
 			n++
 		}
@@ -86,7 +86,7 @@
 // ServeHTTP answers one request.
 func (sr *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if id := r.Header.Get(IDHeader); id != "" && sr.Ledger != nil {
-		sr.Ledger.Run(id)
+		sr.Ledger.CountRun(id)
 		if sr.Began != nil {
 			sr.Began(Ran{ID: id})
 		}
@@ -103,7 +103,7 @@
 		}
 	}
 	w.Header().Set(ServedByHeader, sr.VM)
-	if sr.fails(r.URL.Path) {
+	if sr.shouldFail(r.URL.Path) {
 		http.Error(w, "failing", http.StatusInternalServerError)
 		return
 	}
@@ -138,13 +138,13 @@
 	return nil
 }
 
-// fails reports whether it fails a request for a path.
-func (sr *Server) fails(path string) bool {
+// shouldFail reports whether it fails a request for a path.
+func (sr *Server) shouldFail(path string) bool {
 	return sr.Failing > 0 && time.Since(sr.started) >= sr.FailingAfter && strings.HasPrefix(path, sr.FailingPath) && rand.Float64() < sr.Failing
 }
 
-// announceEvery is how often a server renews its announcement.
-const announceEvery = 2 * time.Second
+// announceInterval is how often a server renews its announcement.
+const announceInterval = 2 * time.Second
 
 // Run serves and announces itself until ctx ends; then it withdraws and waits
 // for running requests.
@@ -161,18 +161,18 @@
 	} else {
 		go func() { served <- hs.Serve(ln) }()
 	}
-	wait := time.Duration(0)
+	delay := time.Duration(0)
 	for {
 		select {
 		case err := <-served:
 			return err
 		case <-ctx.Done():
 			return sr.stop(hs)
-		case <-time.After(wait):
+		case <-time.After(delay):
 		}
-		wait = announceEvery
+		delay = announceInterval
 		if sr.announce(ctx, http.MethodPost, ln.Addr().String()) != nil {
-			wait = announceEvery / 10
+			delay = announceInterval / 10
 		}
 	}
 }
--- a/internal/node/soak/checks.go
+++ b/internal/node/soak/checks.go
@@ -11,16 +11,16 @@
 
 // The checks.
 const (
-	WholeAnswer  Check = "whole-answer"  // an answer is that of its request, whole
-	AtMostOnce   Check = "at-most-once"  // a request that may not be repeated runs once at most
-	NotRunIsTrue Check = "not-run-true"  // a request refused as not run never runs
-	NeverOlder   Check = "never-older"   // no VM holds an older version than before
-	BadVersion   Check = "bad-version"   // no bad version of the software is complete
-	Exposure     Check = "exposure"      // a bad version gets few requests
-	ServedAgain  Check = "served-again"  // after the last fault requests are served
-	InForce      Check = "in-force"      // the last version is held by all in the end
-	NoOwnEnd     Check = "no-own-end"    // no process ends by itself
-	GracefulStop Check = "graceful-stop" // a daemon that stops cuts off nothing that a server runs
+	IntactResponse     Check = "whole-answer"  // an answer is that of its request, whole
+	AtMostOnce         Check = "at-most-once"  // a request that may not be repeated runs once at most
+	NoFalseNotRun      Check = "not-run-true"  // a request refused as not run never runs
+	MonotonicVersion   Check = "never-older"   // no VM holds an older version than before
+	BadVersionStopped  Check = "bad-version"   // no bad version of the software is complete
+	BadVersionExposure Check = "exposure"      // a bad version gets few requests
+	Recovery           Check = "served-again"  // after the last fault requests are served
+	Convergence        Check = "in-force"      // the last version is held by all in the end
+	NoUnexpectedExit   Check = "no-own-end"    // no process ends by itself
+	GracefulStop       Check = "graceful-stop" // a daemon that stops cuts off nothing that a server runs
 )
 
 // Result is what became of a check.
@@ -34,34 +34,34 @@
 // maxFailures bounds the failures that are kept of a check.
 const maxFailures = 20
 
-// board collects results.
-type board struct {
+// resultSet collects results.
+type resultSet struct {
 	mu      sync.Mutex
 	results map[Check]*Result
 }
 
-func newBoard(checks ...Check) *board {
-	bo := &board{results: map[Check]*Result{}}
+func newResultSet(checks ...Check) *resultSet {
+	rs := &resultSet{results: map[Check]*Result{}}
 	for _, ch := range checks {
-		bo.results[ch] = &Result{Check: ch}
+		rs.results[ch] = &Result{Check: ch}
 	}
-	return bo
+	return rs
 }
 
-// add makes a check part of the run; without a case it fails then.
-func (bo *board) add(ch Check) {
-	bo.mu.Lock()
-	defer bo.mu.Unlock()
-	if bo.results[ch] == nil {
-		bo.results[ch] = &Result{Check: ch}
+// require makes a check part of the run; without a case it fails then.
+func (rs *resultSet) require(ch Check) {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	if rs.results[ch] == nil {
+		rs.results[ch] = &Result{Check: ch}
 	}
 }
 
-// note counts a case of a check, which failed where failure is not empty.
-func (bo *board) note(ch Check, failure string) {
-	bo.mu.Lock()
-	defer bo.mu.Unlock()
-	re := bo.results[ch]
+// record counts a case of a check, which failed where failure is not empty.
+func (rs *resultSet) record(ch Check, failure string) {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	re := rs.results[ch]
 	if re == nil {
 		return
 	}
@@ -72,11 +72,11 @@
 }
 
 // list returns the results sorted by check. One without a case failed.
-func (bo *board) list() []Result {
-	bo.mu.Lock()
-	defer bo.mu.Unlock()
+func (rs *resultSet) list() []Result {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
 	var list []Result
-	for _, re := range bo.results {
+	for _, re := range rs.results {
 		next := *re
 		if next.Cases == 0 {
 			next.Failures = []string{"not exercised"}
@@ -92,81 +92,81 @@
 	return list
 }
 
-// run is what is known of one request.
-type run struct {
-	once   bool
-	ran    int
-	notRun bool
+// requestRecord is what is known of one request.
+type requestRecord struct {
+	atMostOnce bool
+	runs       int
+	notRun     bool
 }
 
-// ledger knows of each request how often it ran and what its caller was told.
-type ledger struct {
-	mu   sync.Mutex
-	runs map[string]*run
+// requestLog knows of each request how often it ran and what its caller was told.
+type requestLog struct {
+	mu       sync.Mutex
+	requests map[string]*requestRecord
 	// target and all count the runs at servers of the new version and at all, from when
 	// both are counted.
-	counting    bool
-	target, all int
+	rolloutStarted      bool
+	targetRuns, allRuns int
 }
 
-func (le *ledger) of(id string) *run {
-	if le.runs == nil {
-		le.runs = map[string]*run{}
+func (rl *requestLog) entry(id string) *requestRecord {
+	if rl.requests == nil {
+		rl.requests = map[string]*requestRecord{}
 	}
-	if le.runs[id] == nil {
-		le.runs[id] = &run{}
+	if rl.requests[id] == nil {
+		rl.requests[id] = &requestRecord{}
 	}
-	return le.runs[id]
+	return rl.requests[id]
 }
 
 // hasRun reports whether a server began a request.
-func (le *ledger) hasRun(id string) bool {
-	le.mu.Lock()
-	defer le.mu.Unlock()
-	return le.runs[id] != nil && le.runs[id].ran > 0
+func (rl *requestLog) hasRun(id string) bool {
+	rl.mu.Lock()
+	defer rl.mu.Unlock()
+	return rl.requests[id] != nil && rl.requests[id].runs > 0
 }
 
-// ran notes that a server began a request.
-func (le *ledger) ran(id string, target bool) {
-	le.mu.Lock()
-	defer le.mu.Unlock()
-	le.of(id).ran++
-	if !le.counting {
+// recordRun notes that a server began a request.
+func (rl *requestLog) recordRun(id string, target bool) {
+	rl.mu.Lock()
+	defer rl.mu.Unlock()
+	rl.entry(id).runs++
+	if !rl.rolloutStarted {
 		return
 	}
-	le.all++
+	rl.allRuns++
 	if target {
-		le.target++
+		rl.targetRuns++
 	}
 }
 
-// told notes how a request ended for its caller.
-func (le *ledger) told(id string, once, notRun bool) {
-	le.mu.Lock()
-	defer le.mu.Unlock()
-	ru := le.of(id)
-	ru.once, ru.notRun = once, notRun
+// recordOutcome notes how a request ended for its caller.
+func (rl *requestLog) recordOutcome(id string, atMostOnce, notRun bool) {
+	rl.mu.Lock()
+	defer rl.mu.Unlock()
+	rr := rl.entry(id)
+	rr.atMostOnce, rr.notRun = atMostOnce, notRun
 }
 
 // check makes the checks of all requests.
-func (le *ledger) check(bo *board) {
-	le.mu.Lock()
-	defer le.mu.Unlock()
-	for id, ru := range le.runs {
-		if ru.once && ru.ran > 0 {
+func (rl *requestLog) check(rs *resultSet) {
+	rl.mu.Lock()
+	defer rl.mu.Unlock()
+	for id, rr := range rl.requests {
+		if rr.atMostOnce && rr.runs > 0 {
 			failure := ""
-			if ru.ran > 1 {
-				failure = fmt.Sprintf("%s ran %d times", id, ru.ran)
+			if rr.runs > 1 {
+				failure = fmt.Sprintf("%s ran %d times", id, rr.runs)
 			}
-			bo.note(AtMostOnce, failure)
+			rs.record(AtMostOnce, failure)
 		}
-		if ru.notRun {
-			bo.add(NotRunIsTrue)
+		if rr.notRun {
+			rs.require(NoFalseNotRun)
 			failure := ""
-			if ru.ran > 0 {
+			if rr.runs > 0 {
 				failure = fmt.Sprintf("%s ran, and its caller was told that it had not", id)
 			}
-			bo.note(NotRunIsTrue, failure)
+			rs.record(NoFalseNotRun, failure)
 		}
 	}
 }
--- a/internal/node/soak/plan.go
+++ b/internal/node/soak/plan.go
@@ -13,18 +13,18 @@
 
 // The kinds of steps.
 const (
-	KillDaemon    Kind = "kill-daemon"
-	StopDaemon    Kind = "stop-daemon"
-	ReloadDaemon  Kind = "reload-daemon"
-	PauseDaemon   Kind = "pause-daemon"
-	KillServer    Kind = "kill-server"
-	DrainServer   Kind = "drain-server"
-	PausePlatform Kind = "pause-platform"
-	CopyPlatform  Kind = "copy-platform"
-	OlderPlatform Kind = "older-platform"
-	Change        Kind = "change"
-	RollGood      Kind = "roll-good"
-	RollBad       Kind = "roll-bad"
+	KillDaemon      Kind = "kill-daemon"
+	StopDaemon      Kind = "stop-daemon"
+	ReloadDaemon    Kind = "reload-daemon"
+	PauseDaemon     Kind = "pause-daemon"
+	KillServer      Kind = "kill-server"
+	DrainServer     Kind = "drain-server"
+	PausePlatform   Kind = "pause-platform"
+	BackUpPlatform  Kind = "copy-platform"
+	RestorePlatform Kind = "older-platform"
+	ChangeConfig    Kind = "change"
+	RolloutGood     Kind = "roll-good"
+	RolloutBad      Kind = "roll-bad"
 )
 
 // Step is one thing that happens to one process.
@@ -32,20 +32,20 @@
 	At   time.Duration `json:"at"`
 	Kind Kind          `json:"kind"`
 	// VM is the index of the VM, For how long it lasts, where the kind has either.
-	VM  int           `json:"vm,omitempty"`
-	For time.Duration `json:"for,omitempty"`
+	VM       int           `json:"vm,omitempty"`
+	Duration time.Duration `json:"for,omitempty"`
 }
 
 // String returns the step as it is printed.
 func (st Step) String() string {
 	text := fmt.Sprintf("%6.2fs %s", st.At.Seconds(), st.Kind)
 	switch st.Kind {
-	case PausePlatform, CopyPlatform, OlderPlatform, Change, RollGood, RollBad:
+	case PausePlatform, BackUpPlatform, RestorePlatform, ChangeConfig, RolloutGood, RolloutBad:
 	default:
 		text += fmt.Sprintf(" vm-%d", st.VM)
 	}
-	if st.For > 0 {
-		text += fmt.Sprintf(" for %s", st.For)
+	if st.Duration > 0 {
+		text += fmt.Sprintf(" for %s", st.Duration)
 	}
 	return text
 }
@@ -53,38 +53,38 @@
 // faults are the kinds that are drawn any number of times, planned those of them that
 // operators bring about.
 var (
-	faults  = []Kind{KillDaemon, StopDaemon, ReloadDaemon, PauseDaemon, KillServer, DrainServer, PausePlatform, Change}
-	planned = []Kind{StopDaemon, StopDaemon, ReloadDaemon, DrainServer, Change}
+	faultKinds   = []Kind{KillDaemon, StopDaemon, ReloadDaemon, PauseDaemon, KillServer, DrainServer, PausePlatform, ChangeConfig}
+	plannedKinds = []Kind{StopDaemon, StopDaemon, ReloadDaemon, DrainServer, ChangeConfig}
 )
 
 // The times of a plan.
 const (
-	// quietTime is without a fault at its beginning and end.
-	quietTime = 2 * time.Second
-	// rollTime is the time that an order of a rollout gives.
-	rollTime = 12 * time.Second
-	// faultEvery is the mean time between two faults.
-	faultEvery = 1500 * time.Millisecond
+	// quietPeriod is without a fault at its beginning and end.
+	quietPeriod = 2 * time.Second
+	// rolloutDuration is the time that an order of a rollout gives.
+	rolloutDuration = 12 * time.Second
+	// meanStepInterval is the mean time between two faults.
+	meanStepInterval = 1500 * time.Millisecond
 )
 
-// Draw returns the plan of a seed: a rollout, a store that comes back older, and faults in
+// GeneratePlan returns the plan of a seed: a rollout, a store that comes back older, and faults in
 // series that overlap.
-func Draw(seed uint64, vms int, length time.Duration) []Step {
+func GeneratePlan(seed uint64, vms int, length time.Duration) []Step {
 	rnd := rand.New(rand.NewPCG(seed, 11))
-	kind := RollGood
+	kind := RolloutGood
 	if rnd.IntN(2) == 0 {
-		kind = RollBad
+		kind = RolloutBad
 	}
-	older := quietTime + time.Duration(rnd.Int64N(int64(max(1, length-3*quietTime))))
+	restoreAt := quietPeriod + time.Duration(rnd.Int64N(int64(max(1, length-3*quietPeriod))))
 	steps := []Step{
-		{At: quietTime / 2, Kind: kind},
-		{At: max(0, older-quietTime), Kind: CopyPlatform},
-		{At: older, Kind: OlderPlatform},
+		{At: quietPeriod / 2, Kind: kind},
+		{At: max(0, restoreAt-quietPeriod), Kind: BackUpPlatform},
+		{At: restoreAt, Kind: RestorePlatform},
 	}
-	for at := quietTime; at < length-quietTime; at += time.Duration(rnd.ExpFloat64() * float64(faultEvery)) {
+	for at := quietPeriod; at < length-quietPeriod; at += time.Duration(rnd.ExpFloat64() * float64(meanStepInterval)) {
 		steps = append(steps, Step{
-			At: at, Kind: faults[rnd.IntN(len(faults))], VM: rnd.IntN(vms),
-			For: time.Duration(200+rnd.IntN(2000)) * time.Millisecond,
+			At: at, Kind: faultKinds[rnd.IntN(len(faultKinds))], VM: rnd.IntN(vms),
+			Duration: time.Duration(200+rnd.IntN(2000)) * time.Millisecond,
 		})
 	}
 	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
@@ -93,27 +93,27 @@
 
 // The stops of a series.
 const (
-	// seriesGap is the most time between two of them.
-	seriesGap = 800 * time.Millisecond
-	// seriesChance is how likely a stop begins a series, as one in so many.
-	seriesChance = 3
+	// maxSeriesGap is the most time between two of them.
+	maxSeriesGap = 800 * time.Millisecond
+	// seriesOdds is how likely a stop begins a series, as one in so many.
+	seriesOdds = 3
 )
 
-// DrawPlanned returns the plan of a seed with what operators do alone: stops of daemons, one
+// GeneratePlanned returns the plan of a seed with what operators do alone: stops of daemons, one
 // or many in turn, reloads, replaced servers and changes, in series that overlap.
-func DrawPlanned(seed uint64, vms int, length time.Duration) []Step {
+func GeneratePlanned(seed uint64, vms int, length time.Duration) []Step {
 	rnd := rand.New(rand.NewPCG(seed, 12))
 	var steps []Step
-	away := func() time.Duration { return time.Duration(200+rnd.IntN(1000)) * time.Millisecond }
-	for at := quietTime; at < length-quietTime; at += time.Duration(rnd.ExpFloat64() * float64(faultEvery)) {
-		st := Step{At: at, Kind: planned[rnd.IntN(len(planned))], VM: rnd.IntN(vms), For: away()}
+	downtime := func() time.Duration { return time.Duration(200+rnd.IntN(1000)) * time.Millisecond }
+	for at := quietPeriod; at < length-quietPeriod; at += time.Duration(rnd.ExpFloat64() * float64(meanStepInterval)) {
+		st := Step{At: at, Kind: plannedKinds[rnd.IntN(len(plannedKinds))], VM: rnd.IntN(vms), Duration: downtime()}
 		steps = append(steps, st)
-		if st.Kind != StopDaemon || rnd.IntN(seriesChance) > 0 {
+		if st.Kind != StopDaemon || rnd.IntN(seriesOdds) > 0 {
 			continue
 		}
-		gap := time.Duration(rnd.Int64N(int64(seriesGap)))
-		for i := 1; i < vms/2 && st.At+gap < length-quietTime; i++ {
-			st = Step{At: st.At + gap, Kind: StopDaemon, VM: (st.VM + 1) % vms, For: away()}
+		gap := time.Duration(rnd.Int64N(int64(maxSeriesGap)))
+		for i := 1; i < vms/2 && st.At+gap < length-quietPeriod; i++ {
+			st = Step{At: st.At + gap, Kind: StopDaemon, VM: (st.VM + 1) % vms, Duration: downtime()}
 			steps = append(steps, st)
 		}
 	}
--- a/internal/node/soak/proc.go
+++ b/internal/node/soak/proc.go
@@ -24,17 +24,17 @@
 	binary string
 	dir    string
 
-	mu     sync.Mutex
-	starts int
-	procs  []*proc
+	mu      sync.Mutex
+	started int
+	procs   []*proc
 }
 
 // start starts a process. Each line that it prints is given to lines, if that is set.
-func (la *launcher) start(name string, lines func(string), args ...string) (*proc, error) {
+func (la *launcher) start(name string, onLine func(string), args ...string) (*proc, error) {
 	la.mu.Lock()
 	defer la.mu.Unlock()
-	la.starts++
-	log, err := os.Create(filepath.Join(la.dir, fmt.Sprintf("%03d-%s.log", la.starts, name)))
+	la.started++
+	log, err := os.Create(filepath.Join(la.dir, fmt.Sprintf("%03d-%s.log", la.started, name)))
 	if err != nil {
 		return nil, err
 	}
@@ -52,8 +52,8 @@
 		defer log.Close()
 		sc := bufio.NewScanner(io.TeeReader(out, log))
 		for sc.Scan() {
-			if lines != nil {
-				lines(sc.Text())
+			if onLine != nil {
+				onLine(sc.Text())
 			}
 		}
 		// How it ended stands in its log; being killed is part of the plan.
@@ -66,14 +66,14 @@
 // signal sends a signal; a process that has ended takes none.
 func (pr *proc) signal(sig syscall.Signal) { _ = pr.cmd.Process.Signal(sig) }
 
-// end sends a signal and waits for the end of the process.
-func (pr *proc) end(sig syscall.Signal) {
+// terminate sends a signal and waits for the end of the process.
+func (pr *proc) terminate(sig syscall.Signal) {
 	pr.signal(sig)
 	<-pr.done
 }
 
-// ended reports whether the process has ended.
-func (pr *proc) ended() bool {
+// exited reports whether the process has ended.
+func (pr *proc) exited() bool {
 	select {
 	case <-pr.done:
 		return true
@@ -82,11 +82,11 @@
 	}
 }
 
-// endAll kills all processes that are left.
-func (la *launcher) endAll() {
+// killAll kills all processes that are left.
+func (la *launcher) killAll() {
 	la.mu.Lock()
 	defer la.mu.Unlock()
 	for _, pr := range la.procs {
-		pr.end(syscall.SIGKILL)
+		pr.terminate(syscall.SIGKILL)
 	}
 }
--- a/internal/node/soak/soak.go
+++ b/internal/node/soak/soak.go
@@ -39,9 +39,9 @@
 // Failed returns the checks that failed.
 func (re *Report) Failed() []Result {
 	var list []Result
-	for _, one := range re.Results {
-		if len(one.Failures) > 0 {
-			list = append(list, one)
+	for _, result := range re.Results {
+		if len(result.Failures) > 0 {
+			list = append(list, result)
 		}
 	}
 	return list
@@ -53,138 +53,138 @@
 	exposureSlack = 50
 )
 
-// settleLimit is how long after the last fault all must be well again.
-const settleLimit = 20 * time.Second
+// recoveryTimeout is how long after the last fault all must be well again.
+const recoveryTimeout = 20 * time.Second
 
 // Run starts a mesh, plays a plan, and reports what the checks found.
 func Run(ctx context.Context, op Options) (*Report, error) {
 	switch {
 	case op.Plan != nil:
 	case op.Planned:
-		op.Plan = DrawPlanned(op.Seed, op.VMs, op.For)
+		op.Plan = GeneratePlanned(op.Seed, op.VMs, op.For)
 	default:
-		op.Plan = Draw(op.Seed, op.VMs, op.For)
+		op.Plan = GeneratePlan(op.Seed, op.VMs, op.For)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	wo := &world{
+	fl := &fleet{
 		op: op, la: &launcher{ctx: context.WithoutCancel(ctx), binary: op.Binary, dir: op.Dir},
-		board: newBoard(WholeAnswer, AtMostOnce, NeverOlder, ServedAgain, InForce, NoOwnEnd),
+		results: newResultSet(IntactResponse, AtMostOnce, MonotonicVersion, Recovery, Convergence, NoUnexpectedExit),
 	}
-	defer wo.la.endAll()
-	if err := wo.start(ctx); err != nil {
+	defer fl.la.killAll()
+	if err := fl.start(ctx); err != nil {
 		return nil, err
 	}
 	re := &Report{Seed: op.Seed, Plan: op.Plan}
-	callers, stop := context.WithCancel(ctx)
-	defer stop()
+	callersCtx, stopCallers := context.WithCancel(ctx)
+	defer stopCallers()
 	sent := make(chan int)
-	all := wo.all()
+	all := fl.all()
 	for i, v := range all {
-		go func() { sent <- wo.call(callers, i, v) }()
-		go func() { sent <- wo.callAhead(callers, i, v) }()
+		go func() { sent <- fl.runCaller(callersCtx, i, v) }()
+		go func() { sent <- fl.runPipelinedCaller(callersCtx, i, v) }()
 	}
 	if op.Planned {
-		wo.board.add(GracefulStop)
+		fl.results.require(GracefulStop)
 	}
-	err := wo.playPlan(ctx)
-	wo.wg.Wait()
+	err := fl.runPlan(ctx)
+	fl.wg.Wait()
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	wo.settle(ctx)
-	stop()
+	fl.checkRecovery(ctx)
+	stopCallers()
 	for range 2 * len(all) {
 		re.Sent += <-sent
 	}
-	re.Rollout = wo.endOfRollout(ctx)
-	wo.ledger.check(wo.board)
-	wo.stops.check(wo.board, wo.ledger.hasRun)
-	wo.checkEnds()
-	re.Results = wo.board.list()
+	re.Rollout = fl.checkRollout(ctx)
+	fl.requests.check(fl.results)
+	fl.stops.check(fl.results, fl.requests.hasRun)
+	fl.checkExits()
+	re.Results = fl.results.list()
 	return re, err
 }
 
-// lookInterval is how often the versions that daemons hold are looked at.
-const lookInterval = 200 * time.Millisecond
+// pollInterval is how often the versions that daemons hold are looked at.
+const pollInterval = 200 * time.Millisecond
 
-// playPlan plays the steps at their times.
-func (wo *world) playPlan(ctx context.Context) error {
+// runPlan plays the steps at their times.
+func (fl *fleet) runPlan(ctx context.Context) error {
 	began := time.Now()
-	tick := time.NewTicker(lookInterval)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	for _, st := range wo.op.Plan {
+	for _, st := range fl.op.Plan {
 		for time.Since(began) < st.At {
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
 			case <-tick.C:
-				wo.look(ctx)
+				fl.checkVersions(ctx)
 			case <-time.After(st.At - time.Since(began)):
 			}
 		}
-		wo.op.Log.Info("soak-step", slog.String("step", st.String()))
-		if err := wo.play(ctx, st); err != nil {
+		fl.op.Log.Info("soak-step", slog.String("step", st.String()))
+		if err := fl.runStep(ctx, st); err != nil {
 			return fmt.Errorf("%s: %w", st, err)
 		}
 	}
-	for time.Since(began) < wo.op.For && ctx.Err() == nil {
-		time.Sleep(lookInterval)
-		wo.look(ctx)
+	for time.Since(began) < fl.op.For && ctx.Err() == nil {
+		time.Sleep(pollInterval)
+		fl.checkVersions(ctx)
 	}
 	return nil
 }
 
-// settle waits until all is well after the last fault.
-func (wo *world) settle(ctx context.Context) {
+// checkRecovery waits until all is well after the last fault.
+func (fl *fleet) checkRecovery(ctx context.Context) {
 	failure := ""
-	if err := wo.change(ctx); err != nil {
+	if err := fl.submitChange(ctx); err != nil {
 		failure = err.Error()
-	} else if err := wo.waitHeld(ctx, settleLimit); err != nil {
+	} else if err := fl.waitHeld(ctx, recoveryTimeout); err != nil {
 		failure = err.Error()
 	}
-	wo.board.note(InForce, failure)
-	for _, v := range wo.vms {
+	fl.results.record(Convergence, failure)
+	for _, v := range fl.vms {
 		failure := fmt.Sprintf("%s serves nothing", v.name)
-		for end := time.Now().Add(settleLimit); time.Now().Before(end) && failure != ""; time.Sleep(lookInterval) {
-			qu := query{id: "settle-" + v.name, method: http.MethodGet, host: service}
-			if re := ask(ctx, http.DefaultClient, v, qu); re.err == nil && re.status == http.StatusOK {
+		for end := time.Now().Add(recoveryTimeout); time.Now().Before(end) && failure != ""; time.Sleep(pollInterval) {
+			rq := request{id: "settle-" + v.name, method: http.MethodGet, host: service}
+			if re := send(ctx, http.DefaultClient, v, rq); re.err == nil && re.status == http.StatusOK {
 				failure = ""
 			}
 		}
-		wo.board.note(ServedAgain, failure)
+		fl.results.record(Recovery, failure)
 	}
 }
 
-// roll starts the servers of the new version and orders the rollout.
-func (wo *world) roll(ctx context.Context, bad bool) error {
+// startRollout starts the servers of the new version and orders the rollout.
+func (fl *fleet) startRollout(ctx context.Context, bad bool) error {
 	if bad {
-		wo.failing = "0.4"
-		wo.board.add(BadVersion)
-		wo.board.add(Exposure)
+		fl.failureRate = "0.4"
+		fl.results.require(BadVersionStopped)
+		fl.results.require(BadVersionExposure)
 	}
-	or := order.Order{Service: service, Target: "v2", DurationMs: rollTime.Milliseconds()}
+	or := order.Order{Service: service, Target: "v2", DurationMs: rolloutDuration.Milliseconds()}
 	value, err := json.Marshal(or)
 	if err != nil {
 		return err
 	}
-	if _, _, err := wo.kv.Swap(ctx, store.Change{Key: or.Key(), Value: value}); err != nil {
+	if _, _, err := fl.kv.Swap(ctx, store.Change{Key: or.Key(), Value: value}); err != nil {
 		return err
 	}
-	wo.ledger.mu.Lock()
-	wo.ledger.counting = true
-	wo.ledger.mu.Unlock()
-	for _, v := range wo.spare {
-		if err := wo.startServer(v); err != nil {
+	fl.requests.mu.Lock()
+	fl.requests.rolloutStarted = true
+	fl.requests.mu.Unlock()
+	for _, v := range fl.targetVMs {
+		if err := fl.startServer(v); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// endOfRollout checks how the rollout ended and returns its state.
-func (wo *world) endOfRollout(ctx context.Context) string {
-	ent, err := wo.kv.Get(ctx, order.StatusKey(service))
+// checkRollout checks how the rollout ended and returns its state.
+func (fl *fleet) checkRollout(ctx context.Context) string {
+	ent, err := fl.kv.Get(ctx, order.StatusKey(service))
 	if err != nil || !ent.Revision.Exists() {
 		return "none"
 	}
@@ -196,27 +196,27 @@
 	if st == canary.Complete {
 		failure = "a bad version is complete"
 	}
-	wo.board.note(BadVersion, failure)
+	fl.results.record(BadVersionStopped, failure)
 	failure = ""
-	if most := int(exposureShare*float64(wo.ledger.all)) + exposureSlack; wo.ledger.target > most {
-		failure = fmt.Sprintf("%d of %d requests reached a bad version, %d may", wo.ledger.target, wo.ledger.all, most)
+	if limit := int(exposureShare*float64(fl.requests.allRuns)) + exposureSlack; fl.requests.targetRuns > limit {
+		failure = fmt.Sprintf("%d of %d requests reached a bad version, %d may", fl.requests.targetRuns, fl.requests.allRuns, limit)
 	}
-	wo.board.note(Exposure, failure)
+	fl.results.record(BadVersionExposure, failure)
 	return st.String()
 }
 
-// checkEnds looks for processes that ended though no step ended them.
-func (wo *world) checkEnds() {
-	for _, v := range wo.all() {
+// checkExits looks for processes that ended though no step ended them.
+func (fl *fleet) checkExits() {
+	for _, v := range fl.all() {
 		for _, pr := range []*proc{v.daemon, v.server} {
 			if pr == nil {
 				continue
 			}
 			failure := ""
-			if pr.ended() {
+			if pr.exited() {
 				failure = v.name + ": a process ended by itself"
 			}
-			wo.board.note(NoOwnEnd, failure)
+			fl.results.record(NoUnexpectedExit, failure)
 		}
 	}
 }
--- a/internal/node/soak/stops.go
+++ b/internal/node/soak/stops.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// calmBefore is how long before a request no fault may have been for its loss to be
+	// faultMargin is how long before a request no fault may have been for its loss to be
 	// laid on a stop.
-	calmBefore = 3 * time.Second
-	// stopAfter is how long after the end of a daemon a request still counts as taken
+	faultMargin = 3 * time.Second
+	// stopMargin is how long after the end of a daemon a request still counts as taken
 	// around its stop.
-	stopAfter = time.Second
+	stopMargin = time.Second
 )
 
-// span is a time in which something lasts; without an end it goes on.
-type span struct{ from, to time.Time }
+// interval is a time in which something lasts; without an end it goes on.
+type interval struct{ from, to time.Time }
 
-// meets reports whether the span has a moment in common with another one.
-func (sp *span) meets(from, to time.Time) bool {
-	return !sp.from.After(to) && (sp.to.IsZero() || !sp.to.Before(from))
+// overlaps reports whether the span has a moment in common with another one.
+func (iv *interval) overlaps(from, to time.Time) bool {
+	return !iv.from.After(to) && (iv.to.IsZero() || !iv.to.Before(from))
 }
 
-// asked is a request as its caller saw it.
-type asked struct {
+// callRecord is a request as its caller saw it.
+type callRecord struct {
 	id         string
 	vm         *vm
 	began, end time.Time
@@ -33,66 +33,66 @@
 	failure string
 }
 
-// stops knows when daemons were stopped and what callers got meanwhile.
-type stops struct {
+// stopTracker knows when daemons were stopped and what callers got meanwhile.
+type stopTracker struct {
 	mu    sync.Mutex
-	spans map[*vm][]*span
+	stops map[*vm][]*interval
 	// faults are the times of what nobody planned.
-	faults []*span
-	asked  []asked
+	faults []*interval
+	calls  []callRecord
 }
 
-// stop records that a VM's daemon is stopped from now until end is called.
-func (ss *stops) stop(v *vm) (end func()) {
-	ss.mu.Lock()
-	defer ss.mu.Unlock()
-	if ss.spans == nil {
-		ss.spans = map[*vm][]*span{}
+// beginStop records that a VM's daemon is stopped from now until end is called.
+func (st *stopTracker) beginStop(v *vm) (end func()) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	if st.stops == nil {
+		st.stops = map[*vm][]*interval{}
 	}
-	sp := &span{from: time.Now()}
-	ss.spans[v] = append(ss.spans[v], sp)
-	return func() { ss.close(sp, time.Now().Add(stopAfter)) }
+	iv := &interval{from: time.Now()}
+	st.stops[v] = append(st.stops[v], iv)
+	return func() { st.close(iv, time.Now().Add(stopMargin)) }
 }
 
-// fault records that a fault lasts from now until end is called.
-func (ss *stops) fault() (end func()) {
-	ss.mu.Lock()
-	defer ss.mu.Unlock()
-	sp := &span{from: time.Now()}
-	ss.faults = append(ss.faults, sp)
-	return func() { ss.close(sp, time.Now()) }
+// beginFault records that a fault lasts from now until end is called.
+func (st *stopTracker) beginFault() (end func()) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	iv := &interval{from: time.Now()}
+	st.faults = append(st.faults, iv)
+	return func() { st.close(iv, time.Now()) }
 }
 
-func (ss *stops) close(sp *span, at time.Time) {
-	ss.mu.Lock()
-	defer ss.mu.Unlock()
-	sp.to = at
+func (st *stopTracker) close(iv *interval, at time.Time) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	iv.to = at
 }
 
-// add records a request.
-func (ss *stops) add(as asked) {
-	ss.mu.Lock()
-	defer ss.mu.Unlock()
-	ss.asked = append(ss.asked, as)
+// recordCall records a request.
+func (st *stopTracker) recordCall(cr callRecord) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.calls = append(st.calls, cr)
 }
 
 // check checks the requests that daemons took around their stops, without a fault beside,
 // and that a server ran. One that ended when its caller's time was over was not cut off.
-func (ss *stops) check(bo *board, ran func(id string) bool) {
-	ss.mu.Lock()
-	defer ss.mu.Unlock()
-	for _, as := range ss.asked {
-		around := slices.ContainsFunc(ss.spans[as.vm], func(sp *span) bool { return sp.meets(as.began, as.began) })
-		beside := slices.ContainsFunc(ss.faults, func(sp *span) bool { return sp.meets(as.began.Add(-calmBefore), as.end) })
-		late := as.failure != "" && as.end.Sub(as.began) >= callTimeout
-		if !around || beside || late || !ran(as.id) {
+func (st *stopTracker) check(rs *resultSet, ran func(id string) bool) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	for _, cr := range st.calls {
+		duringStop := slices.ContainsFunc(st.stops[cr.vm], func(iv *interval) bool { return iv.overlaps(cr.began, cr.began) })
+		nearFault := slices.ContainsFunc(st.faults, func(iv *interval) bool { return iv.overlaps(cr.began.Add(-faultMargin), cr.end) })
+		timedOut := cr.failure != "" && cr.end.Sub(cr.began) >= requestTimeout
+		if !duringStop || nearFault || timedOut || !ran(cr.id) {
 			continue
 		}
-		bo.add(GracefulStop)
+		rs.require(GracefulStop)
 		failure := ""
-		if as.failure != "" {
-			failure = fmt.Sprintf("%s at %s, taken at %s, after %v: %s", as.id, as.vm.name, as.began.Format(time.StampMilli), as.end.Sub(as.began), as.failure)
+		if cr.failure != "" {
+			failure = fmt.Sprintf("%s at %s, taken at %s, after %v: %s", cr.id, cr.vm.name, cr.began.Format(time.StampMilli), cr.end.Sub(cr.began), cr.failure)
 		}
-		bo.note(GracefulStop, failure)
+		rs.record(GracefulStop, failure)
 	}
 }
