--- a/cmd/flamingomast/measure_test.go
+++ b/cmd/flamingomast/measure_test.go
@@ -24,7 +24,7 @@
 	"github.com/flamingomast/flamingomast/internal/stat/usage"
 )
 
-// These measurements run outside CI, since their figures are times:
+// These measurements report times, so they do not run in CI:
 //
 //	go test -tags measure -run TestMeasure -v ./cmd/flamingomast
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// use returns a process's resident set in megabytes, and its processor time.
+// use returns the resident set of a process in megabytes and its processor time.
 func use(t *testing.T, pr *proc) (mb float64, cpu time.Duration) {
 	t.Helper()
 	us, err := usage.Of(pr.cmd.Process.Pid)
@@ -58,8 +58,8 @@
 	return float64(us.Resident) / (1 << 20), us.Processor
 }
 
-// targetInventory declares the target: 790 VMs and 73 services in 5 failure
-// domains, with one rule that differs by n.
+// targetInventory declares a mesh of the target size: 790 VMs and 73 services in 5
+// failure domains. The deadline of one route depends on n.
 func targetInventory(t *testing.T, n int) string {
 	t.Helper()
 	ms := sample.Mesh(790, 5, 73)
@@ -71,8 +71,9 @@
 	return string(text)
 }
 
-// TestMeasureDaemons runs real daemons of one failure domain of the target and
-// reads their memory and processor time, idle and while the whole starts again.
+// TestMeasureDaemons runs real daemons of one failure domain of the target size and
+// measures their memory and processor time when idle and during 20 changes, and
+// their memory after all but the relays were killed and restarted.
 func TestMeasureDaemons(t *testing.T) {
 	plainBuild(t)
 	for _, n := range []int{10, 80, 158} {
@@ -168,7 +169,7 @@
 		return true
 	})
 	report("20 changes", time.Since(began), before)
-	// All but the relays die and come back at once.
+	// Kill all daemons but the relays, and restart them at once.
 	var again []*vm
 	for _, v := range me.vms {
 		if !v.relay(t) {
@@ -219,9 +220,9 @@
 	return vars.Flamingomast.Relay
 }
 
-// TestMeasurePath compares, in one run and in turn, a direct call, a call by
-// one bare forwarding hop, and the whole path of outlet and inlet, all in
-// processes of their own.
+// TestMeasurePath compares, with alternating requests in one run, a direct call, a
+// call through one bare forwarding hop, and the path through outlet and inlet. Each
+// part is a separate process.
 func TestMeasurePath(t *testing.T) {
 	plainBuild(t)
 	me := newMesh(t)
@@ -242,7 +243,7 @@
 		}
 	}
 	load("direct="+server, "bare-hop="+hop.addr, "outlet-and-inlet="+me.vms[0].outlet, "of-one-vm="+v.outlet)
-	// Throughput by processor time: requests for each second of a core.
+	// perCore returns the throughput in requests per core-second.
 	perCore := func(addr string, pr *proc) float64 {
 		const requests = 16_000
 		_, before := use(t, pr)
@@ -254,14 +255,15 @@
 	t.Logf("requests a core-second: outlet daemon %.0f, bare forwarder on the same transport %.0f, ratio %.2f", outlet, bare, outlet/bare)
 }
 
-// bareProc is a bare forwarding hop in a process of its own.
+// bareProc is a bare forwarding hop in a separate process.
 type bareProc struct {
 	*proc
 	addr string
 }
 
-// bareHopTo names the environment variable that makes the test binary a bare
-// forwarding hop: the address to listen on and the one to forward to.
+// bareHopTo is the environment variable that turns the test binary into a bare
+// forwarding hop. Its value is the address to listen on, ">", and the address to
+// forward to.
 const bareHopTo = "FLAMINGOMAST_TEST_BARE_HOP"
 
 func init() {
--- a/cmd/flamingomast/process_test.go
+++ b/cmd/flamingomast/process_test.go
@@ -20,8 +20,8 @@
 	"github.com/flamingomast/flamingomast/internal/node/admin"
 )
 
-// waitTimeout bounds each wait for a condition. It is far above what is needed, so
-// that a busy machine gives the same verdict.
+// waitTimeout bounds each wait for a condition. It is far longer than needed, so
+// that tests do not fail on a busy machine.
 const waitTimeout = 60 * time.Second
 
 var (
@@ -105,7 +105,7 @@
 	for !ok() {
 		select {
 		case <-ctx.Done():
-			t.Fatalf("not in %s: %s", waitTimeout, what)
+			t.Fatalf("condition not met within %s: %s", waitTimeout, what)
 		case <-tick.C:
 		}
 	}
@@ -120,7 +120,7 @@
 	return addr
 }
 
-// run runs a command of the binary to its end.
+// run runs a command of the binary and returns its output and exit code.
 func run(t *testing.T, args ...string) (out string, code int) {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), build(t), args...)
@@ -131,14 +131,14 @@
 	return string(text), cmd.ProcessState.ExitCode()
 }
 
-// vm is a VM of a test: a daemon and a backend server.
+// vm is a VM with a daemon and a backend server.
 type vm struct {
 	name, domain, service         string
 	outlet, inlet, control, admin string
 	daemon, server                *proc
 }
 
-// mesh is a platform with VMs, all as processes.
+// mesh is a platform and VMs, all as processes.
 type mesh struct {
 	t        *testing.T
 	platform string
@@ -148,8 +148,8 @@
 	dir      string
 }
 
-// newMesh starts a platform and one VM in each of three failure domains, and
-// applies an inventory with them.
+// newMesh starts a platform and the daemon of one VM in each of three failure
+// domains, and writes an inventory of the VMs.
 func newMesh(t *testing.T) *mesh {
 	t.Helper()
 	me := &mesh{t: t, platform: freeAddr(t), dir: t.TempDir()}
@@ -240,21 +240,21 @@
 	return string(text), res.StatusCode, err
 }
 
-// servedBy waits until a request at v is answered by the VM other.
+// servedBy waits until a request through v's outlet is answered by the VM other.
 func (me *mesh) servedBy(v *vm, other string) {
 	me.t.Helper()
-	eventually(me.t, "an answer at "+v.name+" by "+other, func() bool {
+	eventually(me.t, "a response through the outlet of "+v.name+" from "+other, func() bool {
 		body, status, err := v.get("booking", "/visits")
 		return err == nil && status == http.StatusOK && strings.HasPrefix(body, other+" GET /visits")
 	})
 }
 
-// TestWholePath is the thin path: an operator applies declarations, every
-// daemon holds them, and a request that goes in at one daemon is answered by a
-// backend server behind another.
+// TestWholePath is an end-to-end test: an operator applies declarations, every
+// daemon holds them, and a request sent to one daemon is answered by a backend
+// server behind another.
 func TestWholePath(t *testing.T) {
 	me := newMesh(t)
-	// The server announces itself before any configuration is there.
+	// The server announces itself before there is a configuration.
 	me.startServer(me.vms[1])
 	me.apply("")
 	for _, v := range me.vms {
@@ -270,7 +270,7 @@
 		t.Errorf("apply printed %q, want version 2", out)
 	}
 	if _, status, err := me.vms[2].get("vale-sul", "/"); err != nil || status != http.StatusOK {
-		t.Errorf("the new route gave status %d, error %v", status, err)
+		t.Errorf("request for the new route: status %d, error %v", status, err)
 	}
 	out, code := run(t, "history", "--platform", me.platform)
 	if code != 0 || strings.Count(out, "\n") != 2 {
@@ -278,10 +278,10 @@
 	}
 }
 
-// TestKilledDaemonIsReplaced: a VM is killed with its daemon while the
-// platform is out, and a new process comes at the same addresses. Callers at
-// the other VMs must be served again by it, and it must hold no older version
-// than its forerunner did, although only its peers can tell it.
+// TestKilledDaemonIsReplaced kills a daemon while the platform is down and starts
+// a new one at the same addresses. The new daemon must serve callers on the other
+// VMs again, and must not hold an older version than its predecessor, although it
+// can learn the version only from its peers.
 func TestKilledDaemonIsReplaced(t *testing.T) {
 	me := newMesh(t)
 	me.startServer(me.vms[1])
@@ -303,9 +303,9 @@
 	me.servedBy(me.vms[0], "sala-norte-1")
 }
 
-// TestFrozenDaemonCatchesUp: a daemon is stopped (SIGSTOP) for longer than
-// every timeout, a version is accepted meanwhile, and it goes on. The others
-// serve on, and once it runs again it takes the version it missed.
+// TestFrozenDaemonCatchesUp suspends a daemon (SIGSTOP) for longer than every
+// timeout while a version is accepted. The other daemons must go on serving, and
+// the daemon must fetch the version that it missed once it runs again.
 func TestFrozenDaemonCatchesUp(t *testing.T) {
 	me := newMesh(t)
 	me.startServer(me.vms[0])
@@ -315,7 +315,7 @@
 	me.servedBy(me.vms[1], "sala-norte-1")
 
 	me.vms[1].daemon.signal(syscall.SIGSTOP)
-	eventually(t, "the frozen daemon's failure domain is cut off for the others", func() bool {
+	eventually(t, "the others see the failure domain of the frozen daemon as unreachable", func() bool {
 		st, err := me.vms[2].status()
 		return err == nil && st.Domains[1].Cut
 	})
@@ -326,16 +326,16 @@
 	}
 	me.servedBy(me.vms[2], "sala-centro-1")
 	me.vms[1].daemon.signal(syscall.SIGCONT)
-	eventually(t, "the daemon holds version 2 after the freeze", func() bool {
+	eventually(t, "the daemon holds version 2 after it was resumed", func() bool {
 		st, err := me.vms[1].status()
 		return err == nil && st.Version == 2
 	})
 	me.servedBy(me.vms[1], "sala-norte-1")
 }
 
-// TestDrainCutsOffNothing: requests run at a VM when its daemon is told to end
-// (SIGTERM). Each of them is answered whole, new ones go elsewhere, and the
-// daemon ends with status 0.
+// TestDrainCutsOffNothing stops a daemon (SIGTERM) while requests run at its VM.
+// Each of them must get a complete response, the daemon must exit with status 0,
+// and a request after the drain must be refused.
 func TestDrainCutsOffNothing(t *testing.T) {
 	me := newMesh(t)
 	v := me.vms[1]
@@ -372,16 +372,17 @@
 	}
 	<-v.daemon.done
 	if code := v.daemon.cmd.ProcessState.ExitCode(); code != 0 {
-		t.Errorf("the daemon ended with status %d", code)
+		t.Errorf("the daemon exited with status %d", code)
 	}
 	if body, status, err := me.vms[0].get("booking", "/after"); err != nil || status != http.StatusServiceUnavailable {
 		t.Errorf("after the drain: status %d, error %v, body %q", status, err, body)
 	}
 }
 
-// TestHangup: the operators change the settings and send SIGHUP. The daemon goes
-// on, takes what can change while it runs, and says so; settings that cannot be
-// read change nothing. The runtime's own answer to the signal is to end.
+// TestHangup changes the settings and sends SIGHUP. The daemon must keep running,
+// apply the settings that can change while it runs and log that it did; invalid
+// settings must change nothing. Without a handler, the Go runtime ends a process
+// at SIGHUP.
 func TestHangup(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "daemon.yaml")
 	adminAddr := freeAddr(t)
@@ -424,13 +425,13 @@
 	})
 	write("log-level: loud\n")
 	pr.signal(syscall.SIGHUP)
-	eventually(t, "wrong settings are refused", logged(`"msg":"reload-failed"`))
+	eventually(t, "invalid settings are rejected", logged(`"msg":"reload-failed"`))
 	write("access-log-sample: 0.5\n")
 	pr.signal(syscall.SIGHUP)
-	eventually(t, "right ones are taken", logged(`"msg":"reload","`))
+	eventually(t, "valid settings are applied", logged(`"msg":"reload","`))
 	select {
 	case <-pr.done:
-		t.Error("the daemon has ended")
+		t.Error("the daemon exited")
 	default:
 	}
 }
--- a/cmd/flamingomast/soak_test.go
+++ b/cmd/flamingomast/soak_test.go
@@ -8,8 +8,8 @@
 	"github.com/flamingomast/flamingomast/internal/node/soak"
 )
 
-// TestSoak runs real processes under a short plan: a bad rollout, a store that comes back
-// older, and daemons and servers that are killed, stopped and paused.
+// TestSoak runs real processes under a short plan: the rollout of a bad version, a store that is
+// restored from an older backup, and daemons and servers that are killed, stopped and paused.
 func TestSoak(t *testing.T) {
 	plan := []soak.Step{
 		{At: 500 * time.Millisecond, Kind: soak.RolloutBad},
@@ -25,12 +25,13 @@
 	runSoak(t, soak.Options{For: 14 * time.Second, Plan: plan})
 }
 
-// TestSoakPlanned guards against requests that are lost around stops of daemons in series.
+// TestSoakPlanned guards against requests that are lost when several daemons are stopped one
+// shortly after the other.
 func TestSoakPlanned(t *testing.T) {
 	runSoak(t, soak.Options{Seed: 1, For: 15 * time.Second, Planned: true})
 }
 
-// runSoak runs a small mesh of processes and fails with what its checks found.
+// runSoak runs a small mesh of processes and reports the checks that failed.
 func runSoak(t *testing.T, op soak.Options) {
 	t.Helper()
 	op.Binary, op.Dir, op.VMs, op.Log = build(t), t.TempDir(), 6, slog.New(slog.DiscardHandler)
--- a/internal/node/demo/callers.go
+++ b/internal/node/demo/callers.go
@@ -23,8 +23,8 @@
 	thinkTime = 10 * time.Millisecond
 )
 
-// callers send steady requests through the outlets of all units, in turn GET
-// and POST, each POST with an id of its own that may run only once.
+// callers send a steady load of requests through the outlets of all VMs, GET and POST in
+// turn. Each POST has its own ID and must run only once.
 type callers struct {
 	fl   *fleet
 	http *http.Client
@@ -41,7 +41,7 @@
 	return cl
 }
 
-// refresh lists the outlets anew.
+// refresh updates the list of outlets.
 func (cl *callers) refresh() {
 	var list []string
 	cl.fl.eachVM(func(rv *runningVM) { list = append(list, rv.se.Outlet) })
@@ -70,7 +70,7 @@
 	cl.http.CloseIdleConnections()
 }
 
-// send sends one request and judges its answer.
+// send sends one request and counts its outcome.
 func (cl *callers) send(id string, get bool) {
 	sv := cl.fl.ms.Services[rand.IntN(len(cl.fl.ms.Services))].Name
 	method, body := http.MethodPost, io.Reader(strings.NewReader(id))
--- a/internal/node/demo/demo.go
+++ b/internal/node/demo/demo.go
@@ -23,15 +23,15 @@
 	"github.com/flamingomast/flamingomast/internal/plat/stand"
 )
 
-// Options sets a demonstration.
+// Options configures a demonstration.
 type Options struct {
-	// Dir holds the declarations, For is how long requests are sent.
+	// Dir is the directory of the declarations, Duration how long requests are sent.
 	Dir string
 	For time.Duration
 	Log *slog.Logger
 }
 
-// Summary is what a demonstration ends with.
+// Summary is the outcome of a demonstration.
 type Summary struct {
 	Event         string `json:"event"`
 	Requests      int64  `json:"requests"`
@@ -41,14 +41,14 @@
 	Duplicated    int    `json:"doubled"`
 	Version       uint64 `json:"version"`
 	ConvergenceMs int64  `json:"convergence-ms"`
-	// Behind is how many daemons do not hold the last version.
+	// Behind is the number of daemons that do not hold the last version.
 	Behind int `json:"behind"`
 }
 
-// OK reports whether nothing went wrong.
+// OK reports whether no request failed or ran twice, and every daemon holds the last version.
 func (sm *Summary) OK() bool { return sm.Failed == 0 && sm.Duplicated == 0 && sm.Behind == 0 }
 
-// The times of a demonstration.
+// The timing of a demonstration.
 const (
 	serviceTime        = 5 * time.Millisecond
 	startTimeout       = 15 * time.Second
@@ -65,11 +65,11 @@
 	runs         Ledger
 
 	mu  sync.Mutex
-	vms map[string]*runningVM // by VM
+	vms map[string]*runningVM // by name
 	wg  conc.WaitGroup
 }
 
-// runningVM is a VM with its daemon and backend server.
+// runningVM is a VM with its daemon and its backend server.
 type runningVM struct {
 	vm   decl.VM
 	dm   *daemon.Daemon
@@ -90,7 +90,7 @@
 	op.For = max(op.For, minDuration)
 	ctx, cancel := context.WithCancel(ctx)
 	fl := &fleet{op: op, ms: ms, st: stand.New(), vms: map[string]*runningVM{}}
-	// The order of the deferred calls matters: cancel, then wait.
+	// Wait has to run after cancel, since the goroutines end only when ctx does.
 	defer fl.wg.Wait()
 	defer cancel()
 	if err := fl.start(ctx); err != nil {
@@ -142,7 +142,7 @@
 	sctx, stopServer := context.WithCancel(context.WithoutCancel(ctx))
 	fl.wg.Go(func() {
 		defer close(rv.done)
-		// The server outlives its daemon's drain.
+		// The backend server has to run until its daemon has drained.
 		defer stopServer()
 		if err := rv.dm.Run(dctx); err != nil {
 			fl.op.Log.Error("daemon-failed", slog.String("vm", vm.Name), slog.Any("error", err))
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// eachVM calls fn for the units, sorted by VM.
+// eachVM calls fn for the VMs, sorted by name.
 func (fl *fleet) eachVM(fn func(*runningVM)) {
 	fl.mu.Lock()
 	var list []*runningVM
@@ -200,13 +200,13 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-timeout:
-			return fmt.Errorf("%d of %d daemons did not find all backend servers in %s", missing, len(fl.ms.VMs), startTimeout)
+			return fmt.Errorf("%d of %d daemons did not find all backend servers within %s", missing, len(fl.ms.VMs), startTimeout)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// apply makes ms the version in force and returns its number.
+// apply submits ms as the next version and returns its number.
 func (fl *fleet) apply(ctx context.Context, ms *decl.Mesh, base uint64) (uint64, error) {
 	co, err := pack.Encode(ms)
 	if err != nil {
@@ -233,7 +233,8 @@
 	return n
 }
 
-// waitHeld waits until every daemon holds version and returns how long it took.
+// waitHeld waits until every daemon holds version, or convergenceTimeout is over, and returns
+// how long it took.
 func (fl *fleet) waitHeld(ctx context.Context, version uint64) time.Duration {
 	began := time.Now()
 	for fl.countBehind(version) > 0 && time.Since(began) < convergenceTimeout && ctx.Err() == nil {
@@ -242,7 +243,7 @@
 	return time.Since(began)
 }
 
-// runScenario sends requests, changes a rule and replaces a VM meanwhile.
+// runScenario sends requests, and changes a rule and replaces a VM meanwhile.
 func (fl *fleet) runScenario(ctx context.Context) (*Summary, error) {
 	sm := &Summary{Event: "summary", Version: 1}
 	cl := newCallers(fl)
@@ -299,7 +300,7 @@
 	return nil
 }
 
-// replaceVM drains the first VM, ends its processes and starts new ones.
+// replaceVM drains the first VM, stops its daemon and backend server and starts new ones.
 func (fl *fleet) replaceVM(ctx context.Context, cl *callers) error {
 	vm := fl.ms.VMs[0]
 	fl.mu.Lock()
--- a/internal/node/demo/doc.go
+++ b/internal/node/demo/doc.go
@@ -1,3 +1,3 @@
-// Package demo is the first look: a stand-in of the platform, small backend
-// servers and daemons on loopback, with steady requests through them.
+// Package demo runs a demonstration on loopback: a stand-in for the platform,
+// daemons and small backend servers, with a steady load of requests.
 package demo
--- a/internal/node/demo/load.go
+++ b/internal/node/demo/load.go
@@ -14,25 +14,25 @@
 	"github.com/flamingomast/flamingomast/internal/stat/hist"
 )
 
-// LoadOptions describes requests to several addresses, which get them in turn,
-// so that all are measured under the same conditions.
+// LoadOptions describes requests to several addresses. The addresses get them in
+// turn, so that all are measured under the same conditions.
 type LoadOptions struct {
 	Targets []LoadTarget
 	// Host and Path are those of each request.
 	Host, Path string
-	// Requests is how many each target gets, Workers how many are under way at
-	// once, Pause the most time between two of a worker.
+	// Requests is the number of requests to each target, Workers the number of
+	// concurrent requests, MaxPause the longest pause between two requests of a worker.
 	Requests, Workers int
 	Pause             time.Duration
 }
 
-// LoadTarget is an address with a name for it.
+// LoadTarget is a named address.
 type LoadTarget struct {
 	Name, Addr string
 }
 
-// LoadResult is what a target's requests took, in milliseconds. Added is
-// compared with the first target.
+// LoadResult has the latencies of a target's requests in milliseconds. AddedP50
+// and AddedP99 are the differences from the first target.
 type LoadResult struct {
 	Event    string  `json:"event"`
 	Name     string  `json:"name"`
@@ -44,7 +44,8 @@
 	AddedP99 float64 `json:"added-p99-ms"`
 }
 
-// warmUpDivisor is the part of the requests, 1 in so many, that is not measured.
+// warmUpDivisor sets the share of the requests that warm up and are not measured: the first
+// 1/warmUpDivisor of them.
 const warmUpDivisor = 10
 
 // Load sends the requests and returns a result for each target.
--- a/internal/node/demo/platform.go
+++ b/internal/node/demo/platform.go
@@ -11,7 +11,7 @@
 	"github.com/flamingomast/flamingomast/internal/plat/stand"
 )
 
-// ServePlatform serves a stand-in of the platform on ln until ctx ends.
+// ServePlatform serves a stand-in for the platform on ln until ctx ends.
 func ServePlatform(ctx context.Context, ln net.Listener, st *stand.Stand) error {
 	mux := http.NewServeMux()
 	mux.Handle(remote.Handler(st.Store()))
--- a/internal/node/demo/server.go
+++ b/internal/node/demo/server.go
@@ -17,16 +17,16 @@
 	"github.com/flamingomast/flamingomast/internal/plat/faulty"
 )
 
-// IDHeader names a request, so that a server counts how often it ran.
+// IDHeader is the header that identifies a request, by which a server counts how often it ran.
 const IDHeader = "Request-Id"
 
-// Ledger counts how often each request ran, over all servers that share it.
+// Ledger counts how often each request ran on any of the servers that share it.
 type Ledger struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// CountRun notes that a request runs.
+// CountRun counts a run of a request.
 func (rc *Ledger) CountRun(id string) {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
@@ -49,37 +49,37 @@
 	return n
 }
 
-// Ran is a line that says that a request began.
+// Ran is the output line for a request that a server began to run.
 type Ran struct {
 	ID string `json:"ran"`
 }
 
-// ServedByHeader names the VM whose server gave an answer.
+// ServedByHeader is the header that names the VM whose server sent a response.
 const ServedByHeader = "Served-By"
 
-// Server is a small backend server. It answers with the name of its VM and the
-// body that it got.
+// Server is a small backend server. Its response has the name of its VM, and the
+// method, path and body of the request.
 type Server struct {
 	VM, Service string
-	// Listen is where it serves, Admin the admin address of its daemon.
+	// Listen is the address to serve, Admin the admin address of the VM's daemon.
 	Listen, Admin string
-	// Work is the mean time that a request takes.
+	// ServiceTime is the mean time that a request takes.
 	Work   time.Duration
 	Ledger *Ledger
-	// Software is the version that it announces, empty for none.
+	// Software is the software version that it announces, empty for none.
 	Software string
-	// Failing is the share of the requests, 0 to 1, that it answers with 500: those whose
-	// path begins with FailingPath, once it has run for FailingAfter.
+	// FailureRate is the share, 0 to 1, of the requests that it answers with 500, among those
+	// whose path begins with FailurePath, once it has run for FailureDelay.
 	Failing      float64
 	FailingPath  string
 	FailingAfter time.Duration
 	started      time.Time
-	// Calls is the service that it calls once for each request, by the outlet at Outlet;
-	// a request whose call fails is answered with 500.
+	// Calls is the service that it calls once for each request, through the outlet at Outlet.
+	// It answers a request whose call fails with 500.
 	Calls, Outlet string
-	// Began, if set, is called for each request that it begins.
+	// OnRun, if set, is called for each request that it begins to run.
 	Began func(Ran)
-	// Fault, when set, is how it fails in place of answering.
+	// Fault, if set, is the faulty behavior that replaces its responses.
 	Fault faulty.Behave
 }
 
@@ -114,7 +114,7 @@
 	_, _ = fmt.Fprintf(w, "%s %s %s %s\n", sr.VM, r.Method, r.URL.Path, body)
 }
 
-// call makes the call of a request, if there is one to make.
+// call calls the service Calls, if set, for a request.
 func (sr *Server) call(r *http.Request) error {
 	if sr.Calls == "" {
 		return nil
@@ -133,12 +133,12 @@
 		return err
 	}
 	if res.StatusCode != http.StatusOK {
-		return fmt.Errorf("calling %s: %s", sr.Calls, res.Status)
+		return fmt.Errorf("call to service %s failed: %s", sr.Calls, res.Status)
 	}
 	return nil
 }
 
-// shouldFail reports whether it fails a request for a path.
+// shouldFail decides at random, by FailureRate, whether to fail a request for a path.
 func (sr *Server) shouldFail(path string) bool {
 	return sr.Failing > 0 && time.Since(sr.started) >= sr.FailingAfter && strings.HasPrefix(path, sr.FailingPath) && rand.Float64() < sr.Failing
 }
@@ -146,7 +146,7 @@
 // announceInterval is how often a server renews its announcement.
 const announceInterval = 2 * time.Second
 
-// Run serves and announces itself until ctx ends; then it withdraws and waits
+// Run serves and announces itself until ctx ends; then it withdraws the announcement and waits
 // for running requests.
 func (sr *Server) Run(ctx context.Context) error {
 	sr.started = time.Now()
@@ -202,7 +202,7 @@
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusNoContent {
 		text, _ := io.ReadAll(io.LimitReader(res.Body, 1<<10))
-		return fmt.Errorf("announcing: %s: %s", res.Status, text)
+		return fmt.Errorf("announcement to the daemon failed: %s: %s", res.Status, text)
 	}
 	return nil
 }
--- a/internal/node/soak/callers.go
+++ b/internal/node/soak/callers.go
@@ -14,27 +14,30 @@
 	"github.com/flamingomast/flamingomast/internal/path/result"
 )
 
-// The habits of callers.
+// The timing of the callers.
 const (
-	// requestPause is the pause of a caller between two requests.
+	// requestPause is the pause of a caller between two requests, or two batches of
+	// pipelined ones.
 	requestPause = 10 * time.Millisecond
-	// requestTimeout is what callers say that they wait, patience what they wait.
+	// requestTimeout is the timeout that callers state in a request, clientTimeout the time
+	// after which they give up on it.
 	requestTimeout = 2 * time.Second
 	clientTimeout  = 10 * time.Second
-	// redialPause is the pause of a caller whose connection was refused.
+	// redialPause is the pause of a caller after it could not connect.
 	redialPause = 50 * time.Millisecond
 )
 
-// response is what a caller got for a request.
+// response is what a caller received for a request.
 type response struct {
 	status int
 	body   string
-	// fromServer says that a backend server gave the answer.
+	// fromServer reports whether a backend server sent the response.
 	fromServer bool
 	err        error
 }
 
-// failure says how a request ended without a whole answer of a server, empty for one with it.
+// failure describes how a request ended without a complete response of a backend server. It is
+// empty for a request that got one.
 func (re *response) failure() string {
 	switch {
 	case re.err != nil:
@@ -48,7 +51,7 @@
 // request is one request of a caller.
 type request struct {
 	id, method, body string
-	// chunked says that its body goes in chunks.
+	// chunked sends the body with chunked transfer encoding.
 	chunked bool
 	host    string
 }
@@ -67,9 +70,10 @@
 	return rq
 }
 
-// httpRequest returns the request to an outlet.
+// httpRequest returns the HTTP request to an outlet.
 func (rq *request) httpRequest(ctx context.Context, outlet string) (*http.Request, error) {
-	// A reader of its own type has no length, and the library does not send it again.
+	// net/http neither knows the length of a LimitReader nor can it rewind one, so it sends the
+	// body in chunks and does not retry the request.
 	req, err := http.NewRequestWithContext(ctx, rq.method, "http://"+outlet+"/"+rq.id, io.LimitReader(strings.NewReader(rq.body), int64(len(rq.body))))
 	if err != nil {
 		return nil, err
@@ -86,8 +90,8 @@
 	return req, nil
 }
 
-// runCaller sends requests to a VM's daemon, one after the other on a connection that it keeps,
-// until ctx ends.
+// runCaller sends requests to a VM's daemon, one after the other on a persistent connection,
+// until ctx ends. It returns how many it sent.
 func (fl *fleet) runCaller(ctx context.Context, n int, v *vm) (sent int) {
 	hc := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}, Timeout: clientTimeout}
 	defer hc.CloseIdleConnections()
@@ -100,7 +104,7 @@
 	return sent
 }
 
-// send sends one request and returns its answer.
+// send sends one request and returns its response.
 func send(ctx context.Context, hc *http.Client, v *vm, rq request) response {
 	req, err := rq.httpRequest(ctx, v.outlet)
 	if err != nil {
@@ -119,7 +123,8 @@
 	return response{status: res.StatusCode, body: string(text), fromServer: res.Header.Get(demo.ServedByHeader) != "", err: err}
 }
 
-// recordResponse makes the checks of one request and keeps it for those at the end.
+// recordResponse checks one response and records the request for the checks at the end of the
+// run.
 func (fl *fleet) recordResponse(v *vm, rq request, began time.Time, re response) {
 	fl.requests.recordOutcome(rq.id, rq.method == http.MethodPost, re.err == nil && re.status == http.StatusServiceUnavailable)
 	fl.stops.recordCall(callRecord{id: rq.id, vm: v, began: began, end: time.Now(), failure: re.failure()})
@@ -128,16 +133,16 @@
 	}
 	failure := ""
 	if want := fmt.Sprintf(" %s /%s %s\n", rq.method, rq.id, rq.body); !strings.HasSuffix(re.body, want) {
-		failure = fmt.Sprintf("%s got %.80q", rq.id, re.body)
+		failure = fmt.Sprintf("%s got the response %.80q", rq.id, re.body)
 	}
 	fl.results.record(IntactResponse, failure)
 }
 
-// pipelineDepth is how many requests a caller sends before it reads the first answer.
+// pipelineDepth is how many requests a caller sends before it reads the first response.
 const pipelineDepth = 4
 
-// runPipelinedCaller sends requests to a VM's daemon, some at once on a connection that it keeps,
-// until ctx ends.
+// runPipelinedCaller sends pipelined requests to a VM's daemon on a persistent connection until
+// ctx ends. It returns how many it sent.
 func (fl *fleet) runPipelinedCaller(ctx context.Context, n int, v *vm) (sent int) {
 	var nc net.Conn
 	var br *bufio.Reader
@@ -177,11 +182,11 @@
 	return sent
 }
 
-// sendPipelined sends requests at once and reads their answers, and reports whether the
-// connection can be used again.
+// sendPipelined sends requests without waiting for responses, then reads the responses, and
+// reports whether the connection can be reused.
 func (fl *fleet) sendPipelined(ctx context.Context, nc net.Conn, br *bufio.Reader, v *vm, rqs []request) (reusable bool) {
 	began := time.Now()
-	// An error shows at the next write.
+	// An error of SetDeadline shows at the next write.
 	_ = nc.SetDeadline(began.Add(clientTimeout))
 	var text strings.Builder
 	var reqs []*http.Request
--- a/internal/node/soak/checks.go
+++ b/internal/node/soak/checks.go
@@ -6,35 +6,35 @@
 	"sync"
 )
 
-// Check is a promise that is checked while the soak runs.
+// Check is a property that a run checks.
 type Check string
 
 // The checks.
 const (
-	IntactResponse     Check = "whole-answer"  // an answer is that of its request, whole
-	AtMostOnce         Check = "at-most-once"  // a request that may not be repeated runs once at most
-	NoFalseNotRun      Check = "not-run-true"  // a request refused as not run never runs
-	MonotonicVersion   Check = "never-older"   // no VM holds an older version than before
-	BadVersionStopped  Check = "bad-version"   // no bad version of the software is complete
-	BadVersionExposure Check = "exposure"      // a bad version gets few requests
-	Recovery           Check = "served-again"  // after the last fault requests are served
-	Convergence        Check = "in-force"      // the last version is held by all in the end
-	NoUnexpectedExit   Check = "no-own-end"    // no process ends by itself
-	GracefulStop       Check = "graceful-stop" // a daemon that stops cuts off nothing that a server runs
+	IntactResponse     Check = "whole-answer"  // a response belongs to its request and is complete
+	AtMostOnce         Check = "at-most-once"  // a request that must not be retried runs at most once
+	NoFalseNotRun      Check = "not-run-true"  // a request that its caller was told has not run never runs
+	MonotonicVersion   Check = "never-older"   // no daemon holds an older version than before
+	BadVersionStopped  Check = "bad-version"   // the rollout of a bad version does not complete
+	BadVersionExposure Check = "exposure"      // a bad version gets only a small share of the requests
+	Recovery           Check = "served-again"  // every VM serves requests after the last fault
+	Convergence        Check = "in-force"      // every daemon holds the last version at the end
+	NoUnexpectedExit   Check = "no-own-end"    // no process exits unless a step ends it
+	GracefulStop       Check = "graceful-stop" // a daemon that stops interrupts no request that a server runs
 )
 
-// Result is what became of a check.
+// Result is the result of a check.
 type Result struct {
 	Check Check `json:"check"`
-	// Cases is how often it was made, Failures what failed.
+	// Cases is how often the property was checked; Failures describes the cases that failed.
 	Cases    int      `json:"cases"`
 	Failures []string `json:"failures,omitempty"`
 }
 
-// maxFailures bounds the failures that are kept of a check.
+// maxFailures bounds the failures that are kept for each check.
 const maxFailures = 20
 
-// resultSet collects results.
+// resultSet collects the results of the checks of a run.
 type resultSet struct {
 	mu      sync.Mutex
 	results map[Check]*Result
@@ -48,7 +48,7 @@
 	return rs
 }
 
-// require makes a check part of the run; without a case it fails then.
+// require makes a check part of the run, which fails if no case of it is recorded.
 func (rs *resultSet) require(ch Check) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -57,7 +57,8 @@
 	}
 }
 
-// record counts a case of a check, which failed where failure is not empty.
+// record counts a case of a check if it is part of the run. The case failed if failure is not
+// empty.
 func (rs *resultSet) record(ch Check, failure string) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -71,7 +72,7 @@
 	}
 }
 
-// list returns the results sorted by check. One without a case failed.
+// list returns the results sorted by check. A check without a case fails.
 func (rs *resultSet) list() []Result {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -92,19 +93,20 @@
 	return list
 }
 
-// requestRecord is what is known of one request.
+// requestRecord is what is known of one request: whether it may run at most once, how often it
+// ran, and whether its caller was told that it did not run.
 type requestRecord struct {
 	atMostOnce bool
 	runs       int
 	notRun     bool
 }
 
-// requestLog knows of each request how often it ran and what its caller was told.
+// requestLog records how often each request ran and what its caller was told.
 type requestLog struct {
 	mu       sync.Mutex
 	requests map[string]*requestRecord
-	// target and all count the runs at servers of the new version and at all, from when
-	// both are counted.
+	// targetRuns and allRuns count the runs on servers of the new version and on all servers
+	// since the start of the rollout.
 	rolloutStarted      bool
 	targetRuns, allRuns int
 }
@@ -119,14 +121,15 @@
 	return rl.requests[id]
 }
 
-// hasRun reports whether a server began a request.
+// hasRun reports whether a backend server began to run a request.
 func (rl *requestLog) hasRun(id string) bool {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	return rl.requests[id] != nil && rl.requests[id].runs > 0
 }
 
-// recordRun notes that a server began a request.
+// recordRun records that a backend server, of the new version if target is set, began to run a
+// request.
 func (rl *requestLog) recordRun(id string, target bool) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -140,7 +143,8 @@
 	}
 }
 
-// recordOutcome notes how a request ended for its caller.
+// recordOutcome records whether a request may run at most once, and whether its caller was told
+// that it did not run.
 func (rl *requestLog) recordOutcome(id string, atMostOnce, notRun bool) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -148,7 +152,7 @@
 	rr.atMostOnce, rr.notRun = atMostOnce, notRun
 }
 
-// check makes the checks of all requests.
+// check checks all requests for AtMostOnce and NoFalseNotRun.
 func (rl *requestLog) check(rs *resultSet) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -164,7 +168,7 @@
 			rs.require(NoFalseNotRun)
 			failure := ""
 			if rr.runs > 0 {
-				failure = fmt.Sprintf("%s ran, and its caller was told that it had not", id)
+				failure = fmt.Sprintf("%s ran although its caller was told that it had not", id)
 			}
 			rs.record(NoFalseNotRun, failure)
 		}
--- a/internal/node/soak/doc.go
+++ b/internal/node/soak/doc.go
@@ -1,3 +1,3 @@
-// Package soak runs a small mesh of real processes, injects faults drawn from a seed, and
-// checks what callers, backend servers and the store see.
+// Package soak runs a small mesh of real processes, injects faults generated from a seed,
+// and checks what callers, backend servers and the store observe.
 package soak
--- a/internal/node/soak/fleet.go
+++ b/internal/node/soak/fleet.go
@@ -25,34 +25,36 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// service is the one that most backend servers serve and that is rolled out, called the one
-// that they call.
+// service is the service that most backend servers serve and that is rolled out; its servers
+// call calledService.
 const (
 	service       = "booking"
 	calledService = "records"
 )
 
-// calledEvery is how many VMs there are to each one whose server is called.
+// calledEvery is the number of VMs for each one that serves calledService.
 const calledEvery = 4
 
-// domains are the failure domains.
+// domains are the names of the failure domains.
 var domains = []string{"north", "south", "west"}
 
-// vm is a VM with its processes.
+// vm is a VM with the processes of its daemon and its backend server.
 type vm struct {
 	name, domain, service, software string
-	// settingsFile is the file of its daemon's settings.
+	// settingsFile is the path of the daemon's settings.
 	settingsFile                  string
 	outlet, inlet, control, admin string
 
 	mu             sync.Mutex
 	daemon, server *proc
-	// daemonDown and away are set while the plan has ended the daemon or the server.
+	// daemonDown and serverDown are set from when a step ends the process until it is
+	// started again.
 	daemonDown, serverDown bool
-	maxHeld                uint64
+	// maxHeld is the newest version that the daemon was seen to hold.
+	maxHeld uint64
 }
 
-// fleet is a mesh of processes.
+// fleet is a mesh of processes: the platform, and a daemon and a backend server on each VM.
 type fleet struct {
 	op           Options
 	la           *launcher
@@ -60,18 +62,20 @@
 	platform     *proc
 	platformAddr string
 	vms          []*vm
-	// targetVMs are VMs of the new version, whose servers start with the rollout.
+	// targetVMs are the VMs of the new version; their servers start with the rollout.
 	targetVMs []*vm
 	results   *resultSet
 	requests  requestLog
 	stops     stopTracker
-	// newestVersion is the newest one that was accepted.
+	// newestVersion is the newest version that was accepted.
 	newestVersion atomic.Uint64
-	failureRate   string
-	wg            sync.WaitGroup
+	// failureRate is the share of the requests that servers of the new version fail, empty
+	// for none.
+	failureRate string
+	wg          sync.WaitGroup
 }
 
-// newVM returns a VM with addresses of its own and its settings in a directory.
+// newVM returns a VM with free addresses and the path of a settings file in dir.
 func newVM(i int, software, dir string) (*vm, error) {
 	v := &vm{name: fmt.Sprintf("vm-%d", i), domain: domains[i%len(domains)], service: service, software: software}
 	v.settingsFile = filepath.Join(dir, v.name+".yaml")
@@ -85,10 +89,11 @@
 	return v, nil
 }
 
-// all returns all VMs.
+// all returns the VMs of both versions.
 func (fl *fleet) all() []*vm { return append(append([]*vm{}, fl.vms...), fl.targetVMs...) }
 
-// mesh returns the declarations; each version differs in a number.
+// mesh returns the declarations. The number of slots depends on n, so that successive
+// versions differ.
 func (fl *fleet) mesh(n int) *decl.Mesh {
 	ms := &decl.Mesh{Regions: []decl.Region{{Name: "r"}}, Services: []decl.Service{
 		{Name: service, Port: 9001, Slots: 16 + n%4}, {Name: calledService, Port: 9002, Slots: 16},
@@ -145,11 +150,13 @@
 	return fl.waitHeld(ctx, startTimeout)
 }
 
-// startTimeout bounds the start of all processes on a busy machine.
+// startTimeout bounds the start of all processes; it allows for a busy machine.
 const startTimeout = 20 * time.Second
 
-// submitChange makes a version, as an operator does: on the one that the store has, above all that
-// the fleet may hold. A store that came back older may have lost one that nobody holds.
+// submitChange submits a configuration version as an operator does: based on the newest one in
+// the store, with a number above every version that the fleet may hold. A store restored from a
+// backup may have lost a version that no daemon holds, so the floor is the newest version that
+// was accepted.
 func (fl *fleet) submitChange(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -174,7 +181,7 @@
 	return err
 }
 
-// waitHead waits until the store answers and returns what it has.
+// waitHead waits until the store answers and returns its head record.
 func (fl *fleet) waitHead(ctx context.Context) (*accept.Head, error) {
 	for {
 		hd, _, err := accept.Load(ctx, fl.kv)
@@ -206,7 +213,8 @@
 	return err
 }
 
-// writeSettings writes those settings of a daemon that it can take while it runs.
+// writeSettings writes the settings of a daemon that it can reload while it runs, with a random
+// sample of the access log.
 func (fl *fleet) writeSettings(v *vm) error {
 	text := fmt.Sprintf("drain-timeout: 6s\naccess-log-sample: %d\n", rand.IntN(2))
 	return os.WriteFile(v.settingsFile, []byte(text), 0o600)
@@ -234,10 +242,11 @@
 	}
 }
 
-// statusTimeout bounds the asking of one daemon. Many processes on a busy machine answer late.
+// statusTimeout bounds a status request to one daemon. With many processes on a busy machine,
+// daemons answer late.
 const statusTimeout = 5 * time.Second
 
-// heldVersion asks a daemon which version it holds, 0 where it does not answer.
+// heldVersion returns the version that a daemon holds, or 0 if it does not answer.
 func heldVersion(ctx context.Context, v *vm) uint64 {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -261,7 +270,8 @@
 	return vars.Daemon.Held
 }
 
-// checkVersions makes the checks of the versions that daemons hold.
+// checkVersions checks that no daemon holds an older version than before, and returns the
+// lowest version that a daemon holds: 0 if one does not answer.
 func (fl *fleet) checkVersions(ctx context.Context) (lowest uint64) {
 	lowest = fl.newestVersion.Load()
 	all := fl.all()
@@ -298,7 +308,7 @@
 	return nil
 }
 
-// runStep does what a step says.
+// runStep executes a step.
 func (fl *fleet) runStep(ctx context.Context, st Step) error {
 	v := fl.vms[st.VM%len(fl.vms)]
 	switch st.Kind {
@@ -324,7 +334,7 @@
 	case PauseDaemon:
 		fl.pause(fl.daemonOf(v), st.Duration, fl.stops.beginFault())
 	case PausePlatform:
-		// A store that is away excuses no lost request.
+		// No fault is recorded: requests must not be lost while the store is unavailable.
 		fl.pause(fl.platform, st.Duration, func() {})
 	case BackUpPlatform:
 		fl.platform.signal(syscall.SIGUSR1)
@@ -342,7 +352,8 @@
 	return nil
 }
 
-// recordDisruption records what begins with a step, until the function that it returns is called.
+// recordDisruption records the stop or fault that begins with a step. It lasts until end is
+// called.
 func (fl *fleet) recordDisruption(v *vm, kind Kind) (end func()) {
 	switch kind {
 	case StopDaemon:
@@ -360,8 +371,8 @@
 	return v.daemon
 }
 
-// restart ends a process of a VM and starts another one after a while, unless the plan has
-// ended it already. Then it calls ended.
+// restart ends a process of a VM with sig and starts a new one after downtime, unless the
+// process is down already. It calls onDone when it has finished.
 func (fl *fleet) restart(v *vm, down *bool, current func() *proc, sig syscall.Signal, downtime time.Duration, onDone func(), start func(*vm) error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -381,7 +392,7 @@
 	})
 }
 
-// pause stops a process for a while, then calls ended.
+// pause suspends a process with SIGSTOP, resumes it after length, and calls onDone.
 func (fl *fleet) pause(pr *proc, length time.Duration, onDone func()) {
 	pr.signal(syscall.SIGSTOP)
 	fl.wg.Go(func() {
--- a/internal/node/soak/plan.go
+++ b/internal/node/soak/plan.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Kind is what happens in a step of a plan.
+// Kind is the kind of a step.
 type Kind string
 
 // The kinds of steps.
@@ -27,16 +27,17 @@
 	RolloutBad      Kind = "roll-bad"
 )
 
-// Step is one thing that happens to one process.
+// Step is one action of a plan.
 type Step struct {
 	At   time.Duration `json:"at"`
 	Kind Kind          `json:"kind"`
-	// VM is the index of the VM, For how long it lasts, where the kind has either.
+	// VM is the index of the VM, Duration how long the step lasts, for the kinds that have
+	// one.
 	VM       int           `json:"vm,omitempty"`
 	Duration time.Duration `json:"for,omitempty"`
 }
 
-// String returns the step as it is printed.
+// String formats the step for the log.
 func (st Step) String() string {
 	text := fmt.Sprintf("%6.2fs %s", st.At.Seconds(), st.Kind)
 	switch st.Kind {
@@ -50,25 +51,25 @@
 	return text
 }
 
-// faults are the kinds that are drawn any number of times, planned those of them that
-// operators bring about.
+// faultKinds are the kinds of the random steps of GeneratePlan, plannedKinds those of
+// GeneratePlanned: the operator actions, with stops of daemons twice as likely as others.
 var (
 	faultKinds   = []Kind{KillDaemon, StopDaemon, ReloadDaemon, PauseDaemon, KillServer, DrainServer, PausePlatform, ChangeConfig}
 	plannedKinds = []Kind{StopDaemon, StopDaemon, ReloadDaemon, DrainServer, ChangeConfig}
 )
 
-// The times of a plan.
+// The timing of a plan.
 const (
-	// quietPeriod is without a fault at its beginning and end.
+	// quietPeriod has no random steps, at the beginning and at the end of a plan.
 	quietPeriod = 2 * time.Second
-	// rolloutDuration is the time that an order of a rollout gives.
+	// rolloutDuration is the duration that the order of the rollout states.
 	rolloutDuration = 12 * time.Second
-	// meanStepInterval is the mean time between two faults.
+	// meanStepInterval is the mean time between two random steps.
 	meanStepInterval = 1500 * time.Millisecond
 )
 
-// GeneratePlan returns the plan of a seed: a rollout, a store that comes back older, and faults in
-// series that overlap.
+// GeneratePlan returns the plan of a seed: a rollout, a restore of the platform from an older
+// backup, and random faults that may overlap.
 func GeneratePlan(seed uint64, vms int, length time.Duration) []Step {
 	rnd := rand.New(rand.NewPCG(seed, 11))
 	kind := RolloutGood
@@ -91,16 +92,16 @@
 	return steps
 }
 
-// The stops of a series.
+// Series of stops of several daemons.
 const (
-	// maxSeriesGap is the most time between two of them.
+	// maxSeriesGap bounds the time between two stops of a series.
 	maxSeriesGap = 800 * time.Millisecond
-	// seriesOdds is how likely a stop begins a series, as one in so many.
+	// seriesOdds is the number of stops of which one, on average, begins a series.
 	seriesOdds = 3
 )
 
-// GeneratePlanned returns the plan of a seed with what operators do alone: stops of daemons, one
-// or many in turn, reloads, replaced servers and changes, in series that overlap.
+// GeneratePlanned returns the plan of a seed with operator actions only: stops of one daemon or
+// of several in a row, reloads, replaced servers and configuration changes, which may overlap.
 func GeneratePlanned(seed uint64, vms int, length time.Duration) []Step {
 	rnd := rand.New(rand.NewPCG(seed, 12))
 	var steps []Step
--- a/internal/node/soak/plan_test.go
+++ b/internal/node/soak/plan_test.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// TestGeneratePlan: one seed gives one plan, whose steps are in order and within the run.
+// TestGeneratePlan checks that a seed always gives the same plan, that its steps are in order and
+// within the run, and that it has one rollout, one backup and one restore of the platform.
 func TestGeneratePlan(t *testing.T) {
 	const length = 20 * time.Second
 	for seed := range uint64(50) {
 		plan := GeneratePlan(seed, 6, length)
 		if !slices.Equal(plan, GeneratePlan(seed, 6, length)) {
-			t.Fatalf("seed %d gives two plans", seed)
+			t.Fatalf("seed %d gives two different plans", seed)
 		}
 		kinds := map[Kind]int{}
 		for i, st := range plan {
@@ -22,20 +23,20 @@
 			}
 		}
 		if kinds[RolloutGood]+kinds[RolloutBad] != 1 || kinds[BackUpPlatform] != 1 || kinds[RestorePlatform] != 1 {
-			t.Errorf("seed %d: %v", seed, kinds)
+			t.Errorf("seed %d has the steps %v", seed, kinds)
 		}
 	}
 }
 
-// TestGeneratePlanned guards against faults among what operators do, and against plans without
-// stops that overlap.
+// TestGeneratePlanned guards against faults in a plan of operator actions, and against plans that
+// hardly ever stop several daemons in a short time.
 func TestGeneratePlanned(t *testing.T) {
 	const length = 20 * time.Second
 	overlaps := 0
 	for seed := range uint64(50) {
 		plan := GeneratePlanned(seed, 9, length)
 		if !slices.Equal(plan, GeneratePlanned(seed, 9, length)) {
-			t.Fatalf("seed %d gives two plans", seed)
+			t.Fatalf("seed %d gives two different plans", seed)
 		}
 		var last time.Duration
 		for i, st := range plan {
@@ -51,11 +52,11 @@
 		}
 	}
 	if overlaps < 50 {
-		t.Errorf("%d stops within %s of the one before, in 50 plans", overlaps, maxSeriesGap)
+		t.Errorf("%d stops within %s of the previous one in 50 plans, want at least 50", overlaps, maxSeriesGap)
 	}
 }
 
-// TestResultSet guards against a check that saw no case and passes.
+// TestResultSet guards against a check that passes although no case was recorded.
 func TestResultSet(t *testing.T) {
 	rs := newResultSet(IntactResponse, AtMostOnce)
 	rs.record(IntactResponse, "")
@@ -73,7 +74,8 @@
 	}
 }
 
-// TestRequestLog guards against checks of requests that overlook what they are for.
+// TestRequestLog guards against missing a request that ran twice, or one that ran although its
+// caller was told that it had not.
 func TestRequestLog(t *testing.T) {
 	var rl requestLog
 	for _, id := range []string{"once", "twice", "twice", "refused"} {
@@ -92,7 +94,8 @@
 	}
 }
 
-// TestStopTracker guards against a check of stops that counts what is no loss, or passes one over.
+// TestStopTracker guards against attributing to the stop of a daemon a failure that has another
+// cause, and against missing a request that the stop interrupted.
 func TestStopTracker(t *testing.T) {
 	began := time.Now()
 	at := func(s int) time.Time { return began.Add(time.Duration(s) * time.Second) }
@@ -108,11 +111,11 @@
 		{"answered", callRecord{vm: stopped, began: at(11), end: at(12)}, nil, true, 1, false},
 		{"lost", callRecord{vm: stopped, began: at(11), end: at(12), failure: "EOF"}, nil, true, 1, true},
 		{"lost and never run", callRecord{vm: stopped, began: at(11), end: at(12), failure: "EOF"}, nil, false, 0, false},
-		{"lost when its time was over", callRecord{vm: stopped, began: at(11), end: at(11).Add(requestTimeout), failure: "504"}, nil, true, 0, false},
-		{"answered late", callRecord{vm: stopped, began: at(11), end: at(14)}, nil, true, 1, false},
+		{"lost after its timeout", callRecord{vm: stopped, began: at(11), end: at(11).Add(requestTimeout), failure: "504"}, nil, true, 0, false},
+		{"answered after its timeout", callRecord{vm: stopped, began: at(11), end: at(14)}, nil, true, 1, false},
 		{"at another VM", callRecord{vm: other, began: at(11), end: at(12), failure: "EOF"}, nil, true, 0, false},
 		{"before the stop", callRecord{vm: stopped, began: at(9), end: at(12), failure: "EOF"}, nil, true, 0, false},
-		{"a fault beside", callRecord{vm: stopped, began: at(11), end: at(12), failure: "EOF"}, []*interval{{from: at(11)}}, true, 0, false},
+		{"a fault meanwhile", callRecord{vm: stopped, began: at(11), end: at(12), failure: "EOF"}, []*interval{{from: at(11)}}, true, 0, false},
 		{"a fault shortly before", callRecord{vm: stopped, began: at(11), end: at(12), failure: "EOF"}, []*interval{{from: at(1), to: at(9)}}, true, 0, false},
 		{"a fault long before", callRecord{vm: stopped, began: at(11), end: at(12), failure: "EOF"}, []*interval{{from: at(1), to: at(7)}}, true, 1, true},
 		{"a fault later", callRecord{vm: stopped, began: at(11), end: at(12), failure: "EOF"}, []*interval{{from: at(13)}}, true, 1, true},
--- a/internal/node/soak/proc.go
+++ b/internal/node/soak/proc.go
@@ -12,13 +12,13 @@
 	"syscall"
 )
 
-// proc is a process that the soak started.
+// proc is a process that a launcher started.
 type proc struct {
 	cmd  *exec.Cmd
 	done chan struct{}
 }
 
-// launcher starts processes of one binary, with their output in files of a directory.
+// launcher starts processes of one executable and logs their output to files in a directory.
 type launcher struct {
 	ctx    context.Context
 	binary string
@@ -29,7 +29,7 @@
 	procs   []*proc
 }
 
-// start starts a process. Each line that it prints is given to lines, if that is set.
+// start starts a process and calls onLine, if set, for each line of its standard output.
 func (la *launcher) start(name string, onLine func(string), args ...string) (*proc, error) {
 	la.mu.Lock()
 	defer la.mu.Unlock()
@@ -56,23 +56,23 @@
 				onLine(sc.Text())
 			}
 		}
-		// How it ended stands in its log; being killed is part of the plan.
+		// The process's own log shows why it exited; an exit by a signal is part of the plan.
 		_ = pr.cmd.Wait()
 	}()
 	la.procs = append(la.procs, pr)
 	return pr, nil
 }
 
-// signal sends a signal; a process that has ended takes none.
+// signal sends a signal. It has no effect on a process that has exited.
 func (pr *proc) signal(sig syscall.Signal) { _ = pr.cmd.Process.Signal(sig) }
 
-// terminate sends a signal and waits for the end of the process.
+// terminate sends a signal and waits until the process has exited.
 func (pr *proc) terminate(sig syscall.Signal) {
 	pr.signal(sig)
 	<-pr.done
 }
 
-// exited reports whether the process has ended.
+// exited reports whether the process has exited.
 func (pr *proc) exited() bool {
 	select {
 	case <-pr.done:
@@ -82,7 +82,7 @@
 	}
 }
 
-// killAll kills all processes that are left.
+// killAll kills all processes that still run.
 func (la *launcher) killAll() {
 	la.mu.Lock()
 	defer la.mu.Unlock()
--- a/internal/node/soak/soak.go
+++ b/internal/node/soak/soak.go
@@ -13,21 +13,22 @@
 	"github.com/flamingomast/flamingomast/internal/roll/order"
 )
 
-// Options sets a run.
+// Options configures a run.
 type Options struct {
-	// Binary is the command whose processes run, Dir where their output goes.
+	// Binary is the executable to start, Dir the directory for the settings and logs of the
+	// processes.
 	Binary, Dir string
 	Seed        uint64
 	For         time.Duration
 	VMs         int
-	// Planned draws only what operators do, in place of faults.
+	// Planned generates only operator actions, without faults.
 	Planned bool
-	// Plan replaces the one that is drawn from the seed.
+	// Plan replaces the plan that is generated from the seed.
 	Plan []Step
 	Log  *slog.Logger
 }
 
-// Report is what a run ends with.
+// Report is the outcome of a run.
 type Report struct {
 	Seed    uint64   `json:"seed"`
 	Plan    []Step   `json:"plan"`
@@ -47,16 +48,17 @@
 	return list
 }
 
-// The bounds of a rollout of a bad version.
+// Since the start of its rollout, a bad version may get exposureShare of the requests and
+// exposureSlack requests more.
 const (
 	exposureShare = 0.1
 	exposureSlack = 50
 )
 
-// recoveryTimeout is how long after the last fault all must be well again.
+// recoveryTimeout bounds each wait for recovery after the last fault.
 const recoveryTimeout = 20 * time.Second
 
-// Run starts a mesh, plays a plan, and reports what the checks found.
+// Run starts a mesh, executes a plan, and reports the results of the checks.
 func Run(ctx context.Context, op Options) (*Report, error) {
 	switch {
 	case op.Plan != nil:
@@ -105,10 +107,11 @@
 	return re, err
 }
 
-// pollInterval is how often the versions that daemons hold are looked at.
+// pollInterval is the interval at which daemons, and a store that does not answer, are polled.
 const pollInterval = 200 * time.Millisecond
 
-// runPlan plays the steps at their times.
+// runPlan executes the steps at their times, and checks the daemons' versions in between and
+// until the run is over.
 func (fl *fleet) runPlan(ctx context.Context) error {
 	began := time.Now()
 	tick := time.NewTicker(pollInterval)
@@ -135,7 +138,8 @@
 	return nil
 }
 
-// checkRecovery waits until all is well after the last fault.
+// checkRecovery submits a change after the last fault, waits until every daemon holds it, and
+// then until every VM serves requests.
 func (fl *fleet) checkRecovery(ctx context.Context) {
 	failure := ""
 	if err := fl.submitChange(ctx); err != nil {
@@ -145,7 +149,7 @@
 	}
 	fl.results.record(Convergence, failure)
 	for _, v := range fl.vms {
-		failure := fmt.Sprintf("%s serves nothing", v.name)
+		failure := fmt.Sprintf("%s does not serve requests after the last fault", v.name)
 		for end := time.Now().Add(recoveryTimeout); time.Now().Before(end) && failure != ""; time.Sleep(pollInterval) {
 			rq := request{id: "settle-" + v.name, method: http.MethodGet, host: service}
 			if re := send(ctx, http.DefaultClient, v, rq); re.err == nil && re.status == http.StatusOK {
@@ -156,7 +160,7 @@
 	}
 }
 
-// startRollout starts the servers of the new version and orders the rollout.
+// startRollout orders the rollout and starts the servers of the new version.
 func (fl *fleet) startRollout(ctx context.Context, bad bool) error {
 	if bad {
 		fl.failureRate = "0.4"
@@ -182,7 +186,7 @@
 	return nil
 }
 
-// checkRollout checks how the rollout ended and returns its state.
+// checkRollout checks how the rollout ended and returns its final state.
 func (fl *fleet) checkRollout(ctx context.Context) string {
 	ent, err := fl.kv.Get(ctx, order.StatusKey(service))
 	if err != nil || !ent.Revision.Exists() {
@@ -194,18 +198,18 @@
 	}
 	failure := ""
 	if st == canary.Complete {
-		failure = "a bad version is complete"
+		failure = "the rollout of a bad version completed"
 	}
 	fl.results.record(BadVersionStopped, failure)
 	failure = ""
 	if limit := int(exposureShare*float64(fl.requests.allRuns)) + exposureSlack; fl.requests.targetRuns > limit {
-		failure = fmt.Sprintf("%d of %d requests reached a bad version, %d may", fl.requests.targetRuns, fl.requests.allRuns, limit)
+		failure = fmt.Sprintf("%d of %d requests reached a bad version; the limit is %d", fl.requests.targetRuns, fl.requests.allRuns, limit)
 	}
 	fl.results.record(BadVersionExposure, failure)
 	return st.String()
 }
 
-// checkExits looks for processes that ended though no step ended them.
+// checkExits checks that no process exited unless a step ended it.
 func (fl *fleet) checkExits() {
 	for _, v := range fl.all() {
 		for _, pr := range []*proc{v.daemon, v.server} {
@@ -214,7 +218,7 @@
 			}
 			failure := ""
 			if pr.exited() {
-				failure = v.name + ": a process ended by itself"
+				failure = v.name + ": a process exited unexpectedly"
 			}
 			fl.results.record(NoUnexpectedExit, failure)
 		}
--- a/internal/node/soak/stops.go
+++ b/internal/node/soak/stops.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// faultMargin is how long before a request no fault may have been for its loss to be
-	// laid on a stop.
+	// faultMargin is how long after a fault the failure of a new request is not yet
+	// attributed to the stop of a daemon.
 	faultMargin = 3 * time.Second
-	// stopMargin is how long after the end of a daemon a request still counts as taken
-	// around its stop.
+	// stopMargin is how long after a stopped daemon has been replaced a request still counts
+	// as sent during the stop.
 	stopMargin = time.Second
 )
 
-// interval is a time in which something lasts; without an end it goes on.
+// interval is a period of time. It has not ended yet if to is zero.
 type interval struct{ from, to time.Time }
 
-// overlaps reports whether the span has a moment in common with another one.
+// overlaps reports whether the interval has a moment in common with the one that is given.
 func (iv *interval) overlaps(from, to time.Time) bool {
 	return !iv.from.After(to) && (iv.to.IsZero() || !iv.to.Before(from))
 }
@@ -29,20 +29,22 @@
 	id         string
 	vm         *vm
 	began, end time.Time
-	// failure says how it ended without a whole answer of a server, empty for one with it.
+	// failure describes how the request ended without a complete response of a backend
+	// server; it is empty for one that got it.
 	failure string
 }
 
-// stopTracker knows when daemons were stopped and what callers got meanwhile.
+// stopTracker records when daemons were stopped, when there were faults, and the requests of
+// callers.
 type stopTracker struct {
 	mu    sync.Mutex
 	stops map[*vm][]*interval
-	// faults are the times of what nobody planned.
+	// faults are the periods of faults other than planned stops.
 	faults []*interval
 	calls  []callRecord
 }
 
-// beginStop records that a VM's daemon is stopped from now until end is called.
+// beginStop records that a VM's daemon is stopped from now until stopMargin after end is called.
 func (st *stopTracker) beginStop(v *vm) (end func()) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -76,8 +78,9 @@
 	st.calls = append(st.calls, cr)
 }
 
-// check checks the requests that daemons took around their stops, without a fault beside,
-// and that a server ran. One that ended when its caller's time was over was not cut off.
+// check checks the requests that were sent to a daemon during its stop, with no fault near them
+// in time, and that a backend server ran. A request that failed after requestTimeout ran out of
+// its caller's time and was not interrupted by the stop.
 func (st *stopTracker) check(rs *resultSet, ran func(id string) bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -91,7 +94,7 @@
 		rs.require(GracefulStop)
 		failure := ""
 		if cr.failure != "" {
-			failure = fmt.Sprintf("%s at %s, taken at %s, after %v: %s", cr.id, cr.vm.name, cr.began.Format(time.StampMilli), cr.end.Sub(cr.began), cr.failure)
+			failure = fmt.Sprintf("%s at %s, sent at %s, failed after %v: %s", cr.id, cr.vm.name, cr.began.Format(time.StampMilli), cr.end.Sub(cr.began), cr.failure)
 		}
 		rs.record(GracefulStop, failure)
 	}
