--- a/cmd/flamingomast/process_test.go
+++ b/cmd/flamingomast/process_test.go
@@ -317,7 +317,7 @@
 	me.vms[1].daemon.signal(syscall.SIGSTOP)
 	eventually(t, "the others see the failure domain of the frozen daemon as unreachable", func() bool {
 		st, err := me.vms[2].status()
-		return err == nil && st.Domains[1].Cut
+		return err == nil && st.Domains[1].Unreachable
 	})
 	me.write("rules.yaml", "classes: [{name: confirm, share: 50}]\n")
 	out, code := run(t, "apply", "--platform", me.platform, "--daemon", me.vms[0].admin, "--base", "1", "--wait", "2s", me.dir)
--- a/internal/conf/accept/accept_test.go
+++ b/internal/conf/accept/accept_test.go
@@ -150,7 +150,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			st := stand.New()
 			submit(t, st.Store(), Submission{ID: "0", Content: mesh(t, map[string]int{"booking": 1})})
-			st.SetFaults(stand.Faults{LoseAnswers: lost})
+			st.SetFaults(stand.Faults{LoseResponses: lost})
 			res := submit(t, st.Store(), Submission{ID: "1", Base: 1, Content: mesh(t, map[string]int{"booking": 2})})
 			if res.Entry.Version != 2 {
 				t.Errorf("%d answers lost: version %d, want 2", lost, res.Entry.Version)
@@ -201,7 +201,7 @@
 		var faults []stand.Faults
 		for range rapid.IntRange(0, 4).Draw(rt, "faults") {
 			faults = append(faults, stand.Faults{
-				Down: rapid.Bool().Draw(rt, "down"), LoseAnswers: rapid.IntRange(0, 3).Draw(rt, "lost"),
+				Down: rapid.Bool().Draw(rt, "down"), LoseResponses: rapid.IntRange(0, 3).Draw(rt, "lost"),
 				Delay: time.Duration(rapid.IntRange(0, 300).Draw(rt, "delay")) * time.Millisecond,
 			})
 		}
--- a/internal/conf/accept/head.go
+++ b/internal/conf/accept/head.go
@@ -141,9 +141,9 @@
 	return apply(nil, body, en)
 }
 
-// Step reads the content of an entry as a delta from base where the platform
+// ContentFrom reads the content of an entry as a delta from base where the platform
 // keeps one, else whole.
-func Step(ctx context.Context, kv store.Store, base *pack.Content, en Entry) (*pack.Content, error) {
+func ContentFrom(ctx context.Context, kv store.Store, base *pack.Content, en Entry) (*pack.Content, error) {
 	if base == nil {
 		return Content(ctx, kv, en)
 	}
@@ -162,7 +162,7 @@
 	if err != nil {
 		return nil, err
 	}
-	co, err := pack.Advance(base, body, want)
+	co, err := pack.ApplyEncoded(base, body, want)
 	if err != nil {
 		return nil, fmt.Errorf("accept: version %d: %w", en.Version, err)
 	}
--- a/internal/conf/accept/submit.go
+++ b/internal/conf/accept/submit.go
@@ -24,17 +24,17 @@
 	Content *pack.Content
 	Author  string
 	Commit  string
-	// Whole makes Content replace all that is in force at Base, and conflict
+	// NoRebase makes Content replace all that is in force at Base, and conflict
 	// with any version that was accepted since.
-	Whole bool
+	NoRebase bool
 	// Floor is the highest version that the fleet is known to hold.
 	Floor uint64
 	// Resume lets the next version follow Floor when the platform has lost
 	// versions that the fleet holds.
 	Resume bool
-	// Kept, if set, is told of an old key that could not be removed. It stays until the
+	// OnRemoveError, if set, is told of an old key that could not be removed. It stays until the
 	// platform's owner removes it, and harms nothing.
-	Kept func(key string, err error)
+	OnRemoveError func(key string, err error)
 }
 
 // Status is how a submission ended.
@@ -166,13 +166,13 @@
 	}
 	en := sm.entry(last, co)
 	if err := sm.write(ctx, &en, last, old, co); err != nil {
-		return Result{}, store.Is(err, store.TooLarge), err
+		return Result{}, store.IsKind(err, store.TooLarge), err
 	}
 	return sm.commit(ctx, hd, rev, en)
 }
 
 func isPlatform(err error) bool {
-	return store.Is(err, store.Unavailable) || store.Is(err, store.Unknown) || store.Is(err, store.Limited)
+	return store.IsKind(err, store.Unavailable) || store.IsKind(err, store.Unknown) || store.IsKind(err, store.RateLimited)
 }
 
 func (sm *submitter) entry(last Entry, co *pack.Content) Entry {
@@ -202,7 +202,7 @@
 	if sm.sub.Base == last.Version {
 		return sm.sub.Content, old, nil
 	}
-	if sm.sub.Whole {
+	if sm.sub.NoRebase {
 		return nil, nil, &ConflictError{Keys: []pack.Key{{Kind: "version", Name: fmt.Sprint(last.Version)}}, Base: sm.sub.Base, Theirs: last}
 	}
 	en, err := Find(ctx, sm.kv, hd, sm.sub.Base)
@@ -318,7 +318,7 @@
 	}
 	ok, _, err := sm.kv.Swap(ctx, store.Change{Key: HeadKey, Revision: rev, Value: value})
 	if err != nil {
-		sm.swapped = sm.swapped || store.Is(err, store.Unknown)
+		sm.swapped = sm.swapped || store.IsKind(err, store.Unknown)
 		return Result{}, false, err
 	}
 	if !ok {
@@ -353,8 +353,8 @@
 	if err == nil && ent.Revision.Exists() {
 		_, _, err = sm.kv.Swap(ctx, store.Change{Key: key, Revision: ent.Revision, Remove: true})
 	}
-	if err != nil && sm.sub.Kept != nil {
-		sm.sub.Kept(key, err)
+	if err != nil && sm.sub.OnRemoveError != nil {
+		sm.sub.OnRemoveError(key, err)
 	}
 }
 
@@ -368,7 +368,7 @@
 	}
 	_, err = Submit(ctx, kv, Submission{
 		ID: fmt.Sprintf("restore-%d-%.12s", version, co.Digest), Base: hd.Last.Version, Content: co, Author: "flamingomast",
-		Whole: true, Floor: version - 1, Resume: true,
+		NoRebase: true, Floor: version - 1, Resume: true,
 	})
 	return err
 }
--- a/internal/conf/decl/read.go
+++ b/internal/conf/decl/read.go
@@ -21,7 +21,7 @@
 func Read(dir string) (*Mesh, error) {
 	ents, err := os.ReadDir(dir)
 	if err != nil {
-		return nil, strict.Problems{{Pos: strict.Pos{File: dir}, What: err.Error(), Remedy: "name a directory that holds the declarations"}}
+		return nil, strict.Problems{{Pos: strict.Pos{File: dir}, Message: err.Error(), Remedy: "name a directory that holds the declarations"}}
 	}
 	var prs strict.Problems
 	files := map[string][]byte{}
--- a/internal/conf/pack/delta.go
+++ b/internal/conf/pack/delta.go
@@ -96,10 +96,10 @@
 	return next, nil
 }
 
-// Advance returns the content want that an encoded delta leads to from base. A
+// ApplyEncoded returns the content want that an encoded delta leads to from base. A
 // damaged delta, one for another base, or one that leads elsewhere is an error,
 // and base stays as it is.
-func Advance(base *Content, body []byte, want Digest) (*Content, error) {
+func ApplyEncoded(base *Content, body []byte, want Digest) (*Content, error) {
 	dt, err := Unmarshal(body)
 	if err != nil {
 		return nil, err
--- a/internal/conf/pack/history.go
+++ b/internal/conf/pack/history.go
@@ -28,9 +28,9 @@
 	}
 }
 
-// Body returns the encoded delta from the content base to the content next, if
+// EncodedDelta returns the encoded delta from the content base to the content next, if
 // both are known and next is the newest.
-func (hi *History) Body(base, next Digest) ([]byte, bool) {
+func (hi *History) EncodedDelta(base, next Digest) ([]byte, bool) {
 	hi.mu.Lock()
 	defer hi.mu.Unlock()
 	if hi.latest == nil || hi.latest.Digest != next {
@@ -49,8 +49,8 @@
 	return nil, false
 }
 
-// Whole returns the encoding of the newest content, if it is next.
-func (hi *History) Whole(next Digest) ([]byte, bool) {
+// EncodedContent returns the encoding of the newest content, if it is next.
+func (hi *History) EncodedContent(next Digest) ([]byte, bool) {
 	hi.mu.Lock()
 	defer hi.mu.Unlock()
 	if hi.latest == nil || hi.latest.Digest != next {
--- a/internal/conf/snap/many_test.go
+++ b/internal/conf/snap/many_test.go
@@ -43,7 +43,7 @@
 // BenchmarkManyRoutes compiles versions of 1,600 routes that differ in one of them.
 func BenchmarkManyRoutes(b *testing.B) {
 	one := manyRoutes(b, 0)
-	two, err := pack.Advance(one, pack.Marshal(pack.Diff(one, manyRoutes(b, 1))), manyRoutes(b, 1).Digest)
+	two, err := pack.ApplyEncoded(one, pack.Marshal(pack.Diff(one, manyRoutes(b, 1))), manyRoutes(b, 1).Digest)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/conf/snap/snap.go
+++ b/internal/conf/snap/snap.go
@@ -85,17 +85,17 @@
 // Target is a service with the part of the requests up to which it takes them,
 // in units of 1/Total.
 type Target struct {
-	Service *Service
-	UpTo    int
+	Service          *Service
+	CumulativeWeight int
 }
 
-// Total returns the sum of the weights of a route's targets.
-func (rt *Route) Total() int { return rt.Targets[len(rt.Targets)-1].UpTo }
+// TotalWeight returns the sum of the weights of a route's targets.
+func (rt *Route) TotalWeight() int { return rt.Targets[len(rt.Targets)-1].CumulativeWeight }
 
 // Target returns the service for a draw from 0 to Total-1.
 func (rt *Route) Target(draw int) *Service {
 	for i := range rt.Targets {
-		if draw < rt.Targets[i].UpTo {
+		if draw < rt.Targets[i].CumulativeWeight {
 			return rt.Targets[i].Service
 		}
 	}
@@ -141,8 +141,8 @@
 	de pack.Decoder
 }
 
-// Forget drops what the compiler keeps of the last version.
-func (cp *Compiler) Forget() { cp.de.Forget() }
+// Reset drops what the compiler keeps of the last version.
+func (cp *Compiler) Reset() { cp.de.Forget() }
 
 // Compile does what the function of that name does.
 func (cp *Compiler) Compile(version uint64, co *pack.Content, domain string) (*Snapshot, error) {
@@ -213,7 +213,7 @@
 		sv := &Service{Service: dsv, Index: len(sn.ServiceList), Spill: pl.Spill, Tiers: sn.tiers(pl.Order, regions)}
 		sv.route = &Route{
 			Name:     "service " + sv.Name,
-			Targets:  []Target{{Service: sv, UpTo: 1}},
+			Targets:  []Target{{Service: sv, CumulativeWeight: 1}},
 			Class:    classes[sv.Class],
 			Deadline: deadline(0, sv),
 			Repeat:   decl.RepeatSafe,
@@ -290,7 +290,7 @@
 		sum, from := 0, len(targets)
 		for _, tg := range drt.To {
 			sum += tg.Weight
-			targets = append(targets, Target{Service: sn.Services[tg.Service], UpTo: sum})
+			targets = append(targets, Target{Service: sn.Services[tg.Service], CumulativeWeight: sum})
 		}
 		rt.Targets = targets[from:len(targets):len(targets)]
 		rt.Class = classes[drt.Class]
--- a/internal/conf/snap/snap_test.go
+++ b/internal/conf/snap/snap_test.go
@@ -91,7 +91,7 @@
 	}
 	rt := sn.Match("GET", "x.example", "/", nil)
 	counts := map[string]int{}
-	for draw := range rt.Total() {
+	for draw := range rt.TotalWeight() {
 		counts[rt.Target(draw).Name]++
 	}
 	if diff := cmp.Diff(map[string]int{"booking": 90, "canary": 10}, counts); diff != "" {
--- a/internal/conf/strict/problem.go
+++ b/internal/conf/strict/problem.go
@@ -26,17 +26,17 @@
 
 // Problem is one thing that is wrong with an input, and how to mend it.
 type Problem struct {
-	Pos    Pos
-	What   string
-	Remedy string
+	Pos     Pos
+	Message string
+	Remedy  string
 }
 
 // Error returns the problem on one line.
 func (pr Problem) Error() string {
 	if pr.Remedy == "" {
-		return fmt.Sprintf("%s: %s", pr.Pos, pr.What)
+		return fmt.Sprintf("%s: %s", pr.Pos, pr.Message)
 	}
-	return fmt.Sprintf("%s: %s; %s", pr.Pos, pr.What, pr.Remedy)
+	return fmt.Sprintf("%s: %s; %s", pr.Pos, pr.Message, pr.Remedy)
 }
 
 // Problems lists all that is wrong with an input.
@@ -53,7 +53,7 @@
 
 // Add appends a problem.
 func (prs *Problems) Add(pos Pos, what, remedy string) {
-	*prs = append(*prs, Problem{Pos: pos, What: what, Remedy: remedy})
+	*prs = append(*prs, Problem{Pos: pos, Message: what, Remedy: remedy})
 }
 
 // Err returns the problems sorted by position, or nil when there are none.
--- a/internal/mesh/board/board.go
+++ b/internal/mesh/board/board.go
@@ -26,17 +26,17 @@
 	Members Cell[member.View]
 	// Self is the daemon's own record.
 	Self Cell[member.Record]
-	// Forerunner is what peers keep of the VM's former process; nil until a peer
+	// Predecessor is what peers keep of the VM's former process; nil until a peer
 	// has answered.
-	Forerunner Cell[Forerunner]
+	Predecessor Cell[Predecessor]
 	// Links says whom the daemon is connected to, and whether it is a relay.
 	Links Cell[Links]
-	// Cut holds the failure domains that the relay has no link to.
-	Cut Cell[CutSet]
+	// Unreachable holds the failure domains that the relay has no link to.
+	Unreachable Cell[DomainSet]
 	// Platform says how the platform last answered.
 	Platform Cell[Platform]
 	// Epoch is the newest epoch of the platform's store that is known here or at peers.
-	// Only EnterEpoch writes it.
+	// Only AdvanceEpoch writes it.
 	Epoch Cell[store.Epoch]
 	// Rollouts has the newest rollout of each service.
 	Rollouts Cell[canary.View]
@@ -46,10 +46,10 @@
 	Replaced Cell[member.Record]
 }
 
-// Forerunner is what peers keep of a VM's former process.
-type Forerunner struct {
+// Predecessor is what peers keep of a VM's former process.
+type Predecessor struct {
 	// Leaver is empty as long as none of them knows of one.
-	member.Leaver
+	member.Departure
 	// Peers names those that have answered.
 	Peers []string
 }
@@ -80,8 +80,8 @@
 	Peers []string
 }
 
-// CutSet is a set of failure domains.
-type CutSet map[string]bool
+// DomainSet is a set of failure domains.
+type DomainSet map[string]bool
 
 // Platform says how the platform last answered.
 type Platform struct {
@@ -143,9 +143,9 @@
 	return installed
 }
 
-// EnterEpoch takes an epoch of the platform's store if it is newer than the one known. It
+// AdvanceEpoch takes an epoch of the platform's store if it is newer than the one known. It
 // reports whether it was, and whether an earlier one was known.
-func (bd *Board) EnterEpoch(ep store.Epoch) (entered, again bool) {
+func (bd *Board) AdvanceEpoch(ep store.Epoch) (entered, again bool) {
 	bd.Epoch.Update(func(cur *store.Epoch) *store.Epoch {
 		if entered = ep > 0 && (cur == nil || ep > *cur); !entered {
 			return cur
--- a/internal/mesh/ctrl/directory.go
+++ b/internal/mesh/ctrl/directory.go
@@ -221,7 +221,7 @@
 	if rg.lease == (store.LeaseID{}) {
 		return false
 	}
-	gone := store.Is(rg.nd.cf.Store.Renew(ctx, rg.lease), store.Gone)
+	gone := store.IsKind(rg.nd.cf.Store.Renew(ctx, rg.lease), store.LeaseNotFound)
 	if gone {
 		rg.nd.log.Warn("directory-lease-lapsed")
 		rg.lease = store.LeaseID{}
--- a/internal/mesh/ctrl/ends.go
+++ b/internal/mesh/ctrl/ends.go
@@ -24,9 +24,9 @@
 	firstEndsBurst = 200
 )
 
-// ReportEnds tells all daemons of requests that a backend server ended under, or that
+// ReportCrashes tells all daemons of requests that a backend server ended under, or that
 // were answered since.
-func (nd *Node) ReportEnds(list []poison.Report) { nd.handleCrashReports(nil, list) }
+func (nd *Node) ReportCrashes(list []poison.Report) { nd.handleCrashReports(nil, list) }
 
 // handleCrashReports keeps reports of a peer, or this daemon's own, and passes on what is new.
 // Reports reach all daemons as records do, by relays.
@@ -44,7 +44,7 @@
 	tell := nd.shouldAnnounce(news, was, is)
 	nd.eachPeer(func(pr *link.Peer) {
 		if pr != from {
-			pr.SendEnds(tell)
+			pr.SendCrashReports(tell)
 		}
 	})
 	keys := map[ident.Key]bool{}
@@ -52,7 +52,7 @@
 		keys[re.Key] = true
 	}
 	for key := range keys {
-		nd.recordPoison(key, was.Ends(key), is.Ends(key))
+		nd.recordPoison(key, was.CrashCount(key), is.CrashCount(key))
 	}
 }
 
@@ -63,9 +63,9 @@
 	left := 0
 	for _, re := range news {
 		switch {
-		case is.Ends(re.Key) > 1:
-			tell = append(tell, is.Of(re.Key)...)
-		case was.Ends(re.Key) > 1, nd.firstEnds.Allow():
+		case is.CrashCount(re.Key) > 1:
+			tell = append(tell, is.ReportsOf(re.Key)...)
+		case was.CrashCount(re.Key) > 1, nd.firstEnds.Allow():
 			tell = append(tell, re)
 		default:
 			left++
@@ -82,11 +82,11 @@
 func (nd *Node) recordPoison(key ident.Key, was, is int) {
 	event, level := logs.PoisonFound, slog.LevelWarn
 	switch {
-	case (was < poison.Most) == (is < poison.Most):
+	case (was < poison.RefuseThreshold) == (is < poison.RefuseThreshold):
 		return
-	case is < poison.Most:
+	case is < poison.RefuseThreshold:
 		event, level = logs.PoisonCleared, slog.LevelInfo
 	}
-	nd.log.LogAttrs(context.Background(), level, event, slog.String(logs.Key, key.String()), slog.Int(logs.Ends, is))
+	nd.log.LogAttrs(context.Background(), level, event, slog.String(logs.RequestKey, key.String()), slog.Int(logs.Crashes, is))
 	nd.keeper.due.Store(true)
 }
--- a/internal/mesh/ctrl/ends_test.go
+++ b/internal/mesh/ctrl/ends_test.go
@@ -22,7 +22,7 @@
 func (fl *fleet) endUnder(vms ...string) {
 	for _, vm := range vms {
 		tn := fl.nodes[vm]
-		tn.ReportEnds([]poison.Report{{Head: uint64(deadly), Key: deadly, End: poison.End(tn.Board.Self.Get().Nonce), At: time.Now()}})
+		tn.ReportCrashes([]poison.Report{{Head: uint64(deadly), Key: deadly, Crash: poison.CrashID(tn.Board.Self.Get().Nonce), At: time.Now()}})
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -41,7 +41,7 @@
 func (fl *fleet) threeVMs(rank int) (list []string) {
 	of := map[string]int{}
 	for _, vm := range fl.ms.VMs {
-		if of[vm.Domain]++; of[vm.Domain] == rank+1 && len(list) < poison.Most {
+		if of[vm.Domain]++; of[vm.Domain] == rank+1 && len(list) < poison.RefuseThreshold {
 			list = append(list, vm.Name)
 		}
 	}
@@ -134,13 +134,13 @@
 				time.Sleep(5 * time.Second)
 				var side []string
 				for _, vm := range fl.ms.VMs {
-					if (vm.Domain == cut) == behind && len(side) < poison.Most {
+					if (vm.Domain == cut) == behind && len(side) < poison.RefuseThreshold {
 						side = append(side, vm.Name)
 					}
 				}
 				fl.endUnder(side...)
 				t.Logf("after %s", fl.waitFor("both sides know of three ends", newsLimit, func() bool { return fl.ignorant() == "" }))
-				fl.nw.SetCut(nil)
+				fl.nw.SetPartition(nil)
 				time.Sleep(10 * time.Second)
 			})
 		})
@@ -173,9 +173,9 @@
 				var list []poison.Report
 				for range slots {
 					key++
-					list = append(list, poison.Report{Head: key, Key: ident.Key(key), End: poison.End(key / slots), At: time.Now()})
+					list = append(list, poison.Report{Head: key, Key: ident.Key(key), Crash: poison.CrashID(key / slots), At: time.Now()})
 				}
-				fl.nodes[vm.Name].ReportEnds(list)
+				fl.nodes[vm.Name].ReportCrashes(list)
 			}
 			time.Sleep(every)
 		}
--- a/internal/mesh/ctrl/epoch.go
+++ b/internal/mesh/ctrl/epoch.go
@@ -36,12 +36,12 @@
 // daemons had written, so each rewrites its own keys: relays their directory entries and
 // leases, the daemon beside a draining server its drain, followers the shared keys.
 func (nd *Node) enterEpoch(ep store.Epoch) {
-	entered, again := nd.Board.EnterEpoch(ep)
+	entered, again := nd.Board.AdvanceEpoch(ep)
 	if !entered {
 		return
 	}
 	nd.eachPeer(func(pr *link.Peer) {
-		pr.Next(func(pk *wirepb.Packet) { pk.Epoch = int64(ep) })
+		pr.UpdateNext(func(pk *wirepb.Packet) { pk.Epoch = int64(ep) })
 	})
 	if !again {
 		nd.log.Info("store-epoch", slog.Int64("epoch", int64(ep)))
@@ -52,7 +52,7 @@
 	}
 	nd.log.Warn("store-epoch", slog.Int64("epoch", int64(ep)))
 	nd.keeper.due.Store(true)
-	nd.cf.StoreAnswers()
+	nd.cf.OnNewEpoch()
 	select {
 	case nd.reregister <- struct{}{}:
 	default:
--- a/internal/mesh/ctrl/epoch_test.go
+++ b/internal/mesh/ctrl/epoch_test.go
@@ -70,7 +70,7 @@
 	{name: "nothing else"},
 	{name: "it does so twice", after: func(fl *fleet, bk stand.Backup) {
 		time.Sleep(700 * time.Millisecond)
-		fl.st.ComeBack(bk)
+		fl.st.RestoreInNewEpoch(bk)
 	}},
 	{name: "it is slow", before: func(fl *fleet, _ stand.Backup) {
 		fl.st.SetFaults(stand.Faults{Delay: 200 * time.Millisecond})
@@ -105,7 +105,7 @@
 		fl.cutDomain("d2")
 	}, after: func(fl *fleet, _ stand.Backup) {
 		time.Sleep(4 * time.Second)
-		fl.nw.SetCut(nil)
+		fl.nw.SetPartition(nil)
 	}},
 }
 
@@ -137,21 +137,21 @@
 
 func playEpoch(fl *fleet, before, after func(*fleet, stand.Backup)) {
 	fl.t.Helper()
-	bk, since := fl.st.Backup(), fl.st.Newest()
+	bk, since := fl.st.Backup(), fl.st.LatestRevision()
 	v := fl.apply(sample.Change(fl.ms, 1), 1)
 	fl.waitHeld(v, convergeLimit)
 	var reports []poison.Report
-	for end := range poison.Most {
-		reports = append(reports, poison.Report{Head: 1, Key: 7, End: poison.End(end + 1), At: time.Now()})
+	for end := range poison.RefuseThreshold {
+		reports = append(reports, poison.Report{Head: 1, Key: 7, Crash: poison.CrashID(end + 1), At: time.Now()})
 	}
-	fl.nodes[fl.relays()[0]].ReportEnds(reports)
+	fl.nodes[fl.relays()[0]].ReportCrashes(reports)
 	time.Sleep(2 * time.Second)
 	content := fl.nodes[fl.relays()[0]].Board.Latest.Get().Content
 	if before != nil {
 		before(fl, bk)
 	}
 	calls := fl.calls()
-	fl.st.ComeBack(bk)
+	fl.st.RestoreInNewEpoch(bk)
 	back := time.Now()
 	if after != nil {
 		after(fl, bk)
@@ -203,7 +203,7 @@
 		fl.waitHeld(v, convergeLimit)
 		name := fl.domain("d2")[0]
 		fl.kill(name)
-		fl.st.ComeBack(bk)
+		fl.st.RestoreInNewEpoch(bk)
 		fl.cutDomain("d2")
 		fl.kill(fl.domain("d2")[1:]...)
 		fl.restart(name)
@@ -211,7 +211,7 @@
 		if got := fl.nodes[name].Board.HeldVersion(); got != 0 && got < v {
 			t.Errorf("holds version %d of the older copy, its VM held %d", got, v)
 		}
-		fl.nw.SetCut(nil)
+		fl.nw.SetPartition(nil)
 		fl.waitHeld(v, convergeLimit)
 	})
 }
@@ -226,7 +226,7 @@
 		fl.startAll()
 		fl.waitHeld(1, 20*time.Second)
 		time.Sleep(settleTime)
-		fl.st.LapseLeases()
+		fl.st.ExpireLeases()
 		bk := fl.st.Backup()
 		v := fl.apply(sample.Change(fl.ms, 1), 1)
 		fl.waitHeld(v, convergeLimit)
@@ -234,11 +234,11 @@
 		fl.kill(name)
 		fl.setPlatformCut("d0", "d1")
 		fl.cutDomain("d2")
-		fl.st.ComeBack(bk)
+		fl.st.RestoreInNewEpoch(bk)
 		fl.restart(name)
 		time.Sleep(3 * time.Second)
 		fl.setPlatformCut()
-		fl.nw.SetCut(nil)
+		fl.nw.SetPartition(nil)
 		fl.allKnown(v)
 	})
 }
--- a/internal/mesh/ctrl/fault_test.go
+++ b/internal/mesh/ctrl/fault_test.go
@@ -76,7 +76,7 @@
 
 // cutDomain cuts a failure domain off from all others.
 func (fl *fleet) cutDomain(domain string) {
-	fl.nw.SetCut(func(a, b *memnet.Host) bool { return (a.Domain == domain) != (b.Domain == domain) })
+	fl.nw.SetPartition(func(a, b *memnet.Host) bool { return (a.Domain == domain) != (b.Domain == domain) })
 }
 
 // allKnown waits until the fleet is whole again: all VMs current and known.
@@ -146,7 +146,7 @@
 					}
 				}
 				fl.setPlatformCut()
-				fl.nw.SetCut(nil)
+				fl.nw.SetPartition(nil)
 				fl.allKnown(v)
 			})
 		})
@@ -163,7 +163,7 @@
 		if got := fl.behind(1); got != nil {
 			fl.t.Errorf("behind during the outage: %v", got)
 		}
-		fl.st.SetFaults(stand.Faults{Delay: 2 * time.Second, LoseAnswers: 5})
+		fl.st.SetFaults(stand.Faults{Delay: 2 * time.Second, LoseResponses: 5})
 		began := time.Now()
 		v := fl.apply(sample.Change(fl.ms, 5), 1)
 		accepted := time.Since(began)
@@ -213,7 +213,7 @@
 // directory is empty for a moment; daemons that start must still find relays.
 func TestLeaseLapses(t *testing.T) {
 	scenario(t, func(fl *fleet) {
-		fl.st.LapseLeases()
+		fl.st.ExpireLeases()
 		v := fl.apply(sample.Change(fl.ms, 8), 1)
 		name := fl.domain("d1")[4]
 		fl.kill(name)
@@ -329,7 +329,7 @@
 func TestFrozenHosts(t *testing.T) {
 	scenario(t, func(fl *fleet) {
 		frozen := fl.relaysOf("d0")
-		fl.nw.SetCut(func(a, b *memnet.Host) bool {
+		fl.nw.SetPartition(func(a, b *memnet.Host) bool {
 			return slices.Contains(frozen, strings.TrimSuffix(a.Addr, ":7000")) != slices.Contains(frozen, strings.TrimSuffix(b.Addr, ":7000"))
 		})
 		v := fl.apply(sample.Change(fl.ms, 11), 1)
@@ -337,7 +337,7 @@
 			return slices.Equal(fl.behind(v), fl.behind(v)) && len(slices.DeleteFunc(fl.behind(v), func(n string) bool { return slices.Contains(frozen, n) })) == 0
 		})
 		time.Sleep(30 * time.Second)
-		fl.nw.SetCut(nil)
+		fl.nw.SetPartition(nil)
 		fl.allKnown(v)
 	})
 }
--- a/internal/mesh/ctrl/fleet_test.go
+++ b/internal/mesh/ctrl/fleet_test.go
@@ -27,7 +27,7 @@
 type fleet struct {
 	t     *testing.T
 	nw    *memnet.Network
-	st    *stand.Stand
+	st    *stand.Service
 	ms    *decl.Mesh
 	nodes map[string]*testNode
 	// noPlatform names the failure domains that are cut off from the platform.
@@ -141,7 +141,7 @@
 	tn := &testNode{vm: vm, ho: ho, guard: gd, done: make(chan struct{})}
 	src, seeds := headSource(), fl.seeds(vm)
 	if fl.newest {
-		src.Newest, src.Restore, seeds = true, nil, nil
+		src.Linearizable, src.Restore, seeds = true, nil, nil
 	}
 	var counts func() Counts
 	if fl.counts != nil {
@@ -149,7 +149,7 @@
 	}
 	tn.Node = New(Config{
 		Source: src, Counts: counts,
-		VM: vm.Name, Domain: vm.Domain, Control: addr, Inlet: vm.Name + ":8000", Seeds: seeds, Store: gd.Store(), StoreAnswers: gd.Close,
+		VM: vm.Name, Domain: vm.Domain, Control: addr, Inlet: vm.Name + ":8000", Seeds: seeds, Store: gd.Store(), OnNewEpoch: gd.ResetBreaker,
 		Dial: func(ctx context.Context, to string) (net.Conn, error) { return fl.nw.Dial(ctx, ho, to) },
 	})
 	fl.watchVersion(tn)
@@ -166,7 +166,7 @@
 			}
 		}()
 		tn.Run(ctx)
-		fl.nw.Reset(ho)
+		fl.nw.CloseConns(ho)
 		_ = hs.Close()
 		<-served
 	}()
@@ -215,7 +215,7 @@
 func (fl *fleet) kill(names ...string) {
 	for _, name := range names {
 		tn := fl.nodes[name]
-		fl.nw.Reset(tn.ho)
+		fl.nw.CloseConns(tn.ho)
 		tn.cancel()
 		delete(fl.nodes, name)
 		defer func() { <-tn.done }()
--- a/internal/mesh/ctrl/follow.go
+++ b/internal/mesh/ctrl/follow.go
@@ -61,9 +61,9 @@
 		order := wt.relayOrder()
 		nd.mu.Lock()
 		defer nd.mu.Unlock()
-		return wt.turn.Due(nd.cf.VM, order, &nd.followers, now)
+		return wt.turn.ShouldFollow(nd.cf.VM, order, &nd.followers, now)
 	}
-	wt.turn = follow.Turn{}
+	wt.turn = follow.Candidate{}
 	return !nd.hearsRelay() && !nd.waitsForOthers(now.Sub(nd.started))
 }
 
@@ -95,7 +95,7 @@
 		return wt.order
 	}
 	var domains []string
-	for dm := range vw.Domains {
+	for dm := range vw.LiveByDomain {
 		domains = append(domains, dm)
 	}
 	slices.Sort(domains)
@@ -116,7 +116,7 @@
 func (wt *watcher) announceFollow(err error) {
 	nd, now := wt.nd, time.Now()
 	fo := link.Follow{VM: nd.cf.VM, At: now, Lost: err != nil}
-	if !fo.Lost && now.Sub(wt.told) < follow.TellEvery-follow.Wait/2 {
+	if !fo.Lost && now.Sub(wt.told) < follow.AnnounceInterval-follow.WatchTimeout/2 {
 		return
 	}
 	wt.told = now
@@ -152,9 +152,9 @@
 func (nd *Node) recordFollow(fo link.Follow) bool {
 	if fo.Lost {
 		nd.lookSoon()
-		return nd.followers.Lost(fo.VM, fo.At)
+		return nd.followers.RecordLoss(fo.VM, fo.At)
 	}
-	return nd.followers.Answered(fo.VM, fo.At)
+	return nd.followers.RecordAnswer(fo.VM, fo.At)
 }
 
 // handleFollow notes that a daemon follows the store, or no longer does.
@@ -190,7 +190,7 @@
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	if pr.Relay && !nd.linkedToVM(pr.Record.VM) {
-		nd.followers.Lost(pr.Record.VM, time.Now())
+		nd.followers.RecordLoss(pr.Record.VM, time.Now())
 		nd.lookSoon()
 	}
 }
@@ -216,7 +216,7 @@
 // version, and tells the peers whose processes ran by then: they may hold that version,
 // since none that a former process of their VM held can be newer.
 func (nd *Node) recordProof(began time.Time, version uint64) {
-	if !nd.cf.Source.Newest || version == 0 || version < nd.Board.LatestVersion() || !nd.complete() {
+	if !nd.cf.Source.Linearizable || version == 0 || version < nd.Board.LatestVersion() || !nd.complete() {
 		return
 	}
 	nd.Board.RaiseFloor(version, true)
@@ -231,12 +231,12 @@
 // proveTo tells a peer the newest version, once on each link, if it was read after the
 // peer's process started; nd.mu is held.
 func (nd *Node) proveTo(pr *link.Peer) {
-	if pr.Proven || nd.proof.version == 0 || pr.Born.IsZero() || earlier(nd.proof.at, pr.Born) {
+	if pr.SentNewest || nd.proof.version == 0 || pr.RunningSince.IsZero() || earlier(nd.proof.at, pr.RunningSince) {
 		return
 	}
-	pr.Proven = true
+	pr.SentNewest = true
 	version := nd.proof.version
-	pr.Next(func(pk *wirepb.Packet) { pk.Newest = version })
+	pr.UpdateNext(func(pk *wirepb.Packet) { pk.Newest = version })
 }
 
 // earlier reports whether a time may be before another one. A process that was suspended
--- a/internal/mesh/ctrl/follow_test.go
+++ b/internal/mesh/ctrl/follow_test.go
@@ -23,16 +23,16 @@
 
 // followers returns the VMs that watch the store in a span of time.
 func (fl *fleet) followers(span time.Duration) (list []string) {
-	count := func(tn *testNode) string { return tn.guard.Purposes.Get("watch/head").String() }
+	count := func(tn *testNode) string { return tn.guard.CallsByPurpose.Get("watch/head").String() }
 	before := map[string]string{}
 	for name, tn := range fl.nodes {
-		if tn.guard.Purposes.Get("watch/head") != nil {
+		if tn.guard.CallsByPurpose.Get("watch/head") != nil {
 			before[name] = count(tn)
 		}
 	}
 	time.Sleep(span)
 	for name, tn := range fl.nodes {
-		if tn.guard.Purposes.Get("watch/head") != nil && count(tn) != before[name] {
+		if tn.guard.CallsByPurpose.Get("watch/head") != nil && count(tn) != before[name] {
 			list = append(list, name)
 		}
 	}
@@ -102,7 +102,7 @@
 		time.Sleep(10 * time.Second)
 		v = fl.apply(sample.Change(fl.ms, 4), v)
 		fl.waitHeld(v, followLimit)
-		fl.nw.SetCut(nil)
+		fl.nw.SetPartition(nil)
 		fl.allKnown(v)
 	})
 }
@@ -119,7 +119,7 @@
 		took := fl.waitHeld(1, 5*time.Second)
 		readers := 0
 		for _, tn := range fl.nodes {
-			if tn.guard.Purposes.Get("watch/head") != nil {
+			if tn.guard.CallsByPurpose.Get("watch/head") != nil {
 				readers++
 			}
 		}
@@ -148,7 +148,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				time.Sleep(time.Minute)
-				nd := New(Config{VM: "vm-p", Domain: "d0", Control: "p:1", Source: Source{Newest: true, Read: headSource().Read}})
+				nd := New(Config{VM: "vm-p", Domain: "d0", Control: "p:1", Source: Source{Linearizable: true, Read: headSource().Read}})
 				defer nd.end()
 				nd.recordProof(time.Now().Add(-tc.read), 7)
 				sent := make(chan *wirepb.Packet, 9)
@@ -176,7 +176,7 @@
 			})
 		})
 	}
-	nd := New(Config{VM: "vm-x", Domain: "d0", Control: "x:1", Source: Source{Newest: true, Read: headSource().Read}})
+	nd := New(Config{VM: "vm-x", Domain: "d0", Control: "x:1", Source: Source{Linearizable: true, Read: headSource().Read}})
 	defer nd.end()
 	pr := link.New(link.Stream{Abort: func() {}}, nd.offer)
 	nd.handle(pr, &wirepb.Packet{Hello: &wirepb.Hello{Record: (&member.Record{VM: "vm-p", Domain: "d0", Incarnation: 1}).ToWire()}, Newest: 7})
--- a/internal/mesh/ctrl/holds.go
+++ b/internal/mesh/ctrl/holds.go
@@ -19,7 +19,7 @@
 	// summaryEvery bounds how often a summary is sent.
 	summaryEvery = 200 * time.Millisecond
 	// heardEvery is how often relays tell each other whom they hear. It goes
-	// into expire.After three times.
+	// into expire.Timeout three times.
 	heardEvery = 2 * time.Second
 	// repairEvery is how often relays compare their records.
 	repairEvery = 10 * time.Second
@@ -132,7 +132,7 @@
 		if !nd.isUpward(pr) || len(list) <= 1 && len(domains) == 0 {
 			continue
 		}
-		pr.Next(func(pk *wirepb.Packet) { pk.Heard = list })
+		pr.UpdateNext(func(pk *wirepb.Packet) { pk.Heard = list })
 		for dm := range domains {
 			pr.SendReach(&wirepb.Reach{Domain: dm})
 		}
@@ -205,11 +205,11 @@
 }
 
 func (nd *Node) setCut(domain string, cut bool) {
-	nd.Board.Cut.Update(func(cur *board.CutSet) *board.CutSet {
+	nd.Board.Unreachable.Update(func(cur *board.DomainSet) *board.DomainSet {
 		if cur != nil && (*cur)[domain] == cut || cur == nil && !cut {
 			return cur
 		}
-		next := board.CutSet{}
+		next := board.DomainSet{}
 		if cur != nil {
 			for dm := range *cur {
 				next[dm] = true
@@ -247,7 +247,7 @@
 func (nd *Node) runMaintenance(ctx context.Context, heard <-chan time.Time) {
 	sum := time.NewTicker(summaryEvery)
 	defer sum.Stop()
-	tick := time.NewTicker(expire.Tick)
+	tick := time.NewTicker(expire.CheckInterval)
 	defer tick.Stop()
 	rep := time.NewTicker(repairEvery)
 	defer rep.Stop()
@@ -292,7 +292,7 @@
 	hashes := nd.hashes()
 	nd.eachPeer(func(pr *link.Peer) {
 		if pr.Relay {
-			pr.Next(func(pk *wirepb.Packet) { pk.Hashes = hashes })
+			pr.UpdateNext(func(pk *wirepb.Packet) { pk.Hashes = hashes })
 		}
 	})
 }
@@ -308,13 +308,13 @@
 	}
 	now := time.Now()
 	nd.mu.Lock()
-	nd.expiry.Expect(vms, now)
+	nd.expiry.SetMembers(vms, now)
 	for pr := range nd.peers {
 		if pr.Record.Domain == nd.cf.Domain {
 			nd.expiry.Heard(pr.Record.VM, now)
 		}
 	}
-	due := nd.expiry.Due(now)
+	due := nd.expiry.Check(now)
 	nd.mu.Unlock()
 	var marked []*member.Record
 	mark := func(names []string, mk member.Mark) {
@@ -354,7 +354,7 @@
 			nd.reached[dm] = now
 		}
 		cut := now.Sub(nd.reached[dm]) > cutAfter
-		if cs := nd.Board.Cut.Get(); cut == (cs != nil && (*cs)[dm]) {
+		if cs := nd.Board.Unreachable.Get(); cut == (cs != nil && (*cs)[dm]) {
 			continue
 		}
 		nd.log.Warn("failure-domain-reach", slog.String("failure-domain", dm), slog.Bool("cut", cut))
@@ -376,7 +376,7 @@
 		}
 	}
 	if vw := nd.Board.Members.Get(); vw != nil {
-		for dm, live := range vw.Domains {
+		for dm, live := range vw.LiveByDomain {
 			if len(live) > 0 {
 				set[dm] = true
 			}
--- a/internal/mesh/ctrl/keeper.go
+++ b/internal/mesh/ctrl/keeper.go
@@ -73,8 +73,8 @@
 		}
 		ke.nd.handleCrashReports(nil, list)
 		ke.due.Store(false)
-		refused := ke.nd.Board.Poison.Get().Refused()
-		if poison.Same(refused, list) {
+		refused := ke.nd.Board.Poison.Get().RefusedReports()
+		if poison.SameReports(refused, list) {
 			return nil
 		}
 		ok := false
--- a/internal/mesh/ctrl/linker.go
+++ b/internal/mesh/ctrl/linker.go
@@ -232,7 +232,7 @@
 		nd.sendHello(pr)
 		if chosen {
 			floor := nd.minVersionFor(pr.Record)
-			pr.Next(func(pk *wirepb.Packet) { pk.Welcome = &wirepb.Welcome{Floor: floor} })
+			pr.UpdateNext(func(pk *wirepb.Packet) { pk.Welcome = &wirepb.Welcome{Floor: floor} })
 		}
 	})
 }
@@ -363,7 +363,7 @@
 			if most == 0 {
 				break
 			}
-			if !known.Controls[addr] && !lk.failing(addr) {
+			if !known.LiveControls[addr] && !lk.failing(addr) {
 				add(addr)
 				most--
 			}
@@ -403,9 +403,9 @@
 			}
 		},
 	}, nd.offer)
-	pr.Outgoing, pr.Addr, pr.Sent = true, addr, nd.countSent
+	pr.Outgoing, pr.Addr, pr.OnSent = true, addr, nd.countSent
 	nd.sendHello(pr)
 	err := pr.Run(ctx, nd.handle)
 	nd.drop(pr, err)
-	return !pr.Ready || errors.Is(err, link.ErrSilent)
+	return !pr.Ready || errors.Is(err, link.ErrPeerTimeout)
 }
--- a/internal/mesh/ctrl/node.go
+++ b/internal/mesh/ctrl/node.go
@@ -42,9 +42,9 @@
 	// Token is a secret that all daemons of the mesh share; empty for none.
 	Token string
 	Store store.Store
-	// StoreAnswers, if set, is called when a peer has seen the store in a new epoch, so
+	// OnNewEpoch, if set, is called when a peer has seen the store in a new epoch, so
 	// that calls are not held back any more.
-	StoreAnswers func()
+	OnNewEpoch func()
 	// FirstStart says that the whole mesh starts for the first time.
 	FirstStart bool
 	// Source says where the operators' versions are in the store; the zero
@@ -69,9 +69,9 @@
 	// Read makes a version of the key's value; known is the newest one known,
 	// nil for none. The content is nil when the version is not newer.
 	Read func(ctx context.Context, kv store.Store, known *board.Config, value []byte) (uint64, *pack.Content, error)
-	// Newest says that a read shows every version that was ever accepted, but where the
+	// Linearizable says that a read shows every version that was ever accepted, but where the
 	// store came back from an older copy. Such a read settles the floor of a new process.
-	Newest bool
+	Linearizable bool
 	// Restore writes a version again that the store lost; nil where whoever wrote it does
 	// so. Daemons may call it at the same time, and more than once.
 	Restore func(ctx context.Context, kv store.Store, cfg *board.Config) error
@@ -93,7 +93,7 @@
 			}
 			base = known.Content
 		}
-		co, err := accept.Step(ctx, kv, base, hd.Last)
+		co, err := accept.ContentFrom(ctx, kv, base, hd.Last)
 		return hd.Last.Version, co, err
 	}
 	restore := func(ctx context.Context, kv store.Store, cfg *board.Config) error {
@@ -134,15 +134,15 @@
 	reached   map[string]time.Time
 	// leavers has the last lifetime of each VM's backend server that said it
 	// leaves.
-	leavers map[string]member.Leaver
-	expiry  *expire.Watch
+	leavers map[string]member.Departure
+	expiry  *expire.Detector
 	// through has the VMs that are heard through daemons that are no relays.
 	through map[string]time.Time
 	// bumped counts how often the incarnation was raised above a forerunner's.
 	bumped int
 	// followers are the daemons that follow the store, starting is what this process saw
 	// when it started, seen what the store showed last, and proof when.
-	followers follow.Heard
+	followers follow.Followers
 	starting  stance
 	seen      seen
 	proof     proof
@@ -211,7 +211,7 @@
 		holds:      map[string]hold{},
 		summaries:  map[string]*wirepb.Summary{},
 		reached:    map[string]time.Time{},
-		leavers:    map[string]member.Leaver{},
+		leavers:    map[string]member.Departure{},
 		expiry:     expire.New(),
 		through:    map[string]time.Time{},
 		started:    time.Now(),
@@ -231,8 +231,8 @@
 	if nd.cf.Counts == nil {
 		nd.cf.Counts = func() Counts { return Counts{} }
 	}
-	if nd.cf.StoreAnswers == nil {
-		nd.cf.StoreAnswers = func() {}
+	if nd.cf.OnNewEpoch == nil {
+		nd.cf.OnNewEpoch = func() {}
 	}
 	nd.cf.Store = nd.watchEpochs(cf.Store)
 	nd.life, nd.end = context.WithCancel(context.Background())
--- a/internal/mesh/ctrl/orders.go
+++ b/internal/mesh/ctrl/orders.go
@@ -6,5 +6,5 @@
 
 // ownRollouts returns where the project's own commands write orders of rollouts.
 func ownRollouts() Rollouts {
-	return Rollouts{Prefix: order.Prefix, Read: order.Read, StatusKey: order.StatusKey, Encode: order.EncodeStatus, Decode: order.DecodeStatus}
+	return Rollouts{Prefix: order.Prefix, Read: order.Decode, StatusKey: order.StatusKey, Encode: order.EncodeStatus, Decode: order.DecodeStatus}
 }
--- a/internal/mesh/ctrl/peers.go
+++ b/internal/mesh/ctrl/peers.go
@@ -17,7 +17,7 @@
 )
 
 // maxInline is the largest body in bytes of a version within a packet. The peer fetches a
-// larger one: a packet that takes longer than link.Silence would end the link each time.
+// larger one: a packet that takes longer than link.PeerTimeout would end the link each time.
 const maxInline = 32 << 10
 
 // offer makes the packet that brings a peer with the content base up to date.
@@ -28,7 +28,7 @@
 	}
 	dg := cfg.Content.Digest
 	vn := &wirepb.Version{Number: cfg.Version, Digest: dg[:]}
-	if body, ok := nd.history.Body(base, dg); ok && !base.IsZero() && len(body) <= maxInline {
+	if body, ok := nd.history.EncodedDelta(base, dg); ok && !base.IsZero() && len(body) <= maxInline {
 		vn.Base, vn.Body = base[:], body
 	}
 	return vn
@@ -46,7 +46,7 @@
 	hello.Hashes = nd.hashes()
 	held := nd.ownHeld()
 	epoch := int64(nd.Board.KnownEpoch())
-	pr.Next(func(pk *wirepb.Packet) { pk.Hello, pk.Epoch = hello, epoch })
+	pr.UpdateNext(func(pk *wirepb.Packet) { pk.Hello, pk.Epoch = hello, epoch })
 	pr.SendHeld(held)
 }
 
@@ -100,9 +100,9 @@
 		nd.handleFollow(pr, fromWireFollow(fo, time.Now()))
 	}
 	if len(pk.Ends) > 0 {
-		nd.handleCrashReports(pr, link.Ends(pk, time.Now()))
+		nd.handleCrashReports(pr, link.CrashReports(pk, time.Now()))
 	}
-	if pk.Newest > 0 && nd.cf.Source.Newest {
+	if pk.Newest > 0 && nd.cf.Source.Linearizable {
 		nd.Board.RaiseFloor(pk.Newest, true)
 	}
 	if pk.Version != nil {
@@ -127,16 +127,16 @@
 	greet := first || hello.Relay && !pr.Relay
 	pr.Record, pr.Relay, pr.Ready = rc, hello.Relay, true
 	nd.peers[pr] = true
-	if pr.Born.IsZero() && hello.AgeMs > 0 {
-		pr.Born = time.Now().Add(-time.Duration(hello.AgeMs) * time.Millisecond)
+	if pr.RunningSince.IsZero() && hello.AgeMs > 0 {
+		pr.RunningSince = time.Now().Add(-time.Duration(hello.AgeMs) * time.Millisecond)
 		nd.proveTo(pr)
 	}
-	proven := pr.Proven
+	proven := pr.SentNewest
 	floor := nd.minVersionFor(rc)
 	leaving := nd.leavers[rc.VM]
 	nd.mu.Unlock()
 	if len(hello.Digest) == len(pack.Digest{}) {
-		pr.Knows(hello.Latest, pack.Digest(hello.Digest))
+		pr.RecordVersion(hello.Latest, pack.Digest(hello.Digest))
 	}
 	// The peer can bring the version that it knows, so it is safe to take none
 	// below that, whatever the platform shows.
@@ -146,11 +146,11 @@
 		if known != nil {
 			wc.Incarnation, wc.Nonce = known.Incarnation, known.Nonce
 		}
-		wc.Leaving, wc.LeavingStartedMs, wc.LeftAt = leaving.Lifetime, leaving.StartedMs, leaving.At
+		wc.Leaving, wc.LeavingStartedMs, wc.LeftAt = leaving.Lifetime, leaving.StartedMs, leaving.Number
 		if !pr.Outgoing {
 			nd.sendHello(pr)
 		}
-		pr.Next(func(pk *wirepb.Packet) { pk.Welcome = wc })
+		pr.UpdateNext(func(pk *wirepb.Packet) { pk.Welcome = wc })
 	}
 	nd.handleRecords(pr, []*member.Record{rc})
 	nd.repair(pr, hello.Hashes)
@@ -163,12 +163,12 @@
 	}
 	pr.Offer(nd.Board.LatestVersion())
 	if first {
-		pr.SendEnds(nd.Board.Poison.Get().Reports(toldFirst))
+		pr.SendCrashReports(nd.Board.Poison.Get().Reports(toldFirst))
 		for _, ro := range nd.Board.Rollouts.Get().All() {
 			pr.SendRollout(ro)
 		}
 	}
-	if first && !proven && !nd.isRelay() && nd.cf.Source.Newest {
+	if first && !proven && !nd.isRelay() && nd.cf.Source.Linearizable {
 		nd.wantProof()
 	}
 	nd.poke()
@@ -193,7 +193,7 @@
 			pr.SendHeld(hd.toWire(vm))
 		}
 	}
-	cut := nd.Board.Cut.Get()
+	cut := nd.Board.Unreachable.Get()
 	for _, dm := range nd.otherDomains() {
 		pr.SendReach(&wirepb.Reach{Domain: dm, Cut: cut != nil && (*cut)[dm]})
 	}
@@ -238,7 +238,7 @@
 // Only relays keep what members hold, so only their word settles the floor.
 func (nd *Node) handleWelcome(pr *link.Peer, wc *wirepb.Welcome) {
 	self := nd.Board.Self.Get()
-	nd.learnForerunner(pr.Record.VM, member.Leaver{Lifetime: wc.Leaving, StartedMs: wc.LeavingStartedMs, At: wc.LeftAt})
+	nd.learnForerunner(pr.Record.VM, member.Departure{Lifetime: wc.Leaving, StartedMs: wc.LeavingStartedMs, Number: wc.LeftAt})
 	if wc.Nonce != self.Nonce && wc.Incarnation >= self.Incarnation {
 		nd.handleRival(&member.Record{VM: self.VM, Incarnation: wc.Incarnation, Nonce: wc.Nonce})
 	}
@@ -247,14 +247,14 @@
 
 // learnForerunner puts on the board what a peer keeps of the VM's former
 // process; a peer that knows of nothing says so too.
-func (nd *Node) learnForerunner(peer string, lv member.Leaver) {
-	nd.Board.Forerunner.Update(func(cur *board.Forerunner) *board.Forerunner {
-		next := &board.Forerunner{Leaver: lv, Peers: []string{peer}}
+func (nd *Node) learnForerunner(peer string, lv member.Departure) {
+	nd.Board.Predecessor.Update(func(cur *board.Predecessor) *board.Predecessor {
+		next := &board.Predecessor{Departure: lv, Peers: []string{peer}}
 		if cur == nil {
 			return next
 		}
 		if lv.Lifetime == "" {
-			next.Leaver = cur.Leaver
+			next.Departure = cur.Departure
 		}
 		next.Peers = cur.Peers
 		if !slices.Contains(cur.Peers, peer) {
@@ -277,7 +277,7 @@
 		}
 	}
 	if len(nd.leavers) > maxLeavers {
-		nd.leavers = map[string]member.Leaver{}
+		nd.leavers = map[string]member.Departure{}
 	}
 }
 
@@ -393,7 +393,7 @@
 		return
 	}
 	dg := pack.Digest(vn.Digest)
-	pr.Knows(vn.Number, dg)
+	pr.RecordVersion(vn.Number, dg)
 	cur := nd.Board.Latest.Get()
 	if cur != nil && vn.Number <= cur.Version {
 		if vn.Number == cur.Version && dg != cur.Content.Digest {
@@ -402,7 +402,7 @@
 		return
 	}
 	if cur != nil && len(vn.Body) > 0 {
-		if co, err := pack.Advance(cur.Content, vn.Body, dg); err == nil {
+		if co, err := pack.ApplyEncoded(cur.Content, vn.Body, dg); err == nil {
 			nd.take(vn.Number, co)
 			return
 		}
@@ -482,7 +482,7 @@
 	if len(ms.Digest) != len(pack.Digest{}) {
 		return 0, &pack.MismatchError{}
 	}
-	co, err := pack.Advance(base, ms.Body, pack.Digest(ms.Digest))
+	co, err := pack.ApplyEncoded(base, ms.Body, pack.Digest(ms.Digest))
 	if err != nil {
 		return 0, err
 	}
--- a/internal/mesh/ctrl/replace_test.go
+++ b/internal/mesh/ctrl/replace_test.go
@@ -77,7 +77,7 @@
 	scenario(t, func(fl *fleet) {
 		name := "vm-004"
 		old := fl.nodes[name]
-		fl.nw.SetCut(func(a, b *memnet.Host) bool { return a == old.ho || b == old.ho })
+		fl.nw.SetPartition(func(a, b *memnet.Host) bool { return a == old.ho || b == old.ho })
 		time.Sleep(15 * time.Second)
 		delete(fl.nodes, name)
 		fresh := fl.startNode(fl.declared(name))
@@ -85,7 +85,7 @@
 			rc := fl.nodes["vm-000"].Board.Members.Get().Get(name)
 			return rc.Nonce == fresh.Board.Self.Get().Nonce && rc.Serving()
 		})
-		fl.nw.SetCut(nil)
+		fl.nw.SetPartition(nil)
 		fl.waitFor("the old process knows that it was replaced", convergeLimit, func() bool { return old.Board.Replaced.Get() != nil })
 		if fresh.Board.Replaced.Get() != nil {
 			fl.t.Error("the new process took itself for replaced")
@@ -139,7 +139,7 @@
 		fl.restart(names[1:]...)
 		fl.waitHeld(v, 2*convergeLimit)
 		next := fl.apply(sample.Change(fl.ms, 13), v)
-		fl.nw.SetCut(nil)
+		fl.nw.SetPartition(nil)
 		fl.setPlatformCut()
 		fl.allKnown(next)
 	})
@@ -219,7 +219,7 @@
 		fl.cutDomain("d2")
 		fl.restart(name)
 		time.Sleep(8 * time.Second)
-		fl.nw.SetCut(nil)
+		fl.nw.SetPartition(nil)
 		fl.allKnown(v)
 	})
 }
@@ -232,20 +232,20 @@
 func TestLeaverOutlivesRecord(t *testing.T) {
 	nd := New(Config{VM: "a", Domain: "d"})
 	defer nd.end()
-	old := &member.Record{VM: "b", Domain: "d", Incarnation: 1, Sequence: 3, Leaving: member.Leaver{Lifetime: "i-1", At: 5}}
+	old := &member.Record{VM: "b", Domain: "d", Incarnation: 1, Sequence: 3, Leaving: member.Departure{Lifetime: "i-1", Number: 5}}
 	next := &member.Record{VM: "b", Domain: "d", Incarnation: 2, Sequence: 1}
 	nd.merge([]*member.Record{old})
 	nd.merge([]*member.Record{next})
-	want := member.Leaver{Lifetime: "i-1", At: 5}
+	want := member.Departure{Lifetime: "i-1", Number: 5}
 	if got := nd.leavers["b"]; got != want {
 		t.Errorf("the peer remembers %+v, want %+v", got, want)
 	}
 	var fresh Node
 	fresh.Board = &board.Board{}
-	for i, lv := range []member.Leaver{{}, want, {}} {
+	for i, lv := range []member.Departure{{}, want, {}} {
 		fresh.learnForerunner([]string{"p", "q", "q"}[i], lv)
 	}
-	if got := fresh.Board.Forerunner.Get(); got == nil || got.Leaver != want || len(got.Peers) != 2 {
+	if got := fresh.Board.Predecessor.Get(); got == nil || got.Departure != want || len(got.Peers) != 2 {
 		t.Errorf("the new process learned %+v, want %+v of two peers", got, want)
 	}
 }
--- a/internal/mesh/ctrl/rollout.go
+++ b/internal/mesh/ctrl/rollout.go
@@ -119,7 +119,7 @@
 		case <-over:
 			return
 		case li := <-listings:
-			ro.at = li.At
+			ro.at = li.Revision
 			ro.handleOrders(ctx, li.Items)
 		case <-tick.C:
 		}
@@ -137,7 +137,7 @@
 			}
 			continue
 		}
-		at = li.At
+		at = li.Revision
 		if !li.Changed {
 			continue
 		}
@@ -170,7 +170,7 @@
 // has it anew in another epoch.
 func (ro *roller) handleOrder(ctx context.Context, or canary.Order) {
 	nd := ro.nd
-	cur := nd.Board.Rollouts.Get().Of(or.Service)
+	cur := nd.Board.Rollouts.Get().Get(or.Service)
 	switch {
 	case cur != nil && cur.Order.Revision == or.Revision && !or.Abort:
 		return
@@ -180,7 +180,7 @@
 		nd.mergeRollout(nil, &next)
 		return
 	}
-	next := &canary.Rollout{Order: or, State: canary.InProgress, Began: time.Now(), Baseline: nd.baseline(or, cur)}
+	next := &canary.Rollout{Order: or, State: canary.InProgress, StartedAt: time.Now(), Baseline: nd.baseline(or, cur)}
 	if or.Abort {
 		next.State = canary.RolledBack
 	}
@@ -221,7 +221,7 @@
 		next.State, next.Stored = canary.RolledBack, false
 		return true, nil
 	}
-	next.Began = time.Now().Add(-age)
+	next.StartedAt = time.Now().Add(-age)
 	return true, nil
 }
 
@@ -271,8 +271,8 @@
 // decide takes the next decision on a rollout in progress.
 func (ro *roller) decide(tr *trial, cur *canary.Rollout) *canary.Rollout {
 	nd, now := ro.nd, time.Now()
-	elapsed := now.Sub(cur.Began)
-	tr.judge.Look(elapsed, nd.tallySums(cur.Order.Service, now))
+	elapsed := now.Sub(cur.StartedAt)
+	tr.judge.Observe(elapsed, nd.tallySums(cur.Order.Service, now))
 	de := tr.ramp.Step(elapsed, tr.judge)
 	if tr.complete {
 		de.State, de.Share = canary.Complete, 1
@@ -282,12 +282,12 @@
 	if de.State == canary.RolledBack {
 		next.State, next.Share, next.Stored = canary.RolledBack, 0, false
 		nd.log.Warn("rollout-decided", slog.String(logs.Service, cur.Order.Service), slog.String("target", cur.Order.Target),
-			slog.String("state", next.State.String()), slog.Float64("evidence", de.Against), slog.String("measure", de.Cause.Measure), slog.String("route", de.Cause.Route), slog.Duration("window", de.Cause.Window),
+			slog.String("state", next.State.String()), slog.Float64("evidence", de.Evidence), slog.String("measure", de.Cause.Measure), slog.String("route", de.Cause.Route), slog.Duration("window", de.Cause.Window),
 			slog.Uint64("requests", de.Requests), slog.Duration("after", elapsed))
 		nd.mergeRollout(nil, &next)
 		return &next
 	}
-	next.Share, next.Servers, next.Until = de.Share, de.Servers, now.Add(canary.TTL)
+	next.Share, next.Servers, next.ValidUntil = de.Share, de.Servers, now.Add(canary.TTL)
 	if de.State == canary.Complete {
 		// Operators stop the baseline once the store says so; until then it may serve again.
 		tr.complete = true
@@ -337,7 +337,7 @@
 func (ro *roller) swap(ctx context.Context, next *canary.Rollout) error {
 	kv, src, or := ro.nd.cf.Store, &ro.nd.cf.Source.Rollouts, &next.Order
 	if next.State == canary.InProgress {
-		value := strconv.AppendInt(nil, next.Began.UnixMilli(), 10)
+		value := strconv.AppendInt(nil, next.StartedAt.UnixMilli(), 10)
 		if err := put(ctx, kv, beganPrefix+or.Service, value); err != nil {
 			return err
 		}
--- a/internal/mesh/ctrl/rollout_test.go
+++ b/internal/mesh/ctrl/rollout_test.go
@@ -64,7 +64,7 @@
 	if co == nil {
 		return Counts{}
 	}
-	return Counts{Service: rl.service, Software: software(vm), Cohort: tally.Cohort{Servers: 1, Routes: co.Rows()}}
+	return Counts{Service: rl.service, Software: software(vm), Cohort: tally.Cohort{Servers: 1, Routes: co.Snapshot()}}
 }
 
 // serve plays the requests of a span at all outlets.
@@ -78,7 +78,7 @@
 	slices.Sort(names["v2"])
 	perNode := rollRate * span.Seconds() / float64(len(rl.fl.nodes))
 	for _, tn := range rl.fl.nodes {
-		ro := tn.Board.Rollouts.Get().Of(rl.service)
+		ro := tn.Board.Rollouts.Get().Get(rl.service)
 		share, state, servers := 0.0, canary.State(0), 0
 		if ro != nil {
 			share, state, servers = ro.ShareAt(now), ro.State, ro.Servers
@@ -194,7 +194,7 @@
 	{name: "a failure domain is cut off", with: func(rl *rolling) {
 		rl.fl.cutDomain("d1")
 		rl.playFor(3 * time.Second)
-		rl.fl.nw.SetCut(nil)
+		rl.fl.nw.SetPartition(nil)
 	}},
 	{name: "the store is down", with: func(rl *rolling) {
 		rl.fl.st.SetFaults(stand.Faults{Down: true})
@@ -207,15 +207,15 @@
 		rl.fl.st.SetFaults(stand.Faults{Delay: toPlatform})
 	}},
 	{name: "answers of the store are lost", with: func(rl *rolling) {
-		rl.fl.st.SetFaults(stand.Faults{Delay: toPlatform, LoseAnswers: 3})
+		rl.fl.st.SetFaults(stand.Faults{Delay: toPlatform, LoseResponses: 3})
 	}},
 	{name: "the store comes back older", with: func(rl *rolling) {
 		bk := rl.fl.st.Backup()
 		rl.playFor(time.Second)
-		rl.fl.st.ComeBack(bk)
+		rl.fl.st.RestoreInNewEpoch(bk)
 	}},
 	{name: "the store comes back without the order", with: func(rl *rolling) {
-		rl.fl.st.ComeBack(rl.backup())
+		rl.fl.st.RestoreInNewEpoch(rl.backup())
 		rl.playFor(1500 * time.Millisecond)
 		rl.order(12 * time.Second)
 	}},
@@ -297,7 +297,7 @@
 		t.Errorf("the store has %s after %s", end, st)
 	}
 	for name, tn := range rl.fl.nodes {
-		ro := tn.Board.Rollouts.Get().Of(rl.service)
+		ro := tn.Board.Rollouts.Get().Get(rl.service)
 		if ro == nil || ro.State != rl.status() {
 			t.Errorf("%s has %+v, the store %s", name, ro, rl.status())
 		}
--- a/internal/mesh/ctrl/scale_test.go
+++ b/internal/mesh/ctrl/scale_test.go
@@ -17,7 +17,7 @@
 )
 
 // traffic is what a node's connections have carried, both ways.
-func (tn *testNode) traffic() int64 { return tn.ho.In.Load() + tn.ho.Out.Load() }
+func (tn *testNode) traffic() int64 { return tn.ho.BytesIn.Load() + tn.ho.BytesOut.Load() }
 
 // load is the control traffic of one span of time, in bytes a node.
 type load struct {
@@ -163,7 +163,7 @@
 		time.Sleep(time.Minute)
 		next()
 		time.Sleep(5 * time.Second)
-		fl.nw.SetCut(nil)
+		fl.nw.SetPartition(nil)
 		fl.setPlatformCut()
 		fl.allKnown(v)
 
@@ -232,7 +232,7 @@
 				}
 			}
 			fl.spoilt.Store(&turned)
-			fl.st.LapseLeases()
+			fl.st.ExpireLeases()
 			for i := range 25 {
 				v = fl.apply(sample.Change(fl.ms, i), v)
 				time.Sleep(200 * time.Millisecond)
@@ -288,12 +288,12 @@
 // an older copy for all it lost, each daemon by itself.
 func TestScaleEpoch(t *testing.T) {
 	sized(t, hundreds, func(fl *fleet) {
-		bk, since := fl.st.Backup(), fl.st.Newest()
+		bk, since := fl.st.Backup(), fl.st.LatestRevision()
 		v := fl.apply(sample.Change(fl.ms, 1), 1)
 		fl.waitHeld(v, convergeLimit)
 		time.Sleep(2 * time.Second)
 		calls := fl.calls()
-		fl.st.ComeBack(bk)
+		fl.st.RestoreInNewEpoch(bk)
 		took := fl.waitFor("the relays are registered again", registeredLimit, func() bool { return fl.registered(since) })
 		time.Sleep(3*time.Second - took)
 		// Two calls a second are the watches of those who follow the store.
--- a/internal/mesh/ctrl/serve.go
+++ b/internal/mesh/ctrl/serve.go
@@ -122,7 +122,7 @@
 
 // fetchClient returns a client of a peer for content of any size.
 func (nd *Node) fetchClient(pr *link.Peer) wirepb.ControlClient {
-	return nd.client(&stall.Client{HTTP: nd.http.Do, Timeout: fetchTimeout, Received: pr.Alive}, nd.addressOf(pr))
+	return nd.client(&stall.Client{HTTP: nd.http.Do, Timeout: fetchTimeout, OnReceive: pr.MarkAlive}, nd.addressOf(pr))
 }
 
 func (nd *Node) client(hc connect.HTTPClient, addr string) wirepb.ControlClient {
@@ -139,7 +139,7 @@
 	ab.rc, _ = ctx.Value(deadlineKey{}).(*http.ResponseController)
 	defer ab.over()
 	pr := link.New(link.Stream{Send: bs.Send, Receive: bs.Receive, Abort: ab.abort}, sr.nd.offer)
-	pr.Sent = sr.nd.countSent
+	pr.OnSent = sr.nd.countSent
 	err := pr.Run(ctx, sr.nd.handle)
 	sr.nd.drop(pr, err)
 	return nil
@@ -182,7 +182,7 @@
 	dg := cfg.Content.Digest
 	res := &wirepb.FetchResponse{Number: cfg.Version, Digest: dg[:]}
 	if len(req.Msg.Have) == len(dg) {
-		if body, ok := nd.history.Body(pack.Digest(req.Msg.Have), dg); ok {
+		if body, ok := nd.history.EncodedDelta(pack.Digest(req.Msg.Have), dg); ok {
 			res.Base, res.Body = req.Msg.Have, body
 			nd.Traffic.Add("fetch/deltas", int64(len(body)))
 			return connect.NewResponse(res), nil
@@ -197,7 +197,7 @@
 	if !nd.wholes.Allow() {
 		return connect.NewResponse(&wirepb.FetchResponse{LaterMs: later()}), nil
 	}
-	body, ok := nd.history.Whole(dg)
+	body, ok := nd.history.EncodedContent(dg)
 	if !ok {
 		return connect.NewResponse(&wirepb.FetchResponse{LaterMs: later()}), nil
 	}
@@ -238,7 +238,7 @@
 	for rc := range nd.Board.Members.Get().All {
 		res.Records = append(res.Records, rc.ToWire())
 	}
-	if cut := nd.Board.Cut.Get(); cut != nil {
+	if cut := nd.Board.Unreachable.Get(); cut != nil {
 		for dm := range *cut {
 			res.Cut = append(res.Cut, dm)
 		}
--- a/internal/mesh/ctrl/slow_test.go
+++ b/internal/mesh/ctrl/slow_test.go
@@ -29,7 +29,7 @@
 		fl.waitMembers(20 * time.Second)
 		time.Sleep(settleTime)
 		fl.noPlatform.Store(&map[string]bool{"d1": true})
-		rate.Store(stall.MinRate)
+		rate.Store(stall.MinSendRate)
 		rnd := rand.New(rand.NewPCG(1, 1))
 		next := *fl.ms
 		next.Routes = slices.Clone(next.Routes)
--- a/internal/mesh/ctrl/tallies.go
+++ b/internal/mesh/ctrl/tallies.go
@@ -102,7 +102,7 @@
 	self := nd.Board.Self.Get()
 	return &wirepb.Tally{
 		Service: cs.Service, Vm: nd.cf.VM, Domain: nd.cf.Domain, Process: self.Process(), Stamp: nd.nextStamp(),
-		Cohorts: link.TallyToWire(tally.Sum{cs.Software: {&cs.Cohort}}),
+		Cohorts: link.TallyToWire(tally.Cohorts{cs.Software: {&cs.Cohort}}),
 	}
 }
 
@@ -130,8 +130,8 @@
 }
 
 // domainSum gathers the counts of the own failure domain; nd.mu is held.
-func (nd *Node) domainSum(service string, now time.Time) tally.Sum {
-	sum := tally.Sum{}
+func (nd *Node) domainSum(service string, now time.Time) tally.Cohorts {
+	sum := tally.Cohorts{}
 	for vm, ht := range nd.tallies.vms {
 		switch {
 		case now.Sub(ht.at) > tallyTTL:
@@ -149,10 +149,10 @@
 }
 
 // tallySums returns the counts of all failure domains that are heard.
-func (nd *Node) tallySums(service string, now time.Time) map[string]tally.Sum {
+func (nd *Node) tallySums(service string, now time.Time) map[string]tally.Cohorts {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
-	sums := map[string]tally.Sum{}
+	sums := map[string]tally.Cohorts{}
 	if own := nd.domainSum(service, now); len(own) > 0 {
 		sums[nd.cf.Domain] = own
 	}
--- a/internal/mesh/ctrl/watcher.go
+++ b/internal/mesh/ctrl/watcher.go
@@ -32,13 +32,13 @@
 	// deaf is how long a daemon may hear no relay before it follows the platform
 	// itself: a beat and a half, so that a version accepted while all its relays
 	// are frozen is still in force within two seconds.
-	deaf = link.Beat + link.Beat/2
+	deaf = link.HeartbeatInterval + link.HeartbeatInterval/2
 )
 
 // watcher follows the platform's store for the mesh while it is this daemon's turn.
 type watcher struct {
 	nd     *Node
-	turn   follow.Turn
+	turn   follow.Candidate
 	failed int
 	// told is when the others were told last that it follows.
 	told time.Time
@@ -103,7 +103,7 @@
 func (wt *watcher) nextLook(isRelay bool) time.Duration {
 	nd := wt.nd
 	switch {
-	case isRelay && wt.turn.Vacant(), !isRelay && time.Since(nd.started) < bootRelay:
+	case isRelay && wt.turn.HasVacancy(), !isRelay && time.Since(nd.started) < bootRelay:
 		return soonLook
 	case isRelay:
 		return lateLook
@@ -114,7 +114,7 @@
 // mostRetry returns how long the wait after failed calls may get. Those who follow the
 // store as a rule find it back soon, and tell the others.
 func (wt *watcher) mostRetry(isRelay bool) time.Duration {
-	if isRelay && follow.Position(wt.nd.cf.VM, wt.relayOrder()) >= follow.Enough {
+	if isRelay && follow.Position(wt.nd.cf.VM, wt.relayOrder()) >= follow.FollowerCount {
 		return mostStandInRetry
 	}
 	return mostRetry
@@ -128,7 +128,7 @@
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	for pr := range nd.peers {
-		if at := pr.Heard(); pr.Relay && at.After(last) {
+		if at := pr.LastHeard(); pr.Relay && at.After(last) {
 			last = at
 		}
 	}
@@ -141,7 +141,7 @@
 	src := &nd.cf.Source
 	last, version := nd.seenVersion()
 	began := time.Now()
-	ent, err := nd.cf.Store.Watch(ctx, src.Key, last, follow.Wait)
+	ent, err := nd.cf.Store.Watch(ctx, src.Key, last, follow.WatchTimeout)
 	if err != nil {
 		return err
 	}
@@ -227,7 +227,7 @@
 		case <-newer:
 		case <-raised:
 		case <-time.After(keepCompiled):
-			nd.compiler.Forget()
+			nd.compiler.Reset()
 			select {
 			case <-ctx.Done():
 				return
@@ -275,9 +275,9 @@
 func (nd *Node) withoutUndeclared(vw *member.View) *member.View {
 	sn := nd.Board.Held.Get()
 	if len(sn.VMs) == 0 {
-		return vw.WithoutOldest(keepDead)
+		return vw.LimitDead(keepDead)
 	}
-	return vw.Without(func(vm string) bool {
+	return vw.WithoutDead(func(vm string) bool {
 		_, declared := sn.VMs[vm]
 		return !declared
 	})
--- a/internal/mesh/expire/expire.go
+++ b/internal/mesh/expire/expire.go
@@ -7,13 +7,13 @@
 
 // The times of expiry.
 const (
-	// After is how long a member may be unheard before it is marked.
-	After = 6 * time.Second
-	// Tick is how often Due should be called.
-	Tick = 500 * time.Millisecond
+	// Timeout is how long a member may be unheard before it is marked.
+	Timeout = 6 * time.Second
+	// CheckInterval is how often Due should be called.
+	CheckInterval = 500 * time.Millisecond
 	// pause is the gap between two calls of Due above which the observer takes
 	// itself for the one that was away.
-	pause = 4 * Tick
+	pause = 4 * CheckInterval
 )
 
 // doubtCount and doubtShare say when too many members go silent at once for it
@@ -29,22 +29,22 @@
 	Gone, Silent []string
 }
 
-// Watch keeps when the members of one failure domain were last heard. It is not
+// Detector keeps when the members of one failure domain were last heard. It is not
 // safe for concurrent use.
-type Watch struct {
+type Detector struct {
 	heard    map[string]time.Time
 	silent   map[string]bool
 	lastTick time.Time
 }
 
 // New returns a watch that knows no members.
-func New() *Watch {
-	return &Watch{heard: map[string]time.Time{}, silent: map[string]bool{}}
+func New() *Detector {
+	return &Detector{heard: map[string]time.Time{}, silent: map[string]bool{}}
 }
 
-// Expect sets the members that should be heard. The time of a new one starts
+// SetMembers sets the members that should be heard. The time of a new one starts
 // now; others are forgotten.
-func (wa *Watch) Expect(vms []string, now time.Time) {
+func (wa *Detector) SetMembers(vms []string, now time.Time) {
 	next := make(map[string]time.Time, len(vms))
 	for _, vm := range vms {
 		at, ok := wa.heard[vm]
@@ -62,12 +62,12 @@
 }
 
 // Heard says that a member lives.
-func (wa *Watch) Heard(vm string, now time.Time) {
+func (wa *Detector) Heard(vm string, now time.Time) {
 	wa.heard[vm] = now
 	delete(wa.silent, vm)
 }
 
-// Due returns the members whose time has run out.
+// Check returns the members whose time has run out.
 //
 // Two failures look like the death of members and are the observer's own. If
 // the process was frozen, or its clock jumped, the members' news lies unread
@@ -75,7 +75,7 @@
 // members get their time anew. If the observer was cut off, many go silent at
 // once: they are marked as silent, which keeps them in use at a lower
 // preference, and not as gone.
-func (wa *Watch) Due(now time.Time) Verdict {
+func (wa *Detector) Check(now time.Time) Verdict {
 	gap := now.Sub(wa.lastTick)
 	if !wa.lastTick.IsZero() && (gap > pause || gap < 0) {
 		for vm := range wa.heard {
@@ -88,10 +88,10 @@
 	for vm, at := range wa.heard {
 		age := now.Sub(at)
 		// Those that follow at once count as one event with the due.
-		if age >= After/2 {
+		if age >= Timeout/2 {
 			unheard++
 		}
-		if age >= After && !wa.silent[vm] {
+		if age >= Timeout && !wa.silent[vm] {
 			due = append(due, vm)
 		}
 	}
--- a/internal/mesh/expire/expire_test.go
+++ b/internal/mesh/expire/expire_test.go
@@ -23,14 +23,14 @@
 	wa := New()
 	start := time.Unix(1000, 0)
 	vms := names(members)
-	for at := time.Duration(0); at < span; at += Tick {
+	for at := time.Duration(0); at < span; at += CheckInterval {
 		if away != nil {
 			at += away(at)
 		}
 		now := start.Add(at)
-		wa.Expect(slices.DeleteFunc(slices.Clone(vms), func(vm string) bool { return slices.Contains(gone, vm) }), now)
+		wa.SetMembers(slices.DeleteFunc(slices.Clone(vms), func(vm string) bool { return slices.Contains(gone, vm) }), now)
 		// News that comes while the observer is away is read after the tick.
-		due := wa.Due(now)
+		due := wa.Check(now)
 		gone = append(gone, due.Gone...)
 		silent = append(silent, due.Silent...)
 		for _, vm := range vms {
@@ -116,7 +116,7 @@
 			return 0
 		})
 		for _, vm := range append(gone, silent...) {
-			if alive(vm, 59*time.Second+Tick) {
+			if alive(vm, 59*time.Second+CheckInterval) {
 				t.Fatalf("%s lives and was marked", vm)
 			}
 		}
--- a/internal/mesh/follow/follow.go
+++ b/internal/mesh/follow/follow.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// Enough is how many relays follow the store at a time. Each reads every
+	// FollowerCount is how many relays follow the store at a time. Each reads every
 	// version whole, so that more of them load the store. With two, one may be killed or
 	// cut off without any delay.
-	Enough = 2
-	// Wait is how long a watch of the store waits. A store that has fallen silent for
+	FollowerCount = 2
+	// WatchTimeout is how long a watch of the store waits. A store that has fallen silent for
 	// one who follows it is noticed after as long and some slack.
-	Wait = time.Second
-	// TellEvery is how often one who follows says so. That it no longer does is said at
+	WatchTimeout = time.Second
+	// AnnounceInterval is how often one who follows says so. That it no longer does is said at
 	// once, and a link to it that breaks tells as much.
-	TellEvery = 3 * time.Second
+	AnnounceInterval = 3 * time.Second
 	// Fresh is for how long such word counts, which comes over two links with the next
 	// packet of each, a second later at most. It is for those who fell silent without
 	// a link that broke.
-	Fresh = TellEvery + 2500*time.Millisecond
+	Fresh = AnnounceInterval + 2500*time.Millisecond
 	// rounding is by how much the same answer seems to come later over other links, as
 	// each rounds its age.
 	rounding = 200 * time.Millisecond
@@ -28,14 +28,14 @@
 	step = 150 * time.Millisecond
 )
 
-// Heard is when the store last answered each daemon that follows it, as far as it is
+// Followers is when the store last answered each daemon that follows it, as far as it is
 // known here. The zero value knows of none.
-type Heard struct {
+type Followers struct {
 	at map[string]time.Time
 }
 
-// Answered notes that the store answered a daemon, and reports whether that is news.
-func (he *Heard) Answered(vm string, at time.Time) bool {
+// RecordAnswer notes that the store answered a daemon, and reports whether that is news.
+func (he *Followers) RecordAnswer(vm string, at time.Time) bool {
 	if he.at == nil {
 		he.at = map[string]time.Time{}
 	}
@@ -46,9 +46,9 @@
 	return true
 }
 
-// Lost notes that the store no longer answers a daemon, unless it did so after the time
+// RecordLoss notes that the store no longer answers a daemon, unless it did so after the time
 // given. It reports whether that is news.
-func (he *Heard) Lost(vm string, at time.Time) bool {
+func (he *Followers) RecordLoss(vm string, at time.Time) bool {
 	last, ok := he.at[vm]
 	if !ok || last.After(at) {
 		return false
@@ -58,13 +58,13 @@
 }
 
 // fresh reports whether a daemon follows the store.
-func (he *Heard) fresh(vm string, now time.Time) bool {
+func (he *Followers) fresh(vm string, now time.Time) bool {
 	at, ok := he.at[vm]
 	return ok && now.Sub(at) <= Fresh
 }
 
 // Each calls yield for each daemon that follows the store, with when it was answered.
-func (he *Heard) Each(now time.Time, yield func(vm string, at time.Time)) {
+func (he *Followers) Each(now time.Time, yield func(vm string, at time.Time)) {
 	for vm, at := range he.at {
 		if he.fresh(vm, now) {
 			yield(vm, at)
@@ -91,18 +91,18 @@
 	}
 }
 
-// Turn decides for one daemon whether it follows. The zero value is ready for use.
-type Turn struct {
+// Candidate decides for one daemon whether it follows. The zero value is ready for use.
+type Candidate struct {
 	// vacant is since when too few follow before this one.
 	vacant time.Time
 }
 
-// Vacant reports whether too few followed before this one when it was asked last.
-func (tu *Turn) Vacant() bool { return !tu.vacant.IsZero() }
+// HasVacancy reports whether too few followed before this one when it was asked last.
+func (tu *Candidate) HasVacancy() bool { return !tu.vacant.IsZero() }
 
-// Due reports whether the daemon me follows the store now. Whoever stands in waits
+// ShouldFollow reports whether the daemon me follows the store now. Whoever stands in waits
 // for those before it in order, so that one vacancy is not filled by all at once.
-func (tu *Turn) Due(me string, order []string, he *Heard, now time.Time) bool {
+func (tu *Candidate) ShouldFollow(me string, order []string, he *Followers, now time.Time) bool {
 	before, silent := 0, 0
 	for _, vm := range order {
 		if vm == me {
@@ -114,14 +114,14 @@
 			silent++
 		}
 	}
-	if before >= Enough {
+	if before >= FollowerCount {
 		tu.vacant = time.Time{}
 		return false
 	}
 	if tu.vacant.IsZero() {
 		tu.vacant = now
 	}
-	behind := silent - (Enough - before) + 1
+	behind := silent - (FollowerCount - before) + 1
 	return now.Sub(tu.vacant) >= time.Duration(max(0, behind))*step
 }
 
--- a/internal/mesh/follow/follow_test.go
+++ b/internal/mesh/follow/follow_test.go
@@ -39,16 +39,16 @@
 		t.Run(tc.name, func(t *testing.T) {
 			began := time.Unix(1000, 0)
 			now := began.Add(tc.after)
-			var he Heard
+			var he Followers
 			for vm, ago := range tc.heard {
-				he.Answered(vm, now.Add(-ago))
+				he.RecordAnswer(vm, now.Add(-ago))
 			}
 			var got []string
 			for _, vm := range order {
-				var tu Turn
-				first := tu.Due(vm, order, &he, began)
+				var tu Candidate
+				first := tu.ShouldFollow(vm, order, &he, began)
 				if tc.after > 0 {
-					first = tu.Due(vm, order, &he, now)
+					first = tu.ShouldFollow(vm, order, &he, now)
 				}
 				if first {
 					got = append(got, vm)
@@ -65,17 +65,17 @@
 // changes nothing, nor does a loss that was said before the last answer.
 func TestHeard(t *testing.T) {
 	at := time.Unix(1000, 0)
-	var he Heard
-	if he.Lost("a", at) {
+	var he Followers
+	if he.RecordLoss("a", at) {
 		t.Error("one that never followed was lost")
 	}
-	if !he.Answered("a", at) || he.Answered("a", at) || he.Answered("a", at.Add(-time.Second)) {
+	if !he.RecordAnswer("a", at) || he.RecordAnswer("a", at) || he.RecordAnswer("a", at.Add(-time.Second)) {
 		t.Error("only a later answer is news")
 	}
-	if he.Lost("a", at.Add(-time.Second)) || !he.fresh("a", at) {
+	if he.RecordLoss("a", at.Add(-time.Second)) || !he.fresh("a", at) {
 		t.Error("an old loss undid a later answer")
 	}
-	if !he.Lost("a", at.Add(time.Second)) || he.fresh("a", at) || he.Lost("a", at.Add(time.Second)) {
+	if !he.RecordLoss("a", at.Add(time.Second)) || he.fresh("a", at) || he.RecordLoss("a", at.Add(time.Second)) {
 		t.Error("a loss is news once")
 	}
 }
--- a/internal/mesh/link/ends.go
+++ b/internal/mesh/link/ends.go
@@ -12,9 +12,9 @@
 // more the peer hears by another way, or not before the next end.
 const maxEnds = 4096
 
-// SendEnds sends reports of requests under which servers ended, at once: until they have
+// SendCrashReports sends reports of requests under which servers ended, at once: until they have
 // come, the request may end one more server behind the peer.
-func (pr *Peer) SendEnds(list []poison.Report) {
+func (pr *Peer) SendCrashReports(list []poison.Report) {
 	if len(list) == 0 {
 		return
 	}
@@ -34,15 +34,15 @@
 // packEnds puts the requests of one end together.
 func packEnds(ends map[poison.Report]bool, now time.Time) (list []*wirepb.ServerEnd) {
 	type kind struct {
-		end      poison.End
+		end      poison.CrashID
 		answered bool
 	}
 	of := map[kind]*wirepb.ServerEnd{}
 	for re := range ends {
-		ki := kind{re.End, re.Answered}
+		ki := kind{re.Crash, re.Answered}
 		se := of[ki]
 		if se == nil {
-			se = &wirepb.ServerEnd{End: uint64(re.End), AgeMs: uint64(max(0, now.Sub(re.At).Milliseconds())), Answered: re.Answered}
+			se = &wirepb.ServerEnd{End: uint64(re.Crash), AgeMs: uint64(max(0, now.Sub(re.At).Milliseconds())), Answered: re.Answered}
 			of[ki] = se
 			list = append(list, se)
 		}
@@ -51,9 +51,9 @@
 	return list
 }
 
-// Ends returns the reports of a packet. A statement of which the parts do not belong
+// CrashReports returns the reports of a packet. A statement of which the parts do not belong
 // together says nothing.
-func Ends(pk *wirepb.Packet, now time.Time) (list []poison.Report) {
+func CrashReports(pk *wirepb.Packet, now time.Time) (list []poison.Report) {
 	for _, se := range pk.Ends {
 		if len(se.Heads) != len(se.Keys) {
 			continue
@@ -61,7 +61,7 @@
 		age := time.Duration(min(se.AgeMs, uint64(maxAge.Milliseconds()))) * time.Millisecond
 		for i, head := range se.Heads {
 			list = append(list, poison.Report{
-				Head: head, Key: ident.Key(se.Keys[i]), End: poison.End(se.End), At: now.Add(-age), Answered: se.Answered,
+				Head: head, Key: ident.Key(se.Keys[i]), Crash: poison.CrashID(se.End), At: now.Add(-age), Answered: se.Answered,
 			})
 		}
 	}
--- a/internal/mesh/link/link.go
+++ b/internal/mesh/link/link.go
@@ -19,14 +19,14 @@
 
 // The times of a link.
 const (
-	// Beat is the longest time without a packet from a living peer.
-	Beat = time.Second
-	// Silence is how long a peer may send nothing before the link is ended. A
+	// HeartbeatInterval is the longest time without a packet from a living peer.
+	HeartbeatInterval = time.Second
+	// PeerTimeout is how long a peer may send nothing before the link is ended. A
 	// frozen process keeps its connection open; only its silence shows it.
 	//
 	// It is below the three seconds after which a daemon whose connections went
 	// silent without a reset must follow new versions again.
-	Silence = 2500 * time.Millisecond
+	PeerTimeout = 2500 * time.Millisecond
 	// gather is how long news waits for more of it before a packet is sent.
 	gather = 20 * time.Millisecond
 	// gatherMany is how much longer it waits once many records wait, as when a fleet
@@ -35,8 +35,8 @@
 	gatherMany = 130 * time.Millisecond
 )
 
-// ErrSilent says that a peer sent nothing for the time Silence.
-var ErrSilent = errors.New("link: the peer is silent")
+// ErrPeerTimeout says that a peer sent nothing for the time Silence.
+var ErrPeerTimeout = errors.New("link: the peer is silent")
 
 // Stream is one side of an open stream.
 type Stream struct {
@@ -57,12 +57,12 @@
 	Outgoing bool
 	// Addr is where the peer was reached, for an outgoing link.
 	Addr string
-	// Born is a moment at which the peer's process ran already, Proven that it was told
+	// RunningSince is a moment at which the peer's process ran already, Proven that it was told
 	// the newest version. The owner of the peer guards them.
-	Born   time.Time
-	Proven bool
-	// Sent, if set, is told of each packet that was sent. It is set before Run.
-	Sent func(pr *Peer, pk *wirepb.Packet)
+	RunningSince time.Time
+	SentNewest   bool
+	// OnSent, if set, is told of each packet that was sent. It is set before Run.
+	OnSent func(pr *Peer, pk *wirepb.Packet)
 
 	heard  atomic.Pointer[time.Time] // when the last packet came
 	silent atomic.Pointer[time.Timer]
@@ -113,7 +113,7 @@
 	defer cancel(nil)
 	stop := context.AfterFunc(ctx, pr.stream.Abort)
 	defer stop()
-	silent := time.AfterFunc(Silence, func() { cancel(ErrSilent) })
+	silent := time.AfterFunc(PeerTimeout, func() { cancel(ErrPeerTimeout) })
 	defer silent.Stop()
 	pr.silent.Store(silent)
 	var wg conc.WaitGroup
@@ -124,25 +124,25 @@
 			cancel(err)
 			break
 		}
-		pr.Alive()
+		pr.MarkAlive()
 		handle(pr, pk)
 	}
 	wg.Wait()
 	return context.Cause(ctx)
 }
 
-// Alive notes that the peer was heard, also on another stream: bytes of a large answer on the
+// MarkAlive notes that the peer was heard, also on another stream: bytes of a large answer on the
 // same connection hold up its packets.
-func (pr *Peer) Alive() {
+func (pr *Peer) MarkAlive() {
 	if silent := pr.silent.Load(); silent != nil {
-		silent.Reset(Silence)
+		silent.Reset(PeerTimeout)
 	}
 	now := time.Now()
 	pr.heard.Store(&now)
 }
 
-// Heard returns when the last packet came, the zero time for none.
-func (pr *Peer) Heard() time.Time {
+// LastHeard returns when the last packet came, the zero time for none.
+func (pr *Peer) LastHeard() time.Time {
 	if at := pr.heard.Load(); at != nil {
 		return *at
 	}
@@ -150,7 +150,7 @@
 }
 
 func (pr *Peer) sendAll(ctx context.Context) error {
-	beat := time.NewTimer(Beat)
+	beat := time.NewTimer(HeartbeatInterval)
 	defer beat.Stop()
 	for {
 		select {
@@ -171,10 +171,10 @@
 		if err := pr.stream.Send(pk); err != nil {
 			return err
 		}
-		if pr.Sent != nil {
-			pr.Sent(pr, pk)
+		if pr.OnSent != nil {
+			pr.OnSent(pr, pk)
 		}
-		beat.Reset(Beat)
+		beat.Reset(HeartbeatInterval)
 	}
 }
 
@@ -296,8 +296,8 @@
 	}
 }
 
-// Next changes the next packet; it is sent at once.
-func (pr *Peer) Next(fn func(*wirepb.Packet)) {
+// UpdateNext changes the next packet; it is sent at once.
+func (pr *Peer) UpdateNext(fn func(*wirepb.Packet)) {
 	pr.change(func() {
 		fn(pr.next)
 		pr.now = true
@@ -314,9 +314,9 @@
 	}
 }
 
-// Knows notes the newest version that the peer is known to have. What it
+// RecordVersion notes the newest version that the peer is known to have. What it
 // already has, or was sent, is not offered again on this link.
-func (pr *Peer) Knows(version uint64, digest pack.Digest) {
+func (pr *Peer) RecordVersion(version uint64, digest pack.Digest) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	if version > pr.version {
--- a/internal/mesh/link/rolls.go
+++ b/internal/mesh/link/rolls.go
@@ -54,9 +54,9 @@
 	return &wirepb.Rollout{
 		Service: ro.Order.Service, Target: ro.Order.Target, Baseline: ro.Baseline,
 		Epoch: int64(ro.Order.Revision.Epoch), Number: ro.Order.Revision.Number,
-		AgeMs: uint64(max(0, now.Sub(ro.Began)).Milliseconds()), DurationMs: uint64(ro.Order.Duration.Milliseconds()),
+		AgeMs: uint64(max(0, now.Sub(ro.StartedAt)).Milliseconds()), DurationMs: uint64(ro.Order.Duration.Milliseconds()),
 		State: uint32(ro.State), Stored: ro.Stored,
-		Share: uint32(ro.Share * 1000), Servers: uint32(ro.Servers), TtlMs: uint64(max(0, ro.Until.Sub(now)).Milliseconds()), Seq: ro.Seq,
+		Share: uint32(ro.Share * 1000), Servers: uint32(ro.Servers), TtlMs: uint64(max(0, ro.ValidUntil.Sub(now)).Milliseconds()), Seq: ro.Seq,
 	}
 }
 
@@ -73,23 +73,23 @@
 				Service: pb.Service, Target: pb.Target, Duration: fromMs(pb.DurationMs),
 				Revision: store.Revision{Epoch: store.Epoch(pb.Epoch), Number: pb.Number},
 			},
-			State: st, Baseline: pb.Baseline, Began: now.Add(-fromMs(pb.AgeMs)), Stored: pb.Stored,
+			State: st, Baseline: pb.Baseline, StartedAt: now.Add(-fromMs(pb.AgeMs)), Stored: pb.Stored,
 			Share: float64(min(pb.Share, 1000)) / 1000, Servers: int(pb.Servers),
-			Until: now.Add(min(fromMs(pb.TtlMs), canary.TTL)), Seq: pb.Seq,
+			ValidUntil: now.Add(min(fromMs(pb.TtlMs), canary.TTL)), Seq: pb.Seq,
 		})
 	}
 	return list
 }
 
 // TallyToWire returns counts as a message.
-func TallyToWire(su tally.Sum) []*wirepb.CohortTally {
+func TallyToWire(su tally.Cohorts) []*wirepb.CohortTally {
 	var list []*wirepb.CohortTally
 	for software, cohorts := range su {
 		for _, ch := range cohorts {
 			pb := &wirepb.CohortTally{Software: software, Servers: uint32(ch.Servers), Running: uint32(ch.Running), Vm: ch.VM}
 			for route, ro := range ch.Routes {
 				pb.Routes = append(pb.Routes, &wirepb.RouteTally{
-					Route: route, Requests: ro.Requests, Failures: ro.Failures, Timed: ro.Timed, Logs: ro.Logs, Squares: ro.Squares,
+					Route: route, Requests: ro.Requests, Failures: ro.Failures, Timed: ro.Timed, Logs: ro.LogSum, Squares: ro.LogSquareSum,
 				})
 			}
 			list = append(list, pb)
@@ -99,13 +99,13 @@
 }
 
 // TallyFromWire returns the counts of a message.
-func TallyFromWire(ta *wirepb.Tally) tally.Sum {
-	su := tally.Sum{}
+func TallyFromWire(ta *wirepb.Tally) tally.Cohorts {
+	su := tally.Cohorts{}
 	for _, pb := range ta.Cohorts {
-		ch := &tally.Cohort{VM: pb.Vm, Servers: int(pb.Servers), Running: int(pb.Running), Routes: map[string]*tally.Row{}}
+		ch := &tally.Cohort{VM: pb.Vm, Servers: int(pb.Servers), Running: int(pb.Running), Routes: map[string]*tally.Counts{}}
 		for _, rt := range pb.Routes {
-			ch.Routes[rt.Route] = &tally.Row{
-				Requests: rt.Requests, Failures: min(rt.Failures, rt.Requests), Timed: min(rt.Timed, rt.Requests), Logs: rt.Logs, Squares: rt.Squares,
+			ch.Routes[rt.Route] = &tally.Counts{
+				Requests: rt.Requests, Failures: min(rt.Failures, rt.Requests), Timed: min(rt.Timed, rt.Requests), LogSum: rt.Logs, LogSquareSum: rt.Squares,
 			}
 		}
 		su.Add(pb.Software, ch)
--- a/internal/mesh/member/member.go
+++ b/internal/mesh/member/member.go
@@ -34,7 +34,7 @@
 	// Lifetime names the start of the backend server.
 	Lifetime string
 	// Leaving is the last start of the backend server that said it leaves.
-	Leaving Leaver
+	Leaving Departure
 	// ColdUntil is until when it is slow after its start, by the wall clock of
 	// the VM.
 	ColdUntil time.Time
@@ -44,14 +44,14 @@
 	Software string
 }
 
-// Leaver is a start of a backend server that said it leaves. The zero value is none.
-type Leaver struct {
+// Departure is a start of a backend server that said it leaves. The zero value is none.
+type Departure struct {
 	Lifetime string
 	// StartedMs is the Unix time in milliseconds of the start, 0 where the server
 	// did not tell. A server may start again under the name that it had.
 	StartedMs int64
-	// At is the number of the announcement by which it said so.
-	At uint64
+	// Number is the number of the announcement by which it said so.
+	Number uint64
 }
 
 // Mark is what a relay adds to a record.
@@ -140,7 +140,7 @@
 		Vm: rc.VM, Domain: rc.Domain, Incarnation: rc.Incarnation, Sequence: rc.Sequence, Nonce: rc.Nonce,
 		Mark: wirepb.Mark(rc.Mark), State: wirepb.State(rc.State), Service: rc.Service, Slots: uint32(rc.Slots),
 		Inlet: rc.Inlet, Control: rc.Control, Lifetime: rc.Lifetime, Capacity: rc.Capacity, Software: rc.Software,
-		Leaving: rc.Leaving.Lifetime, LeavingStartedMs: rc.Leaving.StartedMs, LeftAt: rc.Leaving.At,
+		Leaving: rc.Leaving.Lifetime, LeavingStartedMs: rc.Leaving.StartedMs, LeftAt: rc.Leaving.Number,
 	}
 	if !rc.Since.IsZero() {
 		pb.SinceMs = uint64(rc.Since.UnixMilli())
@@ -157,7 +157,7 @@
 		VM: pb.GetVm(), Domain: pb.GetDomain(), Incarnation: pb.GetIncarnation(), Sequence: pb.GetSequence(), Nonce: pb.GetNonce(),
 		Mark: Mark(pb.GetMark()), State: State(pb.GetState()), Service: pb.GetService(), Slots: int(pb.GetSlots()),
 		Inlet: pb.GetInlet(), Control: pb.GetControl(), Lifetime: pb.GetLifetime(), Capacity: pb.GetCapacity(), Software: pb.GetSoftware(),
-		Leaving: Leaver{Lifetime: pb.GetLeaving(), StartedMs: pb.GetLeavingStartedMs(), At: pb.GetLeftAt()},
+		Leaving: Departure{Lifetime: pb.GetLeaving(), StartedMs: pb.GetLeavingStartedMs(), Number: pb.GetLeftAt()},
 	}
 	if ms := pb.GetColdUntilMs(); ms > 0 {
 		rc.ColdUntil = time.UnixMilli(int64(ms))
@@ -171,10 +171,10 @@
 // View is an immutable set of records, by VM.
 type View struct {
 	byVM map[string]*Record
-	// Domains has the live records of each failure domain, sorted by VM.
-	Domains map[string][]*Record
-	// Controls has the control addresses of the live records.
-	Controls map[string]bool
+	// LiveByDomain has the live records of each failure domain, sorted by VM.
+	LiveByDomain map[string][]*Record
+	// LiveControls has the control addresses of the live records.
+	LiveControls map[string]bool
 	// Hashes sums up all records of each failure domain, for repair.
 	Hashes map[string]uint64
 }
@@ -201,7 +201,7 @@
 		return 0
 	}
 	n := 0
-	for _, live := range vw.Domains {
+	for _, live := range vw.LiveByDomain {
 		n += len(live)
 	}
 	return n
@@ -224,7 +224,7 @@
 	if vw == nil {
 		return nil
 	}
-	return vw.Domains[domain]
+	return vw.LiveByDomain[domain]
 }
 
 // Merge returns the view with those of the records that are newer than what it
@@ -252,9 +252,9 @@
 	return next, news
 }
 
-// Without returns the view without the records of VMs that are not live and
+// WithoutDead returns the view without the records of VMs that are not live and
 // that drop names.
-func (vw *View) Without(drop func(vm string) bool) *View {
+func (vw *View) WithoutDead(drop func(vm string) bool) *View {
 	next := &View{byVM: make(map[string]*Record, vw.Len())}
 	for rc := range vw.All {
 		if rc.Live() || !drop(rc.VM) {
@@ -268,9 +268,9 @@
 	return next
 }
 
-// WithoutOldest returns the view without the oldest of the records that are not
+// LimitDead returns the view without the oldest of the records that are not
 // live, where there are more than spare beyond the number of live ones.
-func (vw *View) WithoutOldest(spare int) *View {
+func (vw *View) LimitDead(spare int) *View {
 	var dead []*Record
 	for rc := range vw.All {
 		if !rc.Live() {
@@ -286,21 +286,21 @@
 	for _, rc := range dead[:over] {
 		drop[rc.VM] = true
 	}
-	return vw.Without(func(vm string) bool { return drop[vm] })
+	return vw.WithoutDead(func(vm string) bool { return drop[vm] })
 }
 
 func (vw *View) sumUp() {
-	vw.Domains = map[string][]*Record{}
+	vw.LiveByDomain = map[string][]*Record{}
 	vw.Hashes = map[string]uint64{}
-	vw.Controls = make(map[string]bool, len(vw.byVM))
+	vw.LiveControls = make(map[string]bool, len(vw.byVM))
 	for _, rc := range vw.byVM {
 		vw.Hashes[rc.Domain] ^= rc.hash()
 		if rc.Live() {
-			vw.Domains[rc.Domain] = append(vw.Domains[rc.Domain], rc)
-			vw.Controls[rc.Control] = true
+			vw.LiveByDomain[rc.Domain] = append(vw.LiveByDomain[rc.Domain], rc)
+			vw.LiveControls[rc.Control] = true
 		}
 	}
-	for _, list := range vw.Domains {
+	for _, list := range vw.LiveByDomain {
 		slices.SortFunc(list, func(a, b *Record) int { return strings.Compare(a.VM, b.VM) })
 	}
 }
--- a/internal/mesh/member/member_test.go
+++ b/internal/mesh/member/member_test.go
@@ -94,7 +94,7 @@
 	vw, _ := (&View{}).Merge([]*Record{
 		{VM: "live", State: StateServing}, {VM: "gone", State: StateServing, Mark: MarkGone}, {VM: "kept", State: StateLeft},
 	})
-	next := vw.Without(func(vm string) bool { return vm != "kept" })
+	next := vw.WithoutDead(func(vm string) bool { return vm != "kept" })
 	if next.Get("live") == nil || next.Get("gone") != nil || next.Get("kept") == nil {
 		t.Errorf("left are %v", records(next))
 	}
--- a/internal/mesh/poison/keep.go
+++ b/internal/mesh/poison/keep.go
@@ -25,22 +25,22 @@
 	Answered bool  `json:"answered,omitempty"`
 }
 
-// Refused returns what the platform's store is told: all reports of requests that are not
+// RefusedReports returns what the platform's store is told: all reports of requests that are not
 // run, for daemons that cannot hear it from each other.
-func (vw *View) Refused() []Report {
+func (vw *View) RefusedReports() []Report {
 	list := vw.Reports(maxKept)
-	return slices.DeleteFunc(list, func(re Report) bool { return vw.Ends(re.Key) < Most })
+	return slices.DeleteFunc(list, func(re Report) bool { return vw.CrashCount(re.Key) < RefuseThreshold })
 }
 
-// Same reports whether two lists say the same. When an end was is not compared: each daemon
+// SameReports reports whether two lists say the same. When an end was is not compared: each daemon
 // reckons it by its own clock.
-func Same(a, b []Report) bool {
+func SameReports(a, b []Report) bool {
 	plain := func(list []Report) []Report {
 		list = slices.Clone(list)
 		for i := range list {
 			list[i].At = time.Time{}
 		}
-		slices.SortFunc(list, func(a, b Report) int { return cmp.Or(cmp.Compare(a.Key, b.Key), cmp.Compare(a.End, b.End)) })
+		slices.SortFunc(list, func(a, b Report) int { return cmp.Or(cmp.Compare(a.Key, b.Key), cmp.Compare(a.Crash, b.Crash)) })
 		return list
 	}
 	return slices.Equal(plain(a), plain(b))
@@ -50,7 +50,7 @@
 func Encode(list []Report, now time.Time) ([]byte, error) {
 	rows := make([]kept, len(list))
 	for i, re := range list {
-		rows[i] = kept{Head: hex(re.Head), Key: re.Key.String(), End: hex(uint64(re.End)), AtMs: now.UnixMilli() - now.Sub(re.At).Milliseconds(), Answered: re.Answered}
+		rows[i] = kept{Head: hex(re.Head), Key: re.Key.String(), End: hex(uint64(re.Crash)), AtMs: now.UnixMilli() - now.Sub(re.At).Milliseconds(), Answered: re.Answered}
 	}
 	return json.Marshal(rows)
 }
@@ -80,7 +80,7 @@
 			nums[j] = n
 		}
 		age := min(max(0, time.Duration(now.UnixMilli()-ro.AtMs)*time.Millisecond), keepFor)
-		list[i] = Report{Head: nums[0], Key: ident.Key(nums[1]), End: End(nums[2]), At: now.Add(-age), Answered: ro.Answered}
+		list[i] = Report{Head: nums[0], Key: ident.Key(nums[1]), Crash: CrashID(nums[2]), At: now.Add(-age), Answered: ro.Answered}
 	}
 	return list, nil
 }
--- a/internal/mesh/poison/keep_test.go
+++ b/internal/mesh/poison/keep_test.go
@@ -12,12 +12,12 @@
 func TestKept(t *testing.T) {
 	began := time.Unix(1_000_000, 0)
 	var list []Report
-	for en := range End(Most) {
-		list = append(list, Report{Head: 1 << 63, Key: 1<<63 + 1, End: en, At: began, Answered: false})
+	for en := range CrashID(RefuseThreshold) {
+		list = append(list, Report{Head: 1 << 63, Key: 1<<63 + 1, Crash: en, At: began, Answered: false})
 	}
-	list = append(list, Report{Head: 2, Key: 2, End: 1, At: began}, Report{Head: 1 << 63, Key: 1<<63 + 1, End: Most, At: began, Answered: true})
+	list = append(list, Report{Head: 2, Key: 2, Crash: 1, At: began}, Report{Head: 1 << 63, Key: 1<<63 + 1, Crash: RefuseThreshold, At: began, Answered: true})
 	vw, _ := (*View)(nil).Merge(list, began)
-	text, err := Encode(vw.Refused(), began)
+	text, err := Encode(vw.RefusedReports(), began)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	read, _ := (*View)(nil).Merge(got, began)
-	if !read.Refuses(1<<63+1, began, 0) || read.Ends(2) != 0 || len(got) != Most+1 {
+	if !read.Refuses(1<<63+1, began, 0) || read.CrashCount(2) != 0 || len(got) != RefuseThreshold+1 {
 		t.Errorf("read back as %v", got)
 	}
 	ahead, err := Decode(text, began.Add(-time.Minute))
@@ -37,7 +37,7 @@
 	for i := range later {
 		later[i].At = later[i].At.Add(time.Millisecond)
 	}
-	if !Same(got, later) || Same(got, got[1:]) {
+	if !SameReports(got, later) || SameReports(got, got[1:]) {
 		t.Error("lists are the same by what they say, not by when")
 	}
 }
@@ -55,8 +55,8 @@
 		}
 		vw, _ := (*View)(nil).Merge(list, time.Now())
 		for key := range ident.Key(4) {
-			if vw.Ends(key) > maxEnds {
-				t.Errorf("request %d has %d ends", key, vw.Ends(key))
+			if vw.CrashCount(key) > maxEnds {
+				t.Errorf("request %d has %d ends", key, vw.CrashCount(key))
 			}
 		}
 	})
--- a/internal/mesh/poison/poison.go
+++ b/internal/mesh/poison/poison.go
@@ -12,18 +12,18 @@
 
 // When a request is not run.
 const (
-	// Most is the number of ends, over all servers, from which it is not run.
-	Most = 3
-	// Apart is the number of ends from which it is not run beside another such request:
+	// RefuseThreshold is the number of ends, over all servers, from which it is not run.
+	RefuseThreshold = 3
+	// IsolateThreshold is the number of ends from which it is not run beside another such request:
 	// if the server ends as well, it is known which of them was the cause.
-	Apart = 2
+	IsolateThreshold = 2
 	// refuseFor is how long after the last end it is not run. Then it is tried again,
 	// as a new version of the servers may have mended the fault; one more end, and it is
 	// not run for as long again.
 	refuseFor = 10 * time.Minute
-	// RefuseSpread is the span over which daemons begin to try it again, each at a
+	// RetryJitter is the span over which daemons begin to try it again, each at a
 	// moment of its own: the first one tells the others what became of it.
-	RefuseSpread = time.Minute
+	RetryJitter = time.Minute
 	// keepFor is how long after its last end a request is kept in mind.
 	keepFor = time.Hour
 )
@@ -36,15 +36,15 @@
 	maxEnds  = 8
 )
 
-// End names the end of one lifetime of a backend server.
-type End uint64
+// Crash names the end of one lifetime of a backend server.
+type CrashID uint64
 
 // Report says that a server ended while it ran a request or, where it is Answered, that
 // the request was answered by a server though that end was known of it.
 type Report struct {
-	Head uint64
-	Key  ident.Key
-	End  End
+	Head  uint64
+	Key   ident.Key
+	Crash CrashID
 	// At is when the server ended, by the reader's clock.
 	At       time.Time
 	Answered bool
@@ -52,7 +52,7 @@
 
 // ending is an end that a server came to under a request.
 type ending struct {
-	End
+	CrashID
 	at       time.Time
 	answered bool
 }
@@ -86,11 +86,11 @@
 // Suspects reports whether servers may have ended under a request, by its head. It is asked
 // for each request: most need no key because of it, and none a head while nothing is known.
 func (vw *View) Suspects(r *http.Request) bool {
-	return vw != nil && len(vw.heads) > 0 && vw.heads[ident.Head(r)]
+	return vw != nil && len(vw.heads) > 0 && vw.heads[ident.HeaderHash(r)]
 }
 
-// Ends returns how many servers a request has ended, as far as is known.
-func (vw *View) Ends(key ident.Key) int {
+// CrashCount returns how many servers a request has ended, as far as is known.
+func (vw *View) CrashCount(key ident.Key) int {
 	if vw == nil || vw.requests[key] == nil {
 		return 0
 	}
@@ -100,28 +100,28 @@
 // Refuses reports whether a request is not to be run. A daemon tries it again later than
 // others by its spread.
 func (vw *View) Refuses(key ident.Key, now time.Time, spread time.Duration) bool {
-	return vw.Ends(key) >= Most && now.Sub(vw.requests[key].last) < refuseFor+spread
+	return vw.CrashCount(key) >= RefuseThreshold && now.Sub(vw.requests[key].last) < refuseFor+spread
 }
 
-// Answered returns the reports that a request was answered by a server.
-func (vw *View) Answered(key ident.Key) []Report {
-	list := slices.DeleteFunc(vw.Of(key), func(re Report) bool { return re.Answered })
+// AnswerReports returns the reports that a request was answered by a server.
+func (vw *View) AnswerReports(key ident.Key) []Report {
+	list := slices.DeleteFunc(vw.ReportsOf(key), func(re Report) bool { return re.Answered })
 	for i := range list {
 		list[i].Answered = true
 	}
 	return list
 }
 
-// Len returns how many requests have ends that count, and how many as many as are not
+// Counts returns how many requests have ends that count, and how many as many as are not
 // run.
-func (vw *View) Len() (suspected, refused int) {
+func (vw *View) Counts() (suspected, refused int) {
 	if vw == nil {
 		return 0, 0
 	}
 	for _, rq := range vw.requests {
 		if n := rq.count(); n > 0 {
 			suspected++
-			if n >= Most {
+			if n >= RefuseThreshold {
 				refused++
 			}
 		}
@@ -137,23 +137,23 @@
 	}
 	var list []Report
 	for _, key := range vw.worst() {
-		if most > 0 && vw.Ends(key) > 0 {
+		if most > 0 && vw.CrashCount(key) > 0 {
 			most--
-			list = append(list, vw.Of(key)...)
+			list = append(list, vw.ReportsOf(key)...)
 		}
 	}
 	return list
 }
 
-// Of returns all reports of a request that are known.
-func (vw *View) Of(key ident.Key) []Report {
+// ReportsOf returns all reports of a request that are known.
+func (vw *View) ReportsOf(key ident.Key) []Report {
 	if vw == nil || vw.requests[key] == nil {
 		return nil
 	}
 	rq := vw.requests[key]
 	var list []Report
 	for _, en := range rq.ends {
-		list = append(list, Report{Head: rq.head, Key: key, End: en.End, At: en.at, Answered: en.answered})
+		list = append(list, Report{Head: rq.head, Key: key, Crash: en.CrashID, At: en.at, Answered: en.answered})
 	}
 	return list
 }
@@ -206,7 +206,7 @@
 		next = *rq
 	}
 	next.ends = slices.Clone(next.ends)
-	at := slices.IndexFunc(next.ends, func(en ending) bool { return en.End == re.End })
+	at := slices.IndexFunc(next.ends, func(en ending) bool { return en.CrashID == re.Crash })
 	switch {
 	case at >= 0 && (next.ends[at].answered || !re.Answered):
 		return nil
@@ -219,7 +219,7 @@
 		}
 		next.ends = next.ends[1:]
 	}
-	next.ends = append(next.ends, ending{End: re.End, at: re.At, answered: re.Answered})
+	next.ends = append(next.ends, ending{CrashID: re.Crash, at: re.At, answered: re.Answered})
 	slices.SortFunc(next.ends, func(a, b ending) int { return a.at.Compare(b.at) })
 	next.last = next.ends[len(next.ends)-1].at
 	return &next
--- a/internal/mesh/poison/poison_test.go
+++ b/internal/mesh/poison/poison_test.go
@@ -18,9 +18,9 @@
 	const same, other ident.Key = 1, 2
 	began := time.Unix(1_000_000, 0)
 	asks := httptest.NewRequest("GET", "http://booking/visits/7", nil)
-	heads := map[ident.Key]uint64{same: ident.Head(asks), other: 2}
-	end := func(key ident.Key, en End, after time.Duration) Report {
-		return Report{Head: heads[key], Key: key, End: en, At: began.Add(after)}
+	heads := map[ident.Key]uint64{same: ident.HeaderHash(asks), other: 2}
+	end := func(key ident.Key, en CrashID, after time.Duration) Report {
+		return Report{Head: heads[key], Key: key, Crash: en, At: began.Add(after)}
 	}
 	answered := func(re Report) Report { re.Answered = true; return re }
 	for _, tc := range []struct {
@@ -53,7 +53,7 @@
 			vw, _ = vw.Merge([]Report{re}, now)
 		}
 		now := began.Add(tc.after)
-		if got := vw.Ends(same); got != tc.ends || vw.Refuses(same, now, 0) != tc.refused || vw.Suspects(asks) != (tc.ends > 0) {
+		if got := vw.CrashCount(same); got != tc.ends || vw.Refuses(same, now, 0) != tc.refused || vw.Suspects(asks) != (tc.ends > 0) {
 			t.Errorf("%s: %d ends, refused %t, suspected %t; want %d and %t", tc.name, got, vw.Refuses(same, now, 0), vw.Suspects(asks), tc.ends, tc.refused)
 		}
 	}
@@ -68,7 +68,7 @@
 		list := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Report {
 			key := rapid.Uint64Range(1, 4).Draw(t, "key")
 			en := rapid.Uint64Range(1, maxEnds).Draw(t, "end")
-			return Report{Head: key, Key: ident.Key(key), End: End(en), At: began.Add(time.Duration(en) * time.Second), Answered: rapid.Bool().Draw(t, "answered")}
+			return Report{Head: key, Key: ident.Key(key), Crash: CrashID(en), At: began.Add(time.Duration(en) * time.Second), Answered: rapid.Bool().Draw(t, "answered")}
 		}), 0, 40).Draw(t, "reports")
 		now := began.Add(time.Minute)
 		one, _ := (*View)(nil).Merge(list, now)
@@ -77,8 +77,8 @@
 			two, _ = two.Merge([]Report{re, re}, now)
 		}
 		for key := range ident.Key(5) {
-			if one.Ends(key) != two.Ends(key) {
-				t.Fatalf("request %d: %d and %d ends", key, one.Ends(key), two.Ends(key))
+			if one.CrashCount(key) != two.CrashCount(key) {
+				t.Fatalf("request %d: %d and %d ends", key, one.CrashCount(key), two.CrashCount(key))
 			}
 		}
 		if _, news := two.Merge(one.Reports(maxCases), now); len(news) > 0 {
@@ -92,16 +92,16 @@
 func TestBounds(t *testing.T) {
 	began := time.Unix(1_000_000, 0)
 	var vw *View
-	for en := range End(2 * maxEnds) {
-		vw, _ = vw.Merge([]Report{{Head: 1, Key: 1, End: en, At: began.Add(time.Duration(en) * time.Second)}}, began.Add(time.Hour/2))
+	for en := range CrashID(2 * maxEnds) {
+		vw, _ = vw.Merge([]Report{{Head: 1, Key: 1, Crash: en, At: began.Add(time.Duration(en) * time.Second)}}, began.Add(time.Hour/2))
 	}
 	for i := range 4 * maxCases {
-		vw, _ = vw.Merge([]Report{{Head: 2, Key: ident.Key(i + 2), End: 1, At: began.Add(time.Hour / 2)}}, began.Add(time.Hour/2))
+		vw, _ = vw.Merge([]Report{{Head: 2, Key: ident.Key(i + 2), Crash: 1, At: began.Add(time.Hour / 2)}}, began.Add(time.Hour/2))
 	}
-	if got := vw.Ends(1); got != maxEnds {
+	if got := vw.CrashCount(1); got != maxEnds {
 		t.Errorf("%d ends are kept of the worst request, want %d", got, maxEnds)
 	}
-	if suspected, refused := vw.Len(); suspected != maxCases || refused != 1 {
+	if suspected, refused := vw.Counts(); suspected != maxCases || refused != 1 {
 		t.Errorf("%d requests are kept and %d refused, want %d and 1", suspected, refused, maxCases)
 	}
 	told := vw.Reports(10)
@@ -117,11 +117,11 @@
 	var vw *View
 	var list []Report
 	for i := range maxCases {
-		list = append(list, Report{Head: uint64(i), Key: ident.Key(i), End: 1, At: now})
+		list = append(list, Report{Head: uint64(i), Key: ident.Key(i), Crash: 1, At: now})
 	}
 	vw, _ = vw.Merge(list, now)
 	b.ReportAllocs()
 	for b.Loop() {
-		vw.Merge([]Report{{Head: 1, Key: 1, End: 2, At: now}}, now)
+		vw.Merge([]Report{{Head: 1, Key: 1, Crash: 2, At: now}}, now)
 	}
 }
--- a/internal/node/addrs/addrs.go
+++ b/internal/node/addrs/addrs.go
@@ -25,9 +25,9 @@
 // it has not returned before.
 func Free() (string, error) { return FreeOn("127.0.0.1") }
 
-// Own returns a loopback IP of this process's own, so that other processes which find
+// ProcessIP returns a loopback IP of this process's own, so that other processes which find
 // addresses at the same time do not take its ports while nobody listens on them.
-func Own() string {
+func ProcessIP() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.1", 1+(pid>>8)%200, 1+pid%200)
 }
--- a/internal/node/admin/admin.go
+++ b/internal/node/admin/admin.go
@@ -75,8 +75,8 @@
 	return time.Duration(an.TTLMs) * time.Millisecond
 }
 
-// Check returns what is wrong with the announcement.
-func (an *Announcement) Check() error {
+// Validate returns what is wrong with the announcement.
+func (an *Announcement) Validate() error {
 	switch {
 	case an.State != "" && an.State != StateServing && an.State != StateDraining:
 		return fmt.Errorf("state is %q; set it to %s or %s, or leave it out", an.State, StateServing, StateDraining)
@@ -104,8 +104,8 @@
 	// Announce and Withdraw take a backend server in and out.
 	Announce func(context.Context, Announcement) error
 	Withdraw func(context.Context, Withdrawal)
-	// Refused notes what was announced for a lifetime and cannot be read or is wrong.
-	Refused func(lifetime string, err error)
+	// OnBadAnnouncement notes what was announced for a lifetime and cannot be read or is wrong.
+	OnBadAnnouncement func(lifetime string, err error)
 	// Ready returns why the daemon is not ready, nil when it is.
 	Ready func() error
 	// Status returns what is known of the fleet.
@@ -113,12 +113,12 @@
 	// Drain drains a VM, this one or another, and returns how many requests
 	// are still running there.
 	Drain func(ctx context.Context, vm string) (int, error)
-	// Sample sets the share of requests that are logged.
-	Sample func(share float64)
+	// SetLogSample sets the share of requests that are logged.
+	SetLogSample func(share float64)
 	// Vars are the daemon's metrics.
 	Vars *expvar.Map
-	// Unsent, if set, notes that an answer could not be sent, as when the asker has gone.
-	Unsent func(err error)
+	// OnWriteError, if set, notes that an answer could not be sent, as when the asker has gone.
+	OnWriteError func(err error)
 }
 
 // New returns the handler of the pages.
@@ -145,7 +145,7 @@
 	dec.DisallowUnknownFields()
 	err := dec.Decode(&an)
 	if err == nil {
-		err = an.Check()
+		err = an.Validate()
 	}
 	if err != nil {
 		hs.fail(w, http.StatusBadRequest, err)
@@ -190,7 +190,7 @@
 		hs.fail(w, http.StatusBadRequest, fmt.Errorf("the share is %q; set it to a number from 0 to 1", ps.ByName("share")))
 		return
 	}
-	hs.Sample(share)
+	hs.SetLogSample(share)
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -226,18 +226,18 @@
 
 // sent notes how sending an answer ended.
 func (hs *Handlers) sent(err error) {
-	if err != nil && hs.Unsent != nil {
-		hs.Unsent(err)
+	if err != nil && hs.OnWriteError != nil {
+		hs.OnWriteError(err)
 	}
 }
 
-// Failure is the body of an answer that reports an error.
-type Failure struct {
+// ErrorResponse is the body of an answer that reports an error.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
 func (hs *Handlers) fail(w http.ResponseWriter, status int, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	hs.sent(json.NewEncoder(w).Encode(Failure{Error: err.Error()}))
+	hs.sent(json.NewEncoder(w).Encode(ErrorResponse{Error: err.Error()}))
 }
--- a/internal/node/admin/admin_test.go
+++ b/internal/node/admin/admin_test.go
@@ -13,13 +13,13 @@
 func TestPages(t *testing.T) {
 	share := -1.0
 	hs := Handlers{
-		Announce: func(context.Context, Announcement) error { return nil },
-		Withdraw: func(context.Context, Withdrawal) {},
-		Ready:    func() error { return nil },
-		Status:   func(context.Context) Status { return Status{VM: "v"} },
-		Drain:    func(context.Context, string) (int, error) { return 3, nil },
-		Sample:   func(s float64) { share = s },
-		Vars:     new(expvar.Map),
+		Announce:     func(context.Context, Announcement) error { return nil },
+		Withdraw:     func(context.Context, Withdrawal) {},
+		Ready:        func() error { return nil },
+		Status:       func(context.Context) Status { return Status{VM: "v"} },
+		Drain:        func(context.Context, string) (int, error) { return 3, nil },
+		SetLogSample: func(s float64) { share = s },
+		Vars:         new(expvar.Map),
 	}
 	for _, tc := range []struct {
 		method, path, body string
@@ -58,7 +58,7 @@
 		Domains: []DomainStatus{
 			{Name: "a", Members: 3, Serving: 3, Draining: []string{"x"}},
 			{Name: "b", Members: 3, Serving: 0},
-			{Name: "c", Cut: true},
+			{Name: "c", Unreachable: true},
 			{Name: "d", Unknown: true},
 			{Name: "e", Members: 1, Serving: 1, Refused: []string{"y: no"}, Silent: []string{"z"}},
 		},
@@ -89,7 +89,7 @@
 		{Name: "a", Members: 2, Lowest: 5, Highest: 5},
 		{Name: "b", Members: 2, Lowest: 4, Highest: 5, Behind: []string{"b1"}},
 		{Name: "c", Members: 2, Lowest: 4, Highest: 4},
-		{Name: "d", Cut: true, Members: 2, Lowest: 5},
+		{Name: "d", Unreachable: true, Members: 2, Lowest: 5},
 		{Name: "e", Unknown: true},
 		{Name: "f"},
 	}}
--- a/internal/node/admin/alarm.go
+++ b/internal/node/admin/alarm.go
@@ -30,7 +30,7 @@
 	}
 	for _, ds := range st.Domains {
 		switch {
-		case ds.Cut:
+		case ds.Unreachable:
 			add("look at the network between the failure domains", "failure domain %s is cut off from %s", ds.Name, st.VM)
 		case ds.Unknown:
 			add("start daemons there, or look at the network", "failure domain %s has reported nothing", ds.Name)
--- a/internal/node/admin/status.go
+++ b/internal/node/admin/status.go
@@ -33,10 +33,10 @@
 	Refused  []string `json:"refused,omitempty"`
 	Draining []string `json:"draining,omitempty"`
 	Silent   []string `json:"silent,omitempty"`
-	// Cut is set while the reporting relay has no link to it, Unknown while it
+	// Unreachable is set while the reporting relay has no link to it, Unknown while it
 	// has reported nothing.
-	Cut     bool `json:"cut,omitempty"`
-	Unknown bool `json:"unknown,omitempty"`
+	Unreachable bool `json:"cut,omitempty"`
+	Unknown     bool `json:"unknown,omitempty"`
 }
 
 // NewStatus puts a status together; domains are the declared ones.
@@ -62,7 +62,7 @@
 		ds.Behind, ds.Refused = su.Behind, su.Refused
 	}
 	for _, dm := range res.Cut {
-		get(dm).Cut = true
+		get(dm).Unreachable = true
 	}
 	for _, pb := range res.Records {
 		rc := member.FromWire(pb)
@@ -95,7 +95,7 @@
 	var list []string
 	for _, ds := range st.Domains {
 		switch {
-		case ds.Cut:
+		case ds.Unreachable:
 			list = append(list, "failure domain "+ds.Name+" (cut off)")
 		case ds.Unknown || ds.Members == 0 || ds.Lowest >= version:
 		case ds.Highest < version:
--- a/internal/node/cmds/account.go
+++ b/internal/node/cmds/account.go
@@ -59,7 +59,7 @@
 	fmt.Fprintln(tw, "route\tservice\tin time\tlate\trefused\tfailed\tcame back\tsent again\tbeside free\tbefore\twait\theld\ttook\t")
 	for _, rt := range ac.Routes {
 		fmt.Fprintf(tw, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t\n", rt.Name, rt.Service, rt.InTime, rt.Late, rt.Refused, rt.Failed,
-			rt.Back, rt.Again, rt.BesideFree, middleAndNinth(rt.Before), middleAndNinth(rt.Wait), middleAndNinth(rt.Held), middleAndNinth(rt.Took))
+			rt.CallerRetries, rt.Retries, rt.AvoidableRefusals, middleAndNinth(rt.Elapsed), middleAndNinth(rt.Wait), middleAndNinth(rt.ServiceTime), middleAndNinth(rt.Took))
 	}
 	fmt.Fprintln(tw)
 	fmt.Fprintln(tw, "from\tin time\tlate\trefused\tfailed\t")
@@ -73,18 +73,18 @@
 		if len(rt.Reasons) > 0 {
 			fmt.Fprintf(ap.out, "\n%s was not answered: %s\n", rt.Name, counts(rt.Reasons))
 		}
-		if len(rt.ByCall) > 0 {
-			fmt.Fprintf(ap.out, "%s failed after a call that was not answered: %s\n", rt.Name, counts(rt.ByCall))
+		if len(rt.FailedCalls) > 0 {
+			fmt.Fprintf(ap.out, "%s failed after a call that was not answered: %s\n", rt.Name, counts(rt.FailedCalls))
 		}
-		if rt.NotReached > 0 {
-			fmt.Fprintf(ap.out, "%s failed %d times though no backend server got the request\n", rt.Name, rt.NotReached)
+		if rt.NotDelivered > 0 {
+			fmt.Fprintf(ap.out, "%s failed %d times though no backend server got the request\n", rt.Name, rt.NotDelivered)
 		}
 	}
 	ap.printFleet(ac.Fleet)
-	if ac.LeftOut > 0 {
-		fmt.Fprintf(ap.out, "\nthe daemons left out %d lines, so all counts are lower limits\n", ac.LeftOut)
+	if ac.DroppedLines > 0 {
+		fmt.Fprintf(ap.out, "\nthe daemons left out %d lines, so all counts are lower limits\n", ac.DroppedLines)
 	}
-	ap.printPassed(ac.Passed)
+	ap.printPassed(ac.Skipped)
 	return nil
 }
 
@@ -95,11 +95,11 @@
 	}
 	const mega = 1e6
 	fmt.Fprintf(ap.out, "\n%d processes: %.1f MB resident in the mean, %.1f at most; %.1f s of processor; %.1f MB of control and %.1f MB of requests sent\n",
-		fl.Processes, float64(fl.Resident)/mega, float64(fl.ResidentMost)/mega, fl.Processor.Seconds(), float64(fl.ControlOut)/mega, float64(fl.PathOut)/mega)
+		fl.Processes, float64(fl.Resident)/mega, float64(fl.MaxResident)/mega, fl.CPUTime.Seconds(), float64(fl.ControlBytes)/mega, float64(fl.PathBytes)/mega)
 	for _, row := range []struct {
 		name string
 		by   map[string]int64
-	}{{"calls to the platform", fl.Calls}, {"bytes read there", fl.Read}, {"bytes of links", fl.Links}} {
+	}{{"calls to the platform", fl.StoreCalls}, {"bytes read there", fl.StoreBytesRead}, {"bytes of links", fl.LinkBytes}} {
 		if len(row.by) > 0 {
 			fmt.Fprintf(ap.out, "%s: %s\n", row.name, counts(row.by))
 		}
@@ -107,8 +107,8 @@
 }
 
 // middleAndNinth gives the middle and the nine-in-ten value in milliseconds.
-func middleAndNinth(ti acct.Times) string {
-	return fmt.Sprintf("%d/%d ms", ti.Middle.Round(time.Millisecond).Milliseconds(), ti.Ninth.Round(time.Millisecond).Milliseconds())
+func middleAndNinth(ti acct.Quantiles) string {
+	return fmt.Sprintf("%d/%d ms", ti.Median.Round(time.Millisecond).Milliseconds(), ti.P90.Round(time.Millisecond).Milliseconds())
 }
 
 func counts[N int | int64](by map[string]N) string {
--- a/internal/node/cmds/cmds.go
+++ b/internal/node/cmds/cmds.go
@@ -171,7 +171,7 @@
 			}
 			// The profile of allocations costs memory, and nothing reads it.
 			runtime.MemProfileRate = 0
-			debug.SetMemoryLimit(max(memoryLimit, int64(memoryPart*float64(se.Memory))))
+			debug.SetMemoryLimit(max(memoryLimit, int64(memoryPart*float64(se.MemoryLimit))))
 			var level slog.LevelVar
 			level.Set(se.LogLevel)
 			wr := logs.NewWriter(ap.out)
--- a/internal/node/cmds/declare.go
+++ b/internal/node/cmds/declare.go
@@ -209,7 +209,7 @@
 	if wait > 0 && ap.daemon == "" {
 		return usageError("--wait and --resume need --daemon, to ask what the fleet holds")
 	}
-	sub.Kept = func(key string, err error) {
+	sub.OnRemoveError = func(key string, err error) {
 		fmt.Fprintf(ap.err, "the old key %s stays at the platform: %v\n", key, err)
 	}
 	if ap.daemon != "" {
--- a/internal/node/cmds/dev.go
+++ b/internal/node/cmds/dev.go
@@ -72,7 +72,7 @@
 
 // copyOnSignals takes a copy of a stand-in at SIGUSR1, and comes back from the last one at
 // SIGUSR2, until ctx ends.
-func copyOnSignals(ctx context.Context, st *stand.Stand, out io.Writer) {
+func copyOnSignals(ctx context.Context, st *stand.Service, out io.Writer) {
 	log := slog.New(slog.NewJSONHandler(out, nil))
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR1, syscall.SIGUSR2)
@@ -85,11 +85,11 @@
 		case sg := <-signals:
 			if sg == syscall.SIGUSR1 {
 				bk = st.Backup()
-				log.Info("platform-copied", slog.Int64("revision", st.Newest()))
+				log.Info("platform-copied", slog.Int64("revision", st.LatestRevision()))
 				continue
 			}
-			st.ComeBack(bk)
-			log.Info("platform-came-back", slog.Int64("revision", st.Newest()), slog.Int64("epoch", int64(st.Epoch())))
+			st.RestoreInNewEpoch(bk)
+			log.Info("platform-came-back", slog.Int64("revision", st.LatestRevision()), slog.Int64("epoch", int64(st.Epoch())))
 		}
 	}
 }
@@ -125,7 +125,7 @@
 				if !ok {
 					return usageError(fmt.Sprintf("no fault %q; known are %s", *fault, faultNames()))
 				}
-				sr.Fault = fa.Behave
+				sr.Fault = fa.Handler
 			}
 			if *runs {
 				sr.Began = func(ran demo.Ran) {
--- a/internal/node/cmds/explain.go
+++ b/internal/node/cmds/explain.go
@@ -53,13 +53,13 @@
 		fmt.Fprintln(ap.out, cause)
 	}
 	ap.printLines("its lines, and those of calls made for it", rp.Lines)
-	ap.printLines("what the daemons went by", rp.Beliefs)
-	ap.printPassed(rp.Passed)
+	ap.printLines("what the daemons went by", rp.State)
+	ap.printPassed(rp.Skipped)
 }
 
-func (ap *app) printPassed(pa trail.Passed) {
-	if pa.Foreign+pa.Broken > 0 {
-		fmt.Fprintf(ap.out, "\npassed over: %d lines of others, %d that cannot be read\n", pa.Foreign, pa.Broken)
+func (ap *app) printPassed(pa trail.Skipped) {
+	if pa.Foreign+pa.Malformed > 0 {
+		fmt.Fprintf(ap.out, "\npassed over: %d lines of others, %d that cannot be read\n", pa.Foreign, pa.Malformed)
 	}
 }
 
--- a/internal/node/cmds/fleet.go
+++ b/internal/node/cmds/fleet.go
@@ -35,7 +35,7 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		var fl admin.Failure
+		var fl admin.ErrorResponse
 		_ = json.NewDecoder(res.Body).Decode(&fl)
 		return fmt.Errorf("the daemon answered %s: %s", res.Status, fl.Error)
 	}
@@ -164,7 +164,7 @@
 				notes = append(notes, name+": "+strings.Join(list, " "))
 			}
 		}
-		if ds.Cut {
+		if ds.Unreachable {
 			notes = append(notes, "cut off")
 		}
 		if ds.Unknown {
--- a/internal/node/cmds/revert.go
+++ b/internal/node/cmds/revert.go
@@ -75,6 +75,6 @@
 		return accept.Submission{}, err
 	}
 	return accept.Submission{
-		Base: hd.Last.Version, Content: co, Commit: en.Commit, Whole: true,
+		Base: hd.Last.Version, Content: co, Commit: en.Commit, NoRebase: true,
 	}, nil
 }
--- a/internal/node/cmds/route.go
+++ b/internal/node/cmds/route.go
@@ -124,10 +124,10 @@
 			}
 		}
 		rd.Targets = append(rd.Targets, routedTarget{
-			Service: tg.Service.Name, Percent: 100 * float64(tg.UpTo-last) / float64(rt.Total()),
+			Service: tg.Service.Name, Percent: 100 * float64(tg.CumulativeWeight-last) / float64(rt.TotalWeight()),
 			Tiers: tg.Service.Tiers, Spill: tg.Service.Spill, VMs: n,
 		})
-		last = tg.UpTo
+		last = tg.CumulativeWeight
 	}
 	return rd, nil
 }
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -97,7 +97,7 @@
 	// their regions.
 	Source func(domains map[string]string) ctrl.Source
 	// Names are the headers of callers and backend servers.
-	Names result.Names
+	Names result.HeaderNames
 	// Pages serves the settings' addresses for readiness and announcements.
 	Pages func(admin.Handlers) http.Handler
 }
@@ -124,27 +124,27 @@
 		kv = &st
 	}
 	dm.guard = guard.New(*kv)
-	link := pacer.New(se.Link)
-	dm.bytes.Sent, dm.pathBytes.Sent = link.Sent, link.Sent
+	link := pacer.New(se.LinkRate)
+	dm.bytes.OnSent, dm.pathBytes.OnSent = link.Sent, link.Sent
 	var src ctrl.Source
 	if dm.ad.Source != nil {
 		src = dm.ad.Source(se.Domains)
 	}
 	dm.Node = ctrl.New(ctrl.Config{
 		Source: src,
-		VM:     se.VM, Domain: se.Domain, Control: se.Control, Inlet: se.Inlet, Seeds: se.Seeds, Token: se.Token, Capacity: uint32(se.Link / 1e6),
-		Store: dm.guard.Store(), StoreAnswers: dm.guard.Close, Counts: dm.counts, FirstStart: se.FirstStart, Log: dm.log, Dial: dm.bytes.Dialer(dialer.Dial), Drain: dm.Drain,
+		VM:     se.VM, Domain: se.Domain, Control: se.Control, Inlet: se.Inlet, Seeds: se.Seeds, Token: se.Token, Capacity: uint32(se.LinkRate / 1e6),
+		Store: dm.guard.Store(), OnNewEpoch: dm.guard.ResetBreaker, Counts: dm.counts, FirstStart: se.FirstStart, Log: dm.log, Dial: dm.bytes.Dialer(dialer.Dial), Drain: dm.Drain,
 	})
 	dm.store = dm.Node.Store()
 	dm.Outlet = outlet.New(outlet.Options{
-		Log: dm.log, Sample: se.AccessSample, Token: se.Token, Names: dm.ad.Names, Service: se.Service, Link: se.Link,
-		Work: func() limit.Work { return dm.Inlet.Gate.Work() }, Repeats: &se.Repeats, Poison: dm.Node.Board.Poison.Get,
+		Log: dm.log, LogSample: se.LogSample, Token: se.Token, Names: dm.ad.Names, Service: se.Service, LinkRate: se.LinkRate,
+		Work: func() limit.Activity { return dm.Inlet.Gate.Activity() }, RetryBound: &se.RetryBound, Poison: dm.Node.Board.Poison.Get,
 		Forwarder: proxy.New(proxy.Options{Dial: dm.pathBytes.Dialer(dialer.Dial), MaxIdle: idleToInlet, IdleTimeout: idleToInletFor}),
 	})
 	dm.Inlet = inlet.New(proxy.Options{}, link)
 	dm.Inlet.Names, dm.Inlet.Log = dm.ad.Names, dm.log
 	dm.Inlet.Token = se.Token
-	dm.Inlet.Poison, dm.Inlet.Report = dm.Node.Board.Poison.Get, dm.Node.ReportEnds
+	dm.Inlet.Poison, dm.Inlet.Report = dm.Node.Board.Poison.Get, dm.Node.ReportCrashes
 	dm.Inlet.Unreachable = func(inlet.Target) { dm.lost() }
 	return dm
 }
@@ -158,7 +158,7 @@
 
 // Reload takes those of changed settings that can change while a daemon runs.
 func (dm *Daemon) Reload(se setup.Settings) {
-	dm.Outlet.SetSample(se.AccessSample)
+	dm.Outlet.SetLogSample(se.LogSample)
 	dm.drainTimeout.Store(int64(se.DrainTimeout))
 }
 
@@ -263,9 +263,9 @@
 
 func (dm *Daemon) handlers() admin.Handlers {
 	return admin.Handlers{
-		Announce: dm.announce, Withdraw: dm.withdraw, Refused: dm.announcementRefused, Ready: dm.ready, Status: dm.Status, Drain: dm.drainVM,
-		Sample: dm.Outlet.SetSample, Vars: dm.vars(),
-		Unsent: func(err error) { dm.log.Debug("page-unsent", slog.Any("error", err)) },
+		Announce: dm.announce, Withdraw: dm.withdraw, OnBadAnnouncement: dm.announcementRefused, Ready: dm.ready, Status: dm.Status, Drain: dm.drainVM,
+		SetLogSample: dm.Outlet.SetLogSample, Vars: dm.vars(),
+		OnWriteError: func(err error) { dm.log.Debug("page-unsent", slog.Any("error", err)) },
 	}
 }
 
@@ -323,16 +323,16 @@
 	num("control-bytes-out", dm.bytes.Out.Load)
 	num("platform-calls", dm.guard.Calls.Load)
 	num("platform-epoch", func() int64 { return int64(bd.KnownEpoch()) })
-	num("platform-calls-held", dm.guard.Held.Load)
-	m.Set("platform-calls-by-purpose", &dm.guard.Purposes)
-	m.Set("platform-bytes-by-purpose", &dm.guard.Read)
+	num("platform-calls-held", dm.guard.Rejected.Load)
+	m.Set("platform-calls-by-purpose", &dm.guard.CallsByPurpose)
+	m.Set("platform-bytes-by-purpose", &dm.guard.BytesByPurpose)
 	m.Set("link-bytes-by-kind", dm.Node.Traffic)
-	num("requests-suspected", func() int64 { n, _ := bd.Poison.Get().Len(); return int64(n) })
-	num("requests-poison", func() int64 { _, n := bd.Poison.Get().Len(); return int64(n) })
+	num("requests-suspected", func() int64 { n, _ := bd.Poison.Get().Counts(); return int64(n) })
+	num("requests-poison", func() int64 { _, n := bd.Poison.Get().Counts(); return int64(n) })
 	num("slots-running", func() int64 { return int64(dm.Inlet.Gate.Load().Running) })
 	num("slots-waiting", func() int64 { return int64(dm.Inlet.Gate.Load().Waiting) })
 	num("resident-bytes", func() int64 { return ownUsage().Resident })
-	num("processor-ms", func() int64 { return ownUsage().Processor.Milliseconds() })
+	num("processor-ms", func() int64 { return ownUsage().CPUTime.Milliseconds() })
 	m.Set("outlet", dm.Outlet.Stats.Var())
 	m.Set("inlet", dm.Inlet.Stats.Var())
 	return m
--- a/internal/node/daemon/ending_test.go
+++ b/internal/node/daemon/ending_test.go
@@ -179,7 +179,7 @@
 	faulty.ReadBody(req)
 	if !strings.HasPrefix(req.URL.Path, deadlyPath) {
 		<-time.After(wellTime)
-		return faulty.Well(cn, n, req)
+		return faulty.RespondOK(cn, n, req)
 	}
 	mo.fl.reached.Add(1)
 	<-time.After(deadlyTime)
--- a/internal/node/daemon/kept_test.go
+++ b/internal/node/daemon/kept_test.go
@@ -171,7 +171,7 @@
 	t.Parallel()
 	fl := newKeptFleet(t, 5*time.Second, work)
 	sv := fl.dm.servers()
-	sv.front.Ahead = func(r *http.Request) bool {
+	sv.front.MayRunEarly = func(r *http.Request) bool {
 		if r.URL.Path == "/last" {
 			// The daemon drains in the moment in which this one begins.
 			defer fl.dm.leave()
--- a/internal/node/daemon/local.go
+++ b/internal/node/daemon/local.go
@@ -83,10 +83,10 @@
 			slog.Int64("present-started", is.StartedMs()))
 	}
 	if taken && is.Lifetime() != "" && was.SameStart(is) {
-		dm.Inlet.ServerHeard()
+		dm.Inlet.ServerAnnounced()
 	}
 	if is.Leaving && !(was.Leaving && was.SameStart(is)) {
-		dm.recordLeaving(ctx, member.Leaver{Lifetime: is.Lifetime(), StartedMs: is.StartedMs(), At: an.Number})
+		dm.recordLeaving(ctx, member.Departure{Lifetime: is.Lifetime(), StartedMs: is.StartedMs(), Number: an.Number})
 	}
 	return nil
 }
@@ -125,7 +125,7 @@
 // withdraw takes the backend server out.
 func (dm *Daemon) withdraw(ctx context.Context, wd admin.Withdrawal) {
 	now := time.Now()
-	var left member.Leaver
+	var left member.Departure
 	dm.local.update(func(tr *server.Tracker) {
 		tr.Withdraw(wd, now)
 		left = tr.Left()
@@ -196,7 +196,7 @@
 	dm.Inlet.Gate.Configure(slots, classes)
 	dm.Inlet.SetMaxConns(sv.Connections)
 	if !dm.closing.Load() {
-		dm.Inlet.Gate.Open()
+		dm.Inlet.Gate.Resume()
 	}
 }
 
--- a/internal/node/daemon/recall.go
+++ b/internal/node/daemon/recall.go
@@ -58,10 +58,10 @@
 // once in the daemon's record; the store is for a herd that ends together, and
 // for a peer that has not heard of it. A write that takes longer than the
 // acknowledgement may wait goes on after it.
-func (dm *Daemon) recordLeaving(ctx context.Context, left member.Leaver) {
-	dm.Inlet.ServerLeaves()
+func (dm *Daemon) recordLeaving(ctx context.Context, left member.Departure) {
+	dm.Inlet.ServerLeaving()
 	dm.setGate(dm.Node.Board.Held.Get(), server.Status{Leaving: true})
-	lv := &leaving{Lifetime: left.Lifetime, StartedMs: left.StartedMs, Number: left.At, until: time.Now().Add(leavingTTL), stored: make(chan struct{})}
+	lv := &leaving{Lifetime: left.Lifetime, StartedMs: left.StartedMs, Number: left.Number, until: time.Now().Add(leavingTTL), stored: make(chan struct{})}
 	dm.leaver.Set(lv)
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTime)
 	defer cancel()
@@ -72,7 +72,7 @@
 	case <-ctx.Done():
 	}
 	dm.log.Info("server-leaves", slog.String("lifetime", left.Lifetime), slog.Int64("started", left.StartedMs),
-		slog.Uint64("number", left.At), slog.Bool("stored", stored))
+		slog.Uint64("number", left.Number), slog.Bool("stored", stored))
 }
 
 // runLeaving writes down the newest lifetime that leaves, again until the store
@@ -160,7 +160,7 @@
 	dm.local.poke()
 	dm.log.Info("recalled", slog.Duration("took", time.Since(began)))
 	for ctx.Err() == nil {
-		fo, changed := dm.Node.Board.Forerunner.Watch()
+		fo, changed := dm.Node.Board.Predecessor.Watch()
 		dm.recall(fo)
 		select {
 		case <-changed:
@@ -185,11 +185,11 @@
 }
 
 // recall takes what peers keep of the former process.
-func (dm *Daemon) recall(fo *board.Forerunner) {
+func (dm *Daemon) recall(fo *board.Predecessor) {
 	if fo == nil || fo.Lifetime == "" {
 		return
 	}
-	dm.local.update(func(tr *server.Tracker) { tr.Recall(fo.Leaver, time.Now()) })
+	dm.local.update(func(tr *server.Tracker) { tr.Recall(fo.Departure, time.Now()) })
 }
 
 // waitForPeers waits for the peers' word on the former process, until the
@@ -200,7 +200,7 @@
 	defer late.Stop()
 	stored, over, answered := false, false, false
 	for {
-		fo, changed := dm.Node.Board.Forerunner.Watch()
+		fo, changed := dm.Node.Board.Predecessor.Watch()
 		dm.recall(fo)
 		if fo != nil && !answered {
 			answered = true
@@ -246,13 +246,13 @@
 // readLeaving reads what the store keeps of a lifetime that leaves; an empty value is
 // none. Of one that cannot be read nothing is taken: half of it may name the server that
 // serves.
-func readLeaving(value []byte) (member.Leaver, error) {
+func readLeaving(value []byte) (member.Departure, error) {
 	if len(value) == 0 {
-		return member.Leaver{}, nil
+		return member.Departure{}, nil
 	}
 	var lv leaving
 	if err := json.Unmarshal(value, &lv); err != nil {
-		return member.Leaver{}, err
+		return member.Departure{}, err
 	}
-	return member.Leaver{Lifetime: lv.Lifetime, StartedMs: lv.StartedMs, At: lv.Number}, nil
+	return member.Departure{Lifetime: lv.Lifetime, StartedMs: lv.StartedMs, Number: lv.Number}, nil
 }
--- a/internal/node/daemon/recall_test.go
+++ b/internal/node/daemon/recall_test.go
@@ -22,7 +22,7 @@
 type heard struct {
 	at   time.Duration
 	peer string
-	lv   member.Leaver
+	lv   member.Departure
 }
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
@@ -30,10 +30,10 @@
 // tell puts on the board what the peer says; peers are those that have answered.
 func (he heard) tell(bd *board.Board, peers map[string]bool) {
 	peers[he.peer] = true
-	bd.Forerunner.Update(func(cur *board.Forerunner) *board.Forerunner {
-		next := &board.Forerunner{Leaver: he.lv, Peers: slices.Collect(maps.Keys(peers))}
+	bd.Predecessor.Update(func(cur *board.Predecessor) *board.Predecessor {
+		next := &board.Predecessor{Departure: he.lv, Peers: slices.Collect(maps.Keys(peers))}
 		if cur != nil && he.lv.Lifetime == "" {
-			next.Leaver = cur.Leaver
+			next.Departure = cur.Departure
 		}
 		return next
 	})
@@ -45,18 +45,18 @@
 // the server must get no request, and callers saw one at a server that had left.
 // A process of which nobody knows anything must not keep its server waiting.
 func TestForerunnerLearned(t *testing.T) {
-	left := member.Leaver{Lifetime: "i-1", At: 5}
+	left := member.Departure{Lifetime: "i-1", Number: 5}
 	for name, tc := range map[string]struct {
 		heard []heard
 		// after is when the server serves, 0 for never.
 		after time.Duration
 	}{
 		"the first peer knows":           {[]heard{{ms(50), "p", left}}, 0},
-		"the second peer knows":          {[]heard{{ms(50), "p", member.Leaver{}}, {ms(300), "q", left}}, 0},
-		"two peers know of nothing":      {[]heard{{ms(50), "p", member.Leaver{}}, {ms(300), "q", member.Leaver{}}}, ms(300)},
-		"the only peer answers twice":    {[]heard{{ms(50), "p", member.Leaver{}}, {ms(300), "p", member.Leaver{}}}, ms(450)},
+		"the second peer knows":          {[]heard{{ms(50), "p", member.Departure{}}, {ms(300), "q", left}}, 0},
+		"two peers know of nothing":      {[]heard{{ms(50), "p", member.Departure{}}, {ms(300), "q", member.Departure{}}}, ms(300)},
+		"the only peer answers twice":    {[]heard{{ms(50), "p", member.Departure{}}, {ms(300), "p", member.Departure{}}}, ms(450)},
 		"nobody answers":                 {nil, recallPeers},
-		"the only peer knows of nothing": {[]heard{{ms(50), "p", member.Leaver{}}}, ms(450)},
+		"the only peer knows of nothing": {[]heard{{ms(50), "p", member.Departure{}}}, ms(450)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -211,7 +211,7 @@
 			t.Fatal(err)
 		}
 		for range 2 {
-			st.ComeBack(bk)
+			st.RestoreInNewEpoch(bk)
 			calls := st.Calls.Total()
 			// Another call, or a peer, shows the epoch.
 			if _, err := dm.Node.Store().Get(ctx, "any"); err != nil {
@@ -226,7 +226,7 @@
 			}
 		}
 		time.Sleep(leavingTTL)
-		st.ComeBack(bk)
+		st.RestoreInNewEpoch(bk)
 		if _, err := dm.Node.Store().Get(ctx, "any"); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/daemon/routing.go
+++ b/internal/node/daemon/routing.go
@@ -32,15 +32,15 @@
 	for {
 		sn, held := bd.Held.Watch()
 		vw, members := bd.Members.Watch()
-		cut, reach := bd.Cut.Watch()
+		cut, reach := bd.Unreachable.Watch()
 		rollouts, rolled := bd.Rollouts.Watch()
 		var again <-chan time.Time
 		if sn != nil {
 			now := time.Now()
 			fl := pick.Fleet{Members: vw, Cut: cut, Self: dm.se.VM, Rollouts: rollouts, Admission: &admission, Now: now}
 			tb := pick.Build(sn, fl, dm.Outlet.Table())
-			if !tb.Next.IsZero() {
-				again = time.After(tb.Next.Sub(now))
+			if !tb.RebuildAt.IsZero() {
+				again = time.After(tb.RebuildAt.Sub(now))
 			}
 			if young {
 				tb.Outlets = max(tb.Outlets, unknownOutlets)
--- a/internal/node/daemon/serve.go
+++ b/internal/node/daemon/serve.go
@@ -19,7 +19,7 @@
 	// callers and peers are the connections of the outlet and of the inlet.
 	callers, peers idle.Set
 	// front serves what callers send ahead.
-	front *piping.Front
+	front *piping.Pipeliner
 }
 
 // The limits of what callers may send.
@@ -48,12 +48,12 @@
 	if dm.ad.Pages != nil {
 		sv.pages = plain(dm.ad.Pages(hs))
 	}
-	sv.front = piping.New(dm.mayRunAhead, sv.callers.State)
+	sv.front = piping.New(dm.mayRunAhead, sv.callers.ConnState)
 	// Whether an answer closes its connection is settled before what stands behind it begins.
 	sv.outlet = plain(dm.leaving(sv.front.Handler(dm.Outlet)))
 	sv.outlet.Protocols = &both
 	sv.outlet.ConnState, sv.outlet.ConnContext = sv.front.ConnState, sv.front.ConnContext
-	sv.inlet.ConnState = sv.peers.State
+	sv.inlet.ConnState = sv.peers.ConnState
 	sv.control.ErrorLog = sv.outlet.ErrorLog
 	return sv
 }
@@ -67,7 +67,7 @@
 		return false
 	default:
 	}
-	return dm.Outlet.Repeatable(r)
+	return dm.Outlet.Retryable(r)
 }
 
 // leaving tells callers and outlets to drop their connections once the daemon
@@ -160,7 +160,7 @@
 	if err := ln.Close(); err != nil {
 		dm.log.Info("listener-close", slog.Any("error", err))
 	}
-	for conns.End(0) > 0 && ctx.Err() == nil {
+	for conns.CloseIdle(0) > 0 && ctx.Err() == nil {
 		sleep(ctx, endEvery)
 	}
 	err := hs.Shutdown(ctx)
@@ -200,9 +200,9 @@
 		if sn := dm.Node.Board.Held.Get(); sn != nil && sn.Limits.Idle > 0 {
 			limit = time.Duration(sn.Limits.Idle)
 		}
-		if left := callers.End(limit + idleEvery); left > maxCallers {
+		if left := callers.CloseIdle(limit + idleEvery); left > maxCallers {
 			dm.log.Warn("many-connections", slog.Int("connections", left))
-			callers.End(idleEvery)
+			callers.CloseIdle(idleEvery)
 		}
 	}
 }
--- a/internal/node/daemon/usage.go
+++ b/internal/node/daemon/usage.go
@@ -43,7 +43,7 @@
 func (dm *Daemon) logUsage() {
 	us := ownUsage()
 	attrs := []slog.Attr{
-		slog.Bool("relay", dm.Node.Board.Links.Get().Relay), slog.Int64("resident", us.Resident), slog.Int64("processor-ms", us.Processor.Milliseconds()),
+		slog.Bool("relay", dm.Node.Board.Links.Get().Relay), slog.Int64("resident", us.Resident), slog.Int64("processor-ms", us.CPUTime.Milliseconds()),
 		slog.Int64("control-in", dm.bytes.In.Load()), slog.Int64("control-out", dm.bytes.Out.Load()),
 		slog.Int64("path-in", dm.pathBytes.In.Load()), slog.Int64("path-out", dm.pathBytes.Out.Load()),
 	}
@@ -57,7 +57,7 @@
 			attrs = append(attrs, slog.Uint64(me.field, samples[i].Value.Uint64()))
 		}
 	}
-	attrs = append(attrs, group(logs.Calls, &dm.guard.Purposes), group(logs.Read, &dm.guard.Read), group(logs.Links, dm.Node.Traffic))
+	attrs = append(attrs, group(logs.StoreCalls, &dm.guard.CallsByPurpose), group(logs.StoreBytesRead, &dm.guard.BytesByPurpose), group(logs.LinkBytes, dm.Node.Traffic))
 	dm.log.LogAttrs(context.Background(), slog.LevelInfo, logs.Usage, attrs...)
 }
 
--- a/internal/node/demo/demo.go
+++ b/internal/node/demo/demo.go
@@ -60,7 +60,7 @@
 type fleet struct {
 	op           Options
 	ms           *decl.Mesh
-	st           *stand.Stand
+	st           *stand.Service
 	platformAddr string
 	runs         Ledger
 
--- a/internal/node/demo/platform.go
+++ b/internal/node/demo/platform.go
@@ -12,7 +12,7 @@
 )
 
 // ServePlatform serves a stand-in for the platform on ln until ctx ends.
-func ServePlatform(ctx context.Context, ln net.Listener, st *stand.Stand) error {
+func ServePlatform(ctx context.Context, ln net.Listener, st *stand.Service) error {
 	mux := http.NewServeMux()
 	mux.Handle(remote.Handler(st.Store()))
 	hs := &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}
--- a/internal/node/demo/server.go
+++ b/internal/node/demo/server.go
@@ -80,7 +80,7 @@
 	// OnRun, if set, is called for each request that it begins to run.
 	Began func(Ran)
 	// Fault, if set, is the faulty behavior that replaces its responses.
-	Fault faulty.Behave
+	Fault faulty.Handler
 }
 
 // ServeHTTP answers one request.
--- a/internal/node/server/server.go
+++ b/internal/node/server/server.go
@@ -196,7 +196,7 @@
 // remembered, so that an announcement which it sent before and which comes later does
 // not bring it back. A removal of a start before the newest is late and changes nothing.
 func (tr *Tracker) Withdraw(wd admin.Withdrawal, now time.Time) {
-	lf := tr.leave(member.Leaver{Lifetime: wd.Lifetime, StartedMs: wd.StartedMs}, now)
+	lf := tr.leave(member.Departure{Lifetime: wd.Lifetime, StartedMs: wd.StartedMs}, now)
 	if lf != nil {
 		lf.heard, lf.gone = now, true
 	}
@@ -204,7 +204,7 @@
 
 // leave notes that a start of the server leaves, and returns what is known of it, nil
 // where a later one is known.
-func (tr *Tracker) leave(lv member.Leaver, now time.Time) *life {
+func (tr *Tracker) leave(lv member.Departure, now time.Time) *life {
 	lf := tr.lives[lv.Lifetime]
 	switch {
 	case lf != nil && lv.StartedMs != 0 && lv.StartedMs < lf.startedMs:
@@ -219,18 +219,18 @@
 	}
 	lf.leaving = true
 	lf.startedMs = max(lf.startedMs, lv.StartedMs)
-	lf.number = max(lf.number, lv.At)
+	lf.number = max(lf.number, lv.Number)
 	tr.left = lv.Lifetime
 	return lf
 }
 
 // Left returns the last start of the server that said it leaves, with the number of
 // its newest announcement; empty for none.
-func (tr *Tracker) Left() member.Leaver {
+func (tr *Tracker) Left() member.Departure {
 	if lf := tr.lives[tr.left]; lf != nil && lf.leaving {
-		return member.Leaver{Lifetime: tr.left, StartedMs: lf.startedMs, At: lf.number}
+		return member.Departure{Lifetime: tr.left, StartedMs: lf.startedMs, Number: lf.number}
 	}
-	return member.Leaver{}
+	return member.Departure{}
 }
 
 // Lost takes the present server out until it announces itself again.
@@ -242,7 +242,7 @@
 
 // Recall takes what a former process of the VM acknowledged: that start of the server
 // leaves, and its announcements up to the number are late.
-func (tr *Tracker) Recall(lv member.Leaver, now time.Time) {
+func (tr *Tracker) Recall(lv member.Departure, now time.Time) {
 	if lv.Lifetime != "" {
 		tr.leave(lv, now)
 	}
--- a/internal/node/server/server_test.go
+++ b/internal/node/server/server_test.go
@@ -163,7 +163,7 @@
 				case "withdraw":
 					tr.Withdraw(admin.Withdrawal{Lifetime: st.lifetime, StartedMs: st.started}, now)
 				case "recall":
-					tr.Recall(member.Leaver{Lifetime: st.lifetime, StartedMs: st.started, At: st.number}, now)
+					tr.Recall(member.Departure{Lifetime: st.lifetime, StartedMs: st.started, Number: st.number}, now)
 				case "lost":
 					tr.Lost(now)
 				case "assume":
--- a/internal/node/setup/setup.go
+++ b/internal/node/setup/setup.go
@@ -53,17 +53,17 @@
 	// Token is the secret that all daemons share.
 	Token        string
 	LogLevel     slog.Level
-	AccessSample float64
+	LogSample    float64
 	DrainTimeout time.Duration
-	// Memory is how many bytes the process may take in all.
-	Memory int64
-	// Link is the rate of the VM's link in bits a second, 0 where it is not known.
-	Link float64
+	// MemoryLimit is how many bytes the process may take in all.
+	MemoryLimit int64
+	// LinkRate is the rate of the VM's link in bits a second, 0 where it is not known.
+	LinkRate float64
 	// FirstStart says that the whole mesh starts for the first time, so that no former
 	// process has acknowledged anything.
 	FirstStart bool
-	// Repeats bounds the repeats of all daemons together, for each service.
-	Repeats retry.Bound
+	// RetryBound bounds the repeats of all daemons together, for each service.
+	RetryBound retry.Bound
 }
 
 // String returns the settings without secrets.
@@ -173,7 +173,7 @@
 	if err != nil {
 		return err
 	}
-	if prs := strict.Decode(file, data, &struct{}{}); len(prs) > 0 && strings.HasPrefix(prs[0].What, "not YAML") {
+	if prs := strict.Decode(file, data, &struct{}{}); len(prs) > 0 && strings.HasPrefix(prs[0].Message, "not YAML") {
 		rd.prs, rd.unread = append(rd.prs, prs[0]), true
 		return nil
 	}
@@ -295,23 +295,23 @@
 	if err != nil || !(sample >= 0 && sample <= 1) {
 		rd.add("access-log-sample", fmt.Sprintf("access-log-sample is %q", rw.sample), "set it to a number from 0 to 1")
 	}
-	se.AccessSample = sample
+	se.LogSample = sample
 	mb, err := strconv.ParseInt(rw.memory, 10, 32)
 	if err != nil || mb < minMemory {
 		rd.add("memory-mb", fmt.Sprintf("memory-mb is %q", rw.memory), fmt.Sprintf("set it to a whole number of megabytes, %d or more", minMemory))
 	}
-	se.Memory = mb << 20
+	se.MemoryLimit = mb << 20
 	mbps, err := strconv.ParseFloat(rw.link, 64)
 	if err != nil || !(mbps >= 0 && mbps <= maxLink) {
 		rd.add("link-mbps", fmt.Sprintf("link-mbps is %q", rw.link), fmt.Sprintf("set it to a number from 0 to %d", maxLink))
 	}
-	se.Link = mbps * 1e6
+	se.LinkRate = mbps * 1e6
 	se.FirstStart, err = strconv.ParseBool(rw.first)
 	if err != nil {
 		rd.add("first-start", fmt.Sprintf("first-start is %q", rw.first), "set it to true or false")
 	}
-	se.Repeats.Ratio = rd.number("retry-ratio", rw.ratio, retry.Default.Ratio, 1)
-	se.Repeats.Spare = rd.number("retry-spare", rw.spare, retry.Default.Spare, maxSpare)
+	se.RetryBound.Ratio = rd.number("retry-ratio", rw.ratio, retry.Default.Ratio, 1)
+	se.RetryBound.Spare = rd.number("retry-spare", rw.spare, retry.Default.Spare, maxSpare)
 	se.DrainTimeout, err = time.ParseDuration(rw.drain)
 	if err != nil || se.DrainTimeout < 0 {
 		rd.add("drain-timeout", fmt.Sprintf("drain-timeout is %q", rw.drain), "set it to a duration such as 30s")
--- a/internal/node/soak/callers.go
+++ b/internal/node/soak/callers.go
@@ -80,7 +80,7 @@
 	}
 	req.Host = rq.host
 	req.Header.Set(demo.IDHeader, rq.id)
-	req.Header.Set(result.TimeoutMs, fmt.Sprint(requestTimeout.Milliseconds()))
+	req.Header.Set(result.TimeoutHeader, fmt.Sprint(requestTimeout.Milliseconds()))
 	if !rq.chunked {
 		req.ContentLength = int64(len(rq.body))
 	}
--- a/internal/node/soak/fleet.go
+++ b/internal/node/soak/fleet.go
@@ -80,7 +80,7 @@
 	v := &vm{name: fmt.Sprintf("vm-%d", i), domain: domains[i%len(domains)], service: service, software: software}
 	v.settingsFile = filepath.Join(dir, v.name+".yaml")
 	for _, addr := range []*string{&v.outlet, &v.inlet, &v.control, &v.admin} {
-		free, err := addrs.FreeOn(addrs.Own())
+		free, err := addrs.FreeOn(addrs.ProcessIP())
 		if err != nil {
 			return nil, err
 		}
@@ -109,7 +109,7 @@
 
 // start starts the platform and all VMs, and waits until each holds the first version.
 func (fl *fleet) start(ctx context.Context) (err error) {
-	if fl.platformAddr, err = addrs.FreeOn(addrs.Own()); err != nil {
+	if fl.platformAddr, err = addrs.FreeOn(addrs.ProcessIP()); err != nil {
 		return err
 	}
 	if fl.platform, err = fl.la.start("platform", nil, "dev-platform", "--listen", fl.platformAddr); err != nil {
@@ -170,7 +170,7 @@
 		return err
 	}
 	res, err := accept.Submit(ctx, fl.kv, accept.Submission{
-		ID: fmt.Sprintf("soak-%d-%d", floor, rand.Uint32()), Base: hd.Last.Version, Content: co, Whole: true, Floor: floor, Resume: true,
+		ID: fmt.Sprintf("soak-%d-%d", floor, rand.Uint32()), Base: hd.Last.Version, Content: co, NoRebase: true, Floor: floor, Resume: true,
 	})
 	for err == nil {
 		newest := fl.newestVersion.Load()
--- a/internal/path/again/again.go
+++ b/internal/path/again/again.go
@@ -19,31 +19,31 @@
 	tolerance = 25 * time.Millisecond
 )
 
-// Memory holds failed tries. The zero value is empty. Its methods may be called from
+// Tracker holds failed tries. The zero value is empty. Its methods may be called from
 // any goroutine.
 //
 // The time that a caller gives does not tell by itself how long it has been at its
 // request, since callers of one route differ in patience. But a caller that comes
 // back asks for the same, and stops waiting at the same moment as before.
-type Memory struct {
+type Tracker struct {
 	tries [places][ways]atomic.Pointer[Try]
 }
 
 // Try is a caller's try at a request.
 type Try struct {
-	// First is when the first try came, until when its caller stops waiting.
-	First time.Time
-	until time.Time
-	key   uint64
+	// FirstAt is when the first try came, until when its caller stops waiting.
+	FirstAt time.Time
+	until   time.Time
+	key     uint64
 	// failed is when this try was given up on.
 	failed time.Time
 }
 
-// Came returns the try of a request that came at a moment, whose caller waits for as
+// CountArrival returns the try of a request that came at a moment, whose caller waits for as
 // long as left from then on, 0 where it does not say. It reports whether it is a
 // further one, and takes that into the account of its route.
-func (me *Memory) Came(r *http.Request, at time.Time, left time.Duration, ro *Route) (tr *Try, further bool) {
-	tr = &Try{First: at}
+func (me *Tracker) Arrived(r *http.Request, at time.Time, left time.Duration, ro *RetryStats) (tr *Try, further bool) {
+	tr = &Try{FirstAt: at}
 	if left <= 0 {
 		return tr, false
 	}
@@ -54,7 +54,7 @@
 		if old == nil || !old.same(tr) || !old.failed.Before(at) || !place.CompareAndSwap(old, nil) {
 			continue
 		}
-		tr.First = old.First
+		tr.FirstAt = old.FirstAt
 		ro.back(old.failed)
 		return tr, true
 	}
@@ -68,7 +68,7 @@
 
 // Failed remembers a try that was given up on now. Told says that its caller was told
 // to come back.
-func (me *Memory) Failed(tr *Try, now time.Time, told bool, ro *Route) {
+func (me *Tracker) Failed(tr *Try, now time.Time, told bool, ro *RetryStats) {
 	if tr.until.IsZero() {
 		return
 	}
@@ -82,7 +82,7 @@
 
 // place returns where a try is put: in place of the one whose caller stops waiting
 // first, which is over already as a rule.
-func (me *Memory) place(key uint64, now time.Time) *atomic.Pointer[Try] {
+func (me *Tracker) place(key uint64, now time.Time) *atomic.Pointer[Try] {
 	var best *atomic.Pointer[Try]
 	var until time.Time
 	for i := range ways {
--- a/internal/path/again/again_test.go
+++ b/internal/path/again/again_test.go
@@ -37,14 +37,14 @@
 		{"another place of the same", []came{{0, "/a?x=1", 2500 * ms, 0, true}, {200 * ms, "/a?x=2", 2300 * ms, 0, true}}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			var me Memory
-			var ro Route
+			var me Tracker
+			var ro RetryStats
 			began := time.Now()
 			for i, ca := range tc.tries {
 				time.Sleep(ca.at - time.Since(began))
 				now := time.Now()
-				tr, further := me.Came(httptest.NewRequest("GET", ca.url, nil), now, ca.left, &ro)
-				if got := now.Sub(tr.First); got != ca.elapsed || further != (ca.elapsed > 0) {
+				tr, further := me.Arrived(httptest.NewRequest("GET", ca.url, nil), now, ca.left, &ro)
+				if got := now.Sub(tr.FirstAt); got != ca.elapsed || further != (ca.elapsed > 0) {
 					t.Errorf("%s: try %d has been at it for %v (further %t), want %v", tc.name, i, got, further, ca.elapsed)
 				}
 				if ca.refused {
@@ -77,8 +77,8 @@
 		{"calls from now on", []int{200, 0, 0, 200, 200, 0, 0}, []int{200, 0, 0, 0, 0, 0, 0}, true},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			var me Memory
-			var ro Route
+			var me Tracker
+			var ro RetryStats
 			n := 0
 			for i, told := range tc.told {
 				began := time.Now()
@@ -86,18 +86,18 @@
 				for j := range told {
 					n++
 					url := fmt.Sprint("/", n)
-					tr, _ := me.Came(httptest.NewRequest("GET", url, nil), began, time.Second, &ro)
+					tr, _ := me.Arrived(httptest.NewRequest("GET", url, nil), began, time.Second, &ro)
 					me.Failed(tr, began, true, &ro)
 					if j < tc.back[i] {
 						back = append(back, func() {
 							now := time.Now()
-							if _, further := me.Came(httptest.NewRequest("GET", url, nil), now, time.Second-now.Sub(began), &ro); !further {
+							if _, further := me.Arrived(httptest.NewRequest("GET", url, nil), now, time.Second-now.Sub(began), &ro); !further {
 								t.Errorf("%s: a caller that came back is not known", tc.name)
 							}
 						})
 					}
 				}
-				if got := ro.Came(time.Now(), false, true); i == 0 && got {
+				if got := ro.CountArrival(time.Now(), false, true); i == 0 && got {
 					t.Errorf("%s: final at once", tc.name)
 				}
 				time.Sleep(400 * ms)
@@ -106,7 +106,7 @@
 				}
 				time.Sleep(600 * ms)
 			}
-			if got := ro.Came(time.Now(), false, true); got != tc.want {
+			if got := ro.CountArrival(time.Now(), false, true); got != tc.want {
 				t.Errorf("%s: final %t, want %t", tc.name, got, tc.want)
 			}
 		})
@@ -114,11 +114,11 @@
 }
 
 func BenchmarkCame(b *testing.B) {
-	var me Memory
-	var ro Route
+	var me Tracker
+	var ro RetryStats
 	r := httptest.NewRequest("GET", "/splits/12345?page=3", nil)
 	b.ReportAllocs()
 	for b.Loop() {
-		me.Came(r, time.Now(), time.Second, &ro)
+		me.Arrived(r, time.Now(), time.Second, &ro)
 	}
 }
--- a/internal/path/again/route.go
+++ b/internal/path/again/route.go
@@ -23,10 +23,10 @@
 	most = 64
 )
 
-// Route learns whether the callers of a route come back when they are told to.
+// RetryStats learns whether the callers of a route come back when they are told to.
 // Backend servers that make calls mostly do not: to refuse a call is final, and the
 // work done for its parent is lost with it. The zero value takes it that they do.
-type Route struct {
+type RetryStats struct {
 	mu sync.Mutex
 	// now, last and old are the counts of the present epoch, of the one before it and
 	// of all older ones.
@@ -41,7 +41,7 @@
 type count struct{ told, back int }
 
 // told counts a caller that was told to come back.
-func (ro *Route) told(now time.Time) {
+func (ro *RetryStats) told(now time.Time) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	ro.advance(now)
@@ -49,7 +49,7 @@
 }
 
 // back counts a caller that came back after it was told so at a moment.
-func (ro *Route) back(told time.Time) {
+func (ro *RetryStats) back(told time.Time) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	ro.advance(time.Now())
@@ -64,7 +64,7 @@
 }
 
 // advance begins a new epoch if it is time; ro.mu is held.
-func (ro *Route) advance(now time.Time) {
+func (ro *RetryStats) advance(now time.Time) {
 	for range 2 {
 		if now.Sub(ro.began) < epoch {
 			return
@@ -83,14 +83,14 @@
 	}
 }
 
-// Came counts a request and reports whether its caller will not come back if it is
+// CountArrival counts a request and reports whether its caller will not come back if it is
 // refused. Short says that the caller stops waiting no later than the operators do,
 // busy that the VM's own backend server runs something.
 //
 // As long as nothing is known of refusals, a request is taken for a call of the VM's
 // own backend server where its caller has no time to come back, and where hardly any of
 // the route came while that server ran nothing.
-func (ro *Route) Came(now time.Time, short, busy bool) bool {
+func (ro *RetryStats) CountArrival(now time.Time, short, busy bool) bool {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	ro.advance(now)
--- a/internal/path/ident/ident.go
+++ b/internal/path/ident/ident.go
@@ -19,18 +19,18 @@
 // String returns the key in hexadecimal, as logs show it.
 func (ke Key) String() string { return strconv.FormatUint(uint64(ke), 16) }
 
-// LeadBytes is the length of the part of a body that goes into a key, its lead. It
+// MaxPrefixBytes is the length of the part of a body that goes into a key, its lead. It
 // bounds what is kept of a body that streams.
-const LeadBytes = 8 << 10
+const MaxPrefixBytes = 8 << 10
 
 // fields are what goes into a key beside the body.
 func fields(r *http.Request) [4]string {
 	return [...]string{r.Method, r.Host, r.URL.RequestURI(), r.Header.Get("Authorization")}
 }
 
-// Head is a cheap mark of a request without its body. Requests with one key have one
+// HeaderHash is a cheap mark of a request without its body. Requests with one key have one
 // head, so a key need not be made where the head is not known.
-func Head(r *http.Request) uint64 {
+func HeaderHash(r *http.Request) uint64 {
 	var di xxhash.Digest
 	di.Reset()
 	for _, text := range fields(r) {
@@ -41,16 +41,16 @@
 	return di.Sum64()
 }
 
-// Of returns the key of a request whose body begins with lead; what is beyond LeadBytes
+// KeyOf returns the key of a request whose body begins with lead; what is beyond MaxPrefixBytes
 // of it does not count.
-func Of(r *http.Request, lead []byte) Key {
+func KeyOf(r *http.Request, lead []byte) Key {
 	sum := sha256.New()
 	for _, text := range fields(r) {
 		// Writing to a hash does not fail. The length tells where a field ends.
 		_ = binary.Write(sum, binary.BigEndian, uint32(len(text)))
 		_, _ = io.WriteString(sum, text)
 	}
-	_, _ = sum.Write(lead[:min(len(lead), LeadBytes)])
+	_, _ = sum.Write(lead[:min(len(lead), MaxPrefixBytes)])
 	return Key(binary.BigEndian.Uint64(sum.Sum(nil)))
 }
 
@@ -72,7 +72,7 @@
 	n, err := le.r.Read(p)
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	le.kept = append(le.kept, p[:min(n, LeadBytes-len(le.kept))]...)
+	le.kept = append(le.kept, p[:min(n, MaxPrefixBytes-len(le.kept))]...)
 	le.end = le.end || err == io.EOF
 	return n, err
 }
@@ -88,5 +88,5 @@
 	}
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	return le.kept, le.end || len(le.kept) == LeadBytes || int64(len(le.kept)) == length
+	return le.kept, le.end || len(le.kept) == MaxPrefixBytes || int64(len(le.kept)) == length
 }
--- a/internal/path/ident/ident_test.go
+++ b/internal/path/ident/ident_test.go
@@ -14,7 +14,7 @@
 // TestKey: a request that comes again is known by what it asks for, whatever names its
 // caller's try, and no other one is taken for it.
 func TestKey(t *testing.T) {
-	long := strings.Repeat("x", ident.LeadBytes)
+	long := strings.Repeat("x", ident.MaxPrefixBytes)
 	base := func() *http.Request { return httptest.NewRequest("POST", "http://booking/visits/7?day=2", nil) }
 	for _, tc := range []struct {
 		name   string
@@ -37,14 +37,14 @@
 		if tc.change != nil {
 			tc.change(r)
 		}
-		if got := ident.Of(r, []byte(tc.body)) == ident.Of(base(), []byte("body")); got != tc.same {
+		if got := ident.KeyOf(r, []byte(tc.body)) == ident.KeyOf(base(), []byte("body")); got != tc.same {
 			t.Errorf("%s: same %t, want %t", tc.name, got, tc.same)
 		}
-		if tc.same && ident.Head(r) != ident.Head(base()) {
+		if tc.same && ident.HeaderHash(r) != ident.HeaderHash(base()) {
 			t.Errorf("%s: the same key with two heads", tc.name)
 		}
 	}
-	if ident.Of(base(), []byte(long+"a")) != ident.Of(base(), []byte(long+"b")) {
+	if ident.KeyOf(base(), []byte(long+"a")) != ident.KeyOf(base(), []byte(long+"b")) {
 		t.Error("what is beyond the lead counts")
 	}
 }
@@ -64,7 +64,7 @@
 		{"none", 0, 0, 0, 0, true},
 		{"no length, not at its end", 100, -1, 100, 100, false},
 		{"no length, at its end", 100, -1, 101, 100, true},
-		{"long", 3 * ident.LeadBytes, -1, 2 * ident.LeadBytes, ident.LeadBytes, true},
+		{"long", 3 * ident.MaxPrefixBytes, -1, 2 * ident.MaxPrefixBytes, ident.MaxPrefixBytes, true},
 	} {
 		le := ident.NewLead(io.NopCloser(iotest.OneByteReader(strings.NewReader(strings.Repeat("x", int(tc.size))))))
 		if _, err := io.CopyN(io.Discard, le, tc.read); err != nil && tc.read <= tc.size {
@@ -84,6 +84,6 @@
 	body := make([]byte, 4<<10)
 	b.ReportAllocs()
 	for b.Loop() {
-		ident.Of(r, body)
+		ident.KeyOf(r, body)
 	}
 }
--- a/internal/path/idle/idle.go
+++ b/internal/path/idle/idle.go
@@ -42,8 +42,8 @@
 	return cn, nil
 }
 
-// State is the server's ConnState hook: it tells when a request has ended.
-func (st *Set) State(nc net.Conn, state http.ConnState) {
+// ConnState is the server's ConnState hook: it tells when a request has ended.
+func (st *Set) ConnState(nc net.Conn, state http.ConnState) {
 	cn, ok := nc.(*conn)
 	if !ok {
 		return
@@ -58,9 +58,9 @@
 	}
 }
 
-// End ends the connections that have been idle for longer than age, and returns
+// CloseIdle ends the connections that have been idle for longer than age, and returns
 // how many are left.
-func (st *Set) End(age time.Duration) int {
+func (st *Set) CloseIdle(age time.Duration) int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	now := time.Now()
--- a/internal/path/idle/idle_test.go
+++ b/internal/path/idle/idle_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	st := &Set{}
 	_, ln := nw.Listen("server:1", "")
-	hs := &http.Server{Handler: h, ConnState: st.State, IdleTimeout: time.Hour}
+	hs := &http.Server{Handler: h, ConnState: st.ConnState, IdleTimeout: time.Hour}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -62,7 +62,7 @@
 		for range 2 {
 			write(t, nc, "GET / HTTP/1.1\r\nHo")
 			time.Sleep(time.Second)
-			if left := st.End(0); left != 1 {
+			if left := st.CloseIdle(0); left != 1 {
 				t.Fatalf("%d connections are left, want the one that is in use", left)
 			}
 			write(t, nc, "st: x\r\n\r\n")
@@ -89,7 +89,7 @@
 		time.Sleep(2 * time.Second)
 		third := dial(t, nw, ho)
 		synctest.Wait()
-		st.End(time.Second)
+		st.CloseIdle(time.Second)
 		synctest.Wait()
 		if n := st.Len(); n != 1 {
 			t.Errorf("%d connections are left, want the newest", n)
--- a/internal/path/inlet/broken.go
+++ b/internal/path/inlet/broken.go
@@ -150,11 +150,11 @@
 	return cd.leaving.sameStart(tg)
 }
 
-// ServerHeard records that the present start of the backend server announced itself again.
-func (in *Inlet) ServerHeard() { in.crashes.alive(time.Now()) }
+// ServerAnnounced records that the present start of the backend server announced itself again.
+func (in *Inlet) ServerAnnounced() { in.crashes.alive(time.Now()) }
 
-// ServerLeaves records that the backend server drains or was withdrawn.
-func (in *Inlet) ServerLeaves() {
+// ServerLeaving records that the backend server drains or was withdrawn.
+func (in *Inlet) ServerLeaving() {
 	if tg := in.target.Load(); tg != nil {
 		in.crashes.leaves(tg)
 	}
--- a/internal/path/inlet/broken_test.go
+++ b/internal/path/inlet/broken_test.go
@@ -86,13 +86,13 @@
 		{"one, and the same start goes on", func(in *Inlet) {
 			breaks(in, begin(in), 1)
 			time.Sleep(time.Second)
-			in.ServerHeard()
+			in.ServerAnnounced()
 			in.SetTarget(target(second))
 		}, 0},
 		{"one, and a drain follows", func(in *Inlet) {
 			breaks(in, begin(in), 1)
 			time.Sleep(time.Second)
-			in.ServerLeaves()
+			in.ServerLeaving()
 			in.SetTarget(target(second))
 		}, 0},
 		{"one, read after another start has followed", func(in *Inlet) {
@@ -102,7 +102,7 @@
 		}, 1},
 		{"one of a start that left, read after another has followed", func(in *Inlet) {
 			fl := begin(in)
-			in.ServerLeaves()
+			in.ServerLeaving()
 			in.SetTarget(target(second))
 			breaks(in, fl, 1)
 		}, 0},
--- a/internal/path/inlet/crash.go
+++ b/internal/path/inlet/crash.go
@@ -39,7 +39,7 @@
 	of        Target
 	ended     bool
 	at        time.Time
-	end       poison.End
+	end       poison.CrashID
 	abandoned []abandoned
 	// flights are the requests that the server is running, broken those that broke off
 	// though it accepts connections.
@@ -64,7 +64,7 @@
 
 // crashed reports whether the server of a target crashed, and names the crash. It calls probe
 // where the result of the last one no longer holds; requests that failed together share one.
-func (cd *crashDetector) crashed(tg *Target, probe func() bool) (end poison.End, ended, first bool) {
+func (cd *crashDetector) crashed(tg *Target, probe func() bool) (end poison.CrashID, ended, first bool) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
 	now := time.Now()
@@ -85,11 +85,11 @@
 }
 
 // nameEnd names the end of a target's lifetime.
-func nameEnd(tg *Target) poison.End {
+func nameEnd(tg *Target) poison.CrashID {
 	if tg.Lifetime == "" {
-		return poison.End(rand.Uint64())
+		return poison.CrashID(rand.Uint64())
 	}
-	return poison.End(xxhash.Sum64String(tg.VM + "\x00" + tg.Lifetime + "\x00" + strconv.FormatInt(tg.StartedMs, 10)))
+	return poison.CrashID(xxhash.Sum64String(tg.VM + "\x00" + tg.Lifetime + "\x00" + strconv.FormatInt(tg.StartedMs, 10)))
 }
 
 // forget drops the result of the last probe. A server that announces itself again has not
@@ -129,14 +129,14 @@
 // accepts others afterwards; one that drains did not crash.
 func (in *Inlet) recordCrash(r *http.Request, lead *ident.Lead, fl *flight, rf *result.Refusal) {
 	tg := &fl.of
-	gaveUp := rf.Reason == result.ReasonCallerGone || rf.Reason == result.ReasonDeadline
+	gaveUp := rf.Reason == result.ReasonCallerGone || rf.Reason == result.ReasonDeadlinePassed
 	switch {
 	case rf.Outcome == result.MayHaveRun && gaveUp:
 		if id, ok := requestIDOf(r, lead); ok {
 			in.crashes.abandon(id, tg)
 		}
 		return
-	case rf.Outcome == result.MayHaveRun && rf.Reason != result.ReasonBroken, rf.Outcome == result.NotRun && rf.Reason != result.ReasonConnect:
+	case rf.Outcome == result.MayHaveRun && rf.Reason != result.ReasonConnectionBroken, rf.Outcome == result.NotRun && rf.Reason != result.ReasonNoConnection:
 		return
 	}
 	end, ended, first := in.crashes.crashed(tg, func() bool { return in.isDown(tg) })
@@ -153,10 +153,10 @@
 		ids = in.crashes.takeAbandoned(tg)
 	}
 	if rf.Outcome == result.MayHaveRun {
-		rf.Reason = result.ReasonServerEnded
+		rf.Reason = result.ReasonServerCrashed
 		if id, ok := requestIDOf(r, lead); ok {
-			in.Log.LogAttrs(context.Background(), slog.LevelWarn, logs.EndedUnder, slog.String(logs.ID, in.id(r)),
-				slog.String(logs.Key, id.key.String()), slog.String(logs.Lifetime, tg.Lifetime))
+			in.Log.LogAttrs(context.Background(), slog.LevelWarn, logs.RunningAtCrash, slog.String(logs.ID, in.id(r)),
+				slog.String(logs.RequestKey, id.key.String()), slog.String(logs.Lifetime, tg.Lifetime))
 			ids = append(ids, id)
 		}
 	}
@@ -164,23 +164,23 @@
 		return
 	}
 	in.report(ids, end)
-	rf.Ends = in.endsOf(r, lead)
+	rf.Crashes = in.endsOf(r, lead)
 }
 
 // logCrash logs that a start of the server crashed while it ran some requests.
 func (in *Inlet) logCrash(tg *Target, running int) {
-	in.Log.LogAttrs(context.Background(), slog.LevelWarn, logs.ServerEnded,
+	in.Log.LogAttrs(context.Background(), slog.LevelWarn, logs.ServerCrashed,
 		slog.String(logs.Lifetime, tg.Lifetime), slog.Int("running", running))
 }
 
 // report sends reports that a server crashed while it ran requests.
-func (in *Inlet) report(ids []requestID, end poison.End) {
+func (in *Inlet) report(ids []requestID, end poison.CrashID) {
 	if len(ids) == 0 {
 		return
 	}
 	var list []poison.Report
 	for _, id := range ids {
-		list = append(list, poison.Report{Head: id.head, Key: id.key, End: end, At: time.Now()})
+		list = append(list, poison.Report{Head: id.head, Key: id.key, Crash: end, At: time.Now()})
 	}
 	in.Report(list)
 }
@@ -191,7 +191,7 @@
 	if !whole {
 		return requestID{}, false
 	}
-	return requestID{head: ident.Head(r), key: ident.Of(r, body)}, true
+	return requestID{head: ident.HeaderHash(r), key: ident.KeyOf(r, body)}, true
 }
 
 // endsOf returns how many servers are known to have crashed while they ran a request.
@@ -204,7 +204,7 @@
 	if !ok {
 		return 0
 	}
-	return vw.Ends(id.key)
+	return vw.CrashCount(id.key)
 }
 
 // clearSuspect reports that a server answered a suspect request completely.
@@ -214,7 +214,7 @@
 		return
 	}
 	if id, ok := requestIDOf(r, lead); ok {
-		if list := vw.Answered(id.key); len(list) > 0 {
+		if list := vw.AnswerReports(id.key); len(list) > 0 {
 			in.Report(list)
 		}
 	}
@@ -224,19 +224,19 @@
 func (in *Inlet) isDown(tg *Target) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	return !in.fw.Load().Reach(ctx, tg.Addr) && ctx.Err() == nil
+	return !in.fw.Load().Reachable(ctx, tg.Addr) && ctx.Err() == nil
 }
 
 // isolate admits one suspect request at a time, so that a further crash tells which of them
 // is the cause.
 func (in *Inlet) isolate(r *http.Request) (leave func(), rf *result.Refusal) {
-	known, err := strconv.Atoi(r.Header.Get(result.EndsHeader))
-	if err != nil || known < poison.Apart {
+	known, err := strconv.Atoi(r.Header.Get(result.CrashesHeader))
+	if err != nil || known < poison.IsolateThreshold {
 		// None are known, or an older release sends none.
 		return func() {}, nil
 	}
 	if !in.suspect.CompareAndSwap(false, true) {
-		return nil, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonApart}
+		return nil, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonSuspectRunning}
 	}
 	return func() { in.suspect.Store(false) }, nil
 }
--- a/internal/path/inlet/crash_test.go
+++ b/internal/path/inlet/crash_test.go
@@ -29,8 +29,8 @@
 		reason result.Reason
 		lines  int
 	}{
-		{"ends", true, result.ReasonServerEnded, 1},
-		{"breaks off", false, result.ReasonBroken, 0},
+		{"ends", true, result.ReasonServerCrashed, 1},
+		{"breaks off", false, result.ReasonConnectionBroken, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var sr *faulty.Server
--- a/internal/path/inlet/inlet.go
+++ b/internal/path/inlet/inlet.go
@@ -40,7 +40,7 @@
 // Inlet serves outlets.
 type Inlet struct {
 	Stats hist.Set
-	Gate  *limit.Gate
+	Gate  *limit.Limiter
 	// Unreachable is called when the backend server takes no connection.
 	Unreachable func(Target)
 	// Poison returns the requests that servers ended under, Report tells all daemons of
@@ -50,7 +50,7 @@
 	// Token is what outlets must show; empty for none. It is set before use.
 	Token string
 	// Names are the headers of backend servers. They are set before use.
-	Names result.Names
+	Names result.HeaderNames
 	// Log gets a line for each request that is not answered; it is set before
 	// use.
 	Log     *slog.Logger
@@ -64,7 +64,7 @@
 	// counts has what the present start of the server did.
 	counts atomic.Pointer[tally.Counter]
 	// held is what answers take that were read and are not sent yet.
-	held proxy.Bound
+	held proxy.Budget
 	// link is the VM's, nil for one that is not paced.
 	link *pacer.Pacer
 }
@@ -78,7 +78,7 @@
 // reached. Large answers are paced by link, which may be nil.
 func New(op proxy.Options, link *pacer.Pacer) *Inlet {
 	in := &Inlet{Gate: limit.New(), Unreachable: func(Target) {}, Poison: func() *poison.View { return nil }, Report: func([]poison.Report) {}, Log: slog.New(slog.DiscardHandler), op: op, link: link}
-	in.held.Most = maxHeld
+	in.held.Limit = maxHeld
 	in.counts.Store(&tally.Counter{})
 	in.fw.Store(proxy.New(op))
 	return in
@@ -125,7 +125,7 @@
 	ctx, cancel := in.deadline(r, start)
 	defer cancel()
 	if ctx.Err() != nil {
-		in.refuse(w, r, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonDeadline})
+		in.refuse(w, r, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonDeadlinePassed})
 		return
 	}
 	class := r.Header.Get(result.ClassHeader)
@@ -145,16 +145,16 @@
 		return
 	}
 	defer leave()
-	tk, rf := in.Gate.Enter(ctx, rq)
+	tk, rf := in.Gate.Acquire(ctx, rq)
 	sr.Queue.Record(time.Since(start))
 	if rf != nil {
 		sr.Outcomes.Add(rf.Outcome.String()+"/"+string(rf.Reason), 1)
 		in.refuse(w, r, rf)
 		return
 	}
-	defer tk.Leave()
+	defer tk.Release()
 	if ctx.Err() != nil {
-		in.refuse(w, r, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonDeadline})
+		in.refuse(w, r, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonDeadlinePassed})
 		return
 	}
 	in.forward(ctx, w, r, tg, &passage{start: start, sr: sr, tk: tk, tf: tf})
@@ -168,7 +168,7 @@
 // was not run, and goes elsewhere.
 func (in *Inlet) check(hdr http.Header) (*Target, *result.Refusal) {
 	if in.Token != "" && subtle.ConstantTimeCompare([]byte(hdr.Get(result.TokenHeader)), []byte(in.Token)) != 1 {
-		return nil, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonToken}
+		return nil, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonBadToken}
 	}
 	tg := in.target.Load()
 	if tg == nil || tg.VM != hdr.Get(result.VMHeader) || tg.Process != hdr.Get(result.ProcessHeader) ||
@@ -183,18 +183,18 @@
 
 // id returns the caller's id of a request, empty where callers give none.
 func (in *Inlet) id(r *http.Request) string {
-	if in.Names.Request == "" {
+	if in.Names.RequestID == "" {
 		return ""
 	}
-	return r.Header.Get(in.Names.Request)
+	return r.Header.Get(in.Names.RequestID)
 }
 
 func (in *Inlet) refuse(w http.ResponseWriter, r *http.Request, rf *result.Refusal) {
 	load := in.load().String()
 	w.Header().Set(result.LoadHeader, load)
-	event := logs.Refused
+	event := logs.InletRefused
 	if rf.Outcome != result.NotRun || rf.Reason == result.ReasonShed {
-		event = logs.Failed
+		event = logs.InletFailed
 	}
 	in.Log.LogAttrs(context.Background(), slog.LevelWarn, event, slog.String(logs.ID, in.id(r)),
 		slog.String(logs.Outcome, rf.Outcome.String()), slog.String(logs.Reason, string(rf.Reason)),
@@ -213,8 +213,8 @@
 // ranks as the least urgent.
 func rank(hdr http.Header, class string) limit.Request {
 	rq := limit.Request{Class: class, Priority: lastPriority}
-	text, final := strings.CutSuffix(hdr.Get(result.UrgencyHeader), result.Final)
-	rq.Final, rq.Kind, rq.Repeat = final, hdr.Get(result.RouteHeader), result.ParseShare(hdr.Get(result.RepeatHeader))
+	text, final := strings.CutSuffix(hdr.Get(result.UrgencyHeader), result.FinalSuffix)
+	rq.Final, rq.Kind, rq.Repeat = final, hdr.Get(result.RouteHeader), result.ParseProbability(hdr.Get(result.RepeatHeader))
 	prio, left, objective := strings.Cut(text, "/")
 	if n, err := strconv.Atoi(prio); err == nil && n >= 0 {
 		rq.Priority = min(n, lastPriority)
@@ -232,11 +232,11 @@
 // when it was sent: one that lay unread for as long is not run any more, since
 // its caller has gone, whether that is known here yet or not.
 func (in *Inlet) deadline(r *http.Request, now time.Time) (context.Context, context.CancelFunc) {
-	ms, err := strconv.ParseInt(r.Header.Get(result.TimeoutMs), 10, 32)
+	ms, err := strconv.ParseInt(r.Header.Get(result.TimeoutHeader), 10, 32)
 	if err != nil || ms <= 0 {
 		return context.WithCancel(r.Context())
 	}
-	left := time.Duration(ms)*time.Millisecond - in.lapses.Late(r.Header.Get(result.SentHeader), now)
+	left := time.Duration(ms)*time.Millisecond - in.lapses.ExcessOf(r.Header.Get(result.SentHeader), now)
 	return context.WithTimeout(r.Context(), left)
 }
 
@@ -244,13 +244,13 @@
 type passage struct {
 	start time.Time
 	sr    *hist.Series
-	tk    *limit.Ticket
+	tk    *limit.Slot
 	tf    *transfer
 }
 
 // spent returns what the request has spent here until now.
-func (pa *passage) spent(now time.Time) result.Spent {
-	return result.Spent{Wait: pa.tk.Since().Sub(pa.start), Held: now.Sub(pa.tk.Since())}
+func (pa *passage) spent(now time.Time) result.SlotTimes {
+	return result.SlotTimes{Wait: pa.tk.AcquiredAt().Sub(pa.start), ServiceTime: now.Sub(pa.tk.AcquiredAt())}
 }
 
 // forward sends an admitted request to the backend server and its answer back.
@@ -283,12 +283,12 @@
 		return
 	}
 	size := max(0, at.Response.ContentLength)
-	if in.held.Take(size) {
-		defer in.held.Give(size)
-		if err := at.Hold(maxHeld); err != nil {
+	if in.held.TryAcquire(size) {
+		defer in.held.Release(size)
+		if err := at.Buffer(maxHeld); err != nil {
 			in.tallyFailure(r, false, pa)
 			rf := in.failure(ctx, r, at, tg)
-			rf.Outcome, rf.Reason, rf.Cause = result.MayHaveRun, result.ReasonBroken, err
+			rf.Outcome, rf.Reason, rf.Cause = result.MayHaveRun, result.ReasonConnectionBroken, err
 			in.recordCrash(r, lead, fl, rf)
 			sr.Outcomes.Add(rf.Outcome.String()+"/"+string(rf.Reason), 1)
 			in.refuse(w, r, rf)
@@ -296,21 +296,21 @@
 		}
 		if size > 0 {
 			in.crashes.finish(fl, true)
-			pa.tk.Leave()
+			pa.tk.Release()
 			in.clearSuspect(r, lead)
 		}
 	}
-	in.tally(r, at.Response.StatusCode >= http.StatusInternalServerError, pa.spent(time.Now()).Held, tg)
-	proxy.CopyHead(w, at.Response, func(hdr http.Header) {
+	in.tally(r, at.Response.StatusCode >= http.StatusInternalServerError, pa.spent(time.Now()).ServiceTime, tg)
+	proxy.CopyHeader(w, at.Response, func(hdr http.Header) {
 		hdr[result.LoadHeader] = []string{in.load().String()}
-		hdr[result.SpentHeader] = []string{pa.spent(time.Now()).String()}
+		hdr[result.SlotTimesHeader] = []string{pa.spent(time.Now()).String()}
 	})
 	if err := proxy.Copy(w, at, pa.tf.pace(r.Context(), size)); err != nil {
 		var ce *proxy.CopyError
-		if errors.As(err, &ce) && ce.Reading {
-			in.recordCrash(r, lead, fl, &result.Refusal{Outcome: result.MayHaveRun, Reason: result.ReasonBroken})
+		if errors.As(err, &ce) && ce.ReadFailed {
+			in.recordCrash(r, lead, fl, &result.Refusal{Outcome: result.MayHaveRun, Reason: result.ReasonConnectionBroken})
 		}
-		sr.Outcomes.Add(result.Ended.String()+"/"+string(result.ReasonBroken), 1)
+		sr.Outcomes.Add(result.Ended.String()+"/"+string(result.ReasonConnectionBroken), 1)
 		panic(http.ErrAbortHandler)
 	}
 	// One that was not held has been read only now.
@@ -333,8 +333,8 @@
 	case r.Context().Err() != nil:
 		rf.Reason = result.ReasonCallerGone
 	case ctx.Err() != nil:
-		rf.Reason = result.ReasonDeadline
-	case oc == result.NotRun && re == result.ReasonConnect:
+		rf.Reason = result.ReasonDeadlinePassed
+	case oc == result.NotRun && re == result.ReasonNoConnection:
 		in.Unreachable(*tg)
 	}
 	return rf
@@ -347,7 +347,7 @@
 	switch {
 	case in.Names.Instance != "" && res.StatusCode == http.StatusMisdirectedRequest:
 		return &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonWrongTarget}
-	case !refusing || res.Header.Get(in.Names.Or().NotRun) == "":
+	case !refusing || res.Header.Get(in.Names.WithDefaults().NotRun) == "":
 		return nil
 	}
 	// When to come back is not for it to say: the gate gives it no more than its slots,
@@ -363,9 +363,9 @@
 	nm := &in.Names
 	good := res.StatusCode < http.StatusMultipleChoices
 	bad := false
-	if nm.Request != "" {
-		got := res.Header.Get(nm.Request)
-		bad = got != r.Header.Get(nm.Request) && (good || got != "")
+	if nm.RequestID != "" {
+		got := res.Header.Get(nm.RequestID)
+		bad = got != r.Header.Get(nm.RequestID) && (good || got != "")
 	}
 	if nm.Stamp != "" && good && res.Header.Get(nm.Stamp) == "" {
 		bad = true
@@ -373,13 +373,13 @@
 	if !bad {
 		return nil
 	}
-	return &result.Refusal{Outcome: result.MayHaveRun, Reason: result.ReasonForeign}
+	return &result.Refusal{Outcome: result.MayHaveRun, Reason: result.ReasonForeignResponse}
 }
 
 // outgoing makes the request for the backend server. Of this system's headers
 // it bears only what is left of the time.
 func (in *Inlet) outgoing(ctx context.Context, r *http.Request, tg *Target, lead *ident.Lead) *http.Request {
-	out := proxy.Outgoing(ctx, r, tg.Addr, in.Names.Or().Timeout)
+	out := proxy.Outgoing(ctx, r, tg.Addr, in.Names.WithDefaults().Timeout)
 	if in.Names.Instance != "" && tg.Lifetime != "" {
 		out.Header.Set(in.Names.Instance, tg.Lifetime)
 	}
--- a/internal/path/inlet/paced.go
+++ b/internal/path/inlet/paced.go
@@ -59,9 +59,9 @@
 		return nil
 	}
 	if objective > 0 {
-		takes := tf.link.Time(int(n), tf.rate) + ld.Service + smallTime
+		takes := tf.link.Time(int(n), tf.rate) + ld.ServiceTime + smallTime
 		if over := excess(tf.link.Backlog(), takes, objective, ld); over > 0 {
-			return &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonLink, RetryAfter: over}
+			return &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonLinkFull, RetryAfter: over}
 		}
 	}
 	tf.an = tf.link.Expect(int(n), tf.rate)
@@ -77,7 +77,7 @@
 	case takes <= objective:
 		return backlog + takes - objective
 	case 2*ld.Running > ld.Slots:
-		return max(ld.Service, backlog)
+		return max(ld.ServiceTime, backlog)
 	}
 	return backlog - lateBacklog
 }
--- a/internal/path/inlet/paced_test.go
+++ b/internal/path/inlet/paced_test.go
@@ -25,7 +25,7 @@
 		{"late in any case, busy link", 150 * ms, 300 * ms, 200 * ms, 2, false},
 		{"late in any case, slots in use", 0, 300 * ms, ms, 4, false},
 	} {
-		ld := result.Load{Running: tc.running, Slots: 6, Service: 80 * ms}
+		ld := result.Load{Running: tc.running, Slots: 6, ServiceTime: 80 * ms}
 		if got := excess(tc.backlog, tc.takes, tc.objective, ld); (got <= 0) != tc.taken {
 			t.Errorf("%s: %v over, taken %v, want %v", tc.name, got, got <= 0, tc.taken)
 		}
--- a/internal/path/inlet/tally.go
+++ b/internal/path/inlet/tally.go
@@ -25,10 +25,10 @@
 	if r.Context().Err() != nil {
 		return
 	}
-	in.counts.Load().Add(r.Header.Get(result.RouteHeader), !over, pa.spent(time.Now()).Held)
+	in.counts.Load().Add(r.Header.Get(result.RouteHeader), !over, pa.spent(time.Now()).ServiceTime)
 }
 
 // Counts returns what the present start of the backend server did.
 func (in *Inlet) Counts() tally.Cohort {
-	return tally.Cohort{Servers: 1, Running: in.Gate.Load().Running, Routes: in.counts.Load().Rows()}
+	return tally.Cohort{Servers: 1, Running: in.Gate.Load().Running, Routes: in.counts.Load().Snapshot()}
 }
--- a/internal/path/inlet/whose_test.go
+++ b/internal/path/inlet/whose_test.go
@@ -48,7 +48,7 @@
 		if fails != nil {
 			return fails(st, cn, n, req)
 		}
-		return faulty.Well(cn, n, req)
+		return faulty.RespondOK(cn, n, req)
 	})
 	t.Cleanup(st.end)
 	t.Cleanup(st.in.Close)
@@ -69,7 +69,7 @@
 }
 
 // serve starts a server at an address.
-func (st *stage) serve(addr string, fn faulty.Behave) {
+func (st *stage) serve(addr string, fn faulty.Handler) {
 	st.t.Helper()
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -100,7 +100,7 @@
 		r.Header.Set(name, value)
 	}
 	if ends > 0 {
-		r.Header.Set(result.EndsHeader, fmt.Sprint(ends))
+		r.Header.Set(result.CrashesHeader, fmt.Sprint(ends))
 	}
 	w := httptest.NewRecorder()
 	st.in.ServeHTTP(w, r)
@@ -110,7 +110,7 @@
 // ends returns how many servers ended under the request for a path, as was reported.
 func (st *stage) ends(path string) int {
 	r := httptest.NewRequest("GET", "http://booking"+path, nil)
-	return st.in.Poison().Ends(ident.Of(r, nil))
+	return st.in.Poison().CrashCount(ident.KeyOf(r, nil))
 }
 
 // endsServer is what a server does that ends under a request.
@@ -215,8 +215,8 @@
 	st := newStage(t, nil)
 	close(st.goOn)
 	r := httptest.NewRequest("GET", "http://booking/same", nil)
-	for en := range poison.End(2) {
-		st.in.Report([]poison.Report{{Head: ident.Head(r), Key: ident.Of(r, nil), End: en, At: time.Now()}})
+	for en := range poison.CrashID(2) {
+		st.in.Report([]poison.Report{{Head: ident.HeaderHash(r), Key: ident.KeyOf(r, nil), Crash: en, At: time.Now()}})
 	}
 	if w := st.ask(context.Background(), "/same", 2); w.Code != http.StatusOK {
 		t.Fatalf("answered %d", w.Code)
@@ -232,21 +232,21 @@
 func TestSuspectsRunApart(t *testing.T) {
 	st := newStage(t, nil)
 	var wg sync.WaitGroup
-	wg.Go(func() { st.ask(context.Background(), "/one", poison.Apart) })
+	wg.Go(func() { st.ask(context.Background(), "/one", poison.IsolateThreshold) })
 	<-st.begun
-	w := st.ask(context.Background(), "/two", poison.Apart)
-	if got := result.Reason(w.Header().Get(result.ReasonHeader)); got != result.ReasonApart || w.Header().Get(result.OutcomeHeader) != result.NotRun.String() {
+	w := st.ask(context.Background(), "/two", poison.IsolateThreshold)
+	if got := result.Reason(w.Header().Get(result.ReasonHeader)); got != result.ReasonSuspectRunning || w.Header().Get(result.OutcomeHeader) != result.NotRun.String() {
 		t.Errorf("the second suspect got %s/%s", w.Header().Get(result.OutcomeHeader), got)
 	}
 	wg.Go(func() {
-		if w := st.ask(context.Background(), "/beside", poison.Apart-1); w.Code != http.StatusOK {
+		if w := st.ask(context.Background(), "/beside", poison.IsolateThreshold-1); w.Code != http.StatusOK {
 			t.Errorf("one beside a suspect got %d", w.Code)
 		}
 	})
 	<-st.begun
 	close(st.goOn)
 	wg.Wait()
-	if w := st.ask(context.Background(), "/two", poison.Apart); w.Code != http.StatusOK {
+	if w := st.ask(context.Background(), "/two", poison.IsolateThreshold); w.Code != http.StatusOK {
 		t.Errorf("the second suspect got %d once the first was answered", w.Code)
 	}
 }
@@ -283,7 +283,7 @@
 	})
 	st.target("i-1")
 	w := st.ask(context.Background(), "/b", 0)
-	if got := result.Reason(w.Header().Get(result.ReasonHeader)); got != result.ReasonBroken || st.ends("/b") != 0 {
-		t.Errorf("reason %s, %d ends; want %s and none", got, st.ends("/b"), result.ReasonBroken)
+	if got := result.Reason(w.Header().Get(result.ReasonHeader)); got != result.ReasonConnectionBroken || st.ends("/b") != 0 {
+		t.Errorf("reason %s, %d ends; want %s and none", got, st.ends("/b"), result.ReasonConnectionBroken)
 	}
 }
--- a/internal/path/lapse/lapse.go
+++ b/internal/path/lapse/lapse.go
@@ -76,9 +76,9 @@
 	return process + "/" + strconv.FormatInt(now.Sub(epoch).Milliseconds(), 10)
 }
 
-// Late reads a stamp that came at now and returns how much longer than the
+// ExcessOf reads a stamp that came at now and returns how much longer than the
 // shortest way the message took; 0 for a stamp that cannot be read.
-func (tr *Tracker) Late(stamp string, now time.Time) time.Duration {
+func (tr *Tracker) ExcessOf(stamp string, now time.Time) time.Duration {
 	sender, text, _ := strings.Cut(stamp, "/")
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
--- a/internal/path/limit/late_test.go
+++ b/internal/path/limit/late_test.go
@@ -30,7 +30,7 @@
 				for range 20 {
 					tk := fill(t, ga, "lookup", 1)[0]
 					time.Sleep(tc.held)
-					tk.Leave()
+					tk.Release()
 				}
 				stuck := fill(t, ga, "lookup", 1)[0]
 				ctx := t.Context()
@@ -39,20 +39,20 @@
 					ctx, cancel = context.WithTimeout(ctx, tc.deadline)
 					defer cancel()
 				} else {
-					time.AfterFunc(time.Minute, stuck.Leave)
+					time.AfterFunc(time.Minute, stuck.Release)
 				}
 				began := time.Now()
-				tk, rf := ga.Enter(ctx, Request{Class: "lookup", Final: true})
+				tk, rf := ga.Acquire(ctx, Request{Class: "lookup", Final: true})
 				took := time.Since(began)
 				if tc.deadline == 0 {
 					if rf != nil || took != time.Minute {
 						t.Errorf("refused with %+v after %s", rf, took)
 					}
-					tk.Leave()
+					tk.Release()
 					return
 				}
-				if rf == nil || rf.Outcome != result.NotRun || rf.Reason != result.ReasonTooLate || took != tc.want {
-					t.Errorf("refused with %+v after %s, want %s after %s", rf, took, result.ReasonTooLate, tc.want)
+				if rf == nil || rf.Outcome != result.NotRun || rf.Reason != result.ReasonDeadlineTooNear || took != tc.want {
+					t.Errorf("refused with %+v after %s, want %s after %s", rf, took, result.ReasonDeadlineTooNear, tc.want)
 				}
 				if ctx.Err() != nil {
 					t.Error("the deadline had passed by then")
--- a/internal/path/limit/limit.go
+++ b/internal/path/limit/limit.go
@@ -18,8 +18,8 @@
 	Queue int
 }
 
-// Gate admits requests. Its methods may be called from any goroutine.
-type Gate struct {
+// Limiter admits requests. Its methods may be called from any goroutine.
+type Limiter struct {
 	mu       sync.Mutex
 	slots    int
 	running  int
@@ -65,8 +65,8 @@
 	Repeat float64
 }
 
-// Work is what a backend server is doing.
-type Work struct {
+// Activity is what a backend server is doing.
+type Activity struct {
 	// Running is how many requests run.
 	Running int
 	// Priority is the one that most of them have.
@@ -76,13 +76,13 @@
 }
 
 // New returns a gate without slots; Configure gives it some.
-func New() *Gate {
-	return &Gate{classes: map[string]*class{}, kinds: kinds{}}
+func New() *Limiter {
+	return &Limiter{classes: map[string]*class{}, kinds: kinds{}}
 }
 
 // Configure sets the slots and classes. Requests that run or wait stay as they
 // are; a class that is no longer declared goes on without a share.
-func (ga *Gate) Configure(slots int, classes []Class) {
+func (ga *Limiter) Configure(slots int, classes []Class) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	ga.slots = slots
@@ -101,7 +101,7 @@
 }
 
 // class returns the class of a name and makes it if need be; ga.mu is held.
-func (ga *Gate) class(name string) *class {
+func (ga *Limiter) class(name string) *class {
 	cl := ga.classes[name]
 	if cl == nil {
 		cl = &class{Class: Class{Name: name}}
@@ -111,19 +111,19 @@
 	return cl
 }
 
-// Ticket is a slot that a request holds.
-type Ticket struct {
-	ga    *Gate
+// Slot is a slot that a request holds.
+type Slot struct {
+	ga    *Limiter
 	cl    *class
 	rq    Request
 	since time.Time
 	left  bool
 }
 
-// Enter waits for a slot. It returns a ticket, or the refusal of a request
+// Acquire waits for a slot. It returns a ticket, or the refusal of a request
 // that has certainly not run. A request that could not be served before its
 // deadline is refused at once, not when the deadline comes.
-func (ga *Gate) Enter(ctx context.Context, rq Request) (*Ticket, *result.Refusal) {
+func (ga *Limiter) Acquire(ctx context.Context, rq Request) (*Slot, *result.Refusal) {
 	ga.mu.Lock()
 	if ga.draining {
 		ga.mu.Unlock()
@@ -153,7 +153,7 @@
 
 // expected returns for how long a request of a kind is expected to hold a slot;
 // ga.mu is held.
-func (ga *Gate) expected(kind string) time.Duration {
+func (ga *Limiter) expected(kind string) time.Duration {
 	if d := ga.kinds.value(kind); d > 0 {
 		return d
 	}
@@ -167,23 +167,23 @@
 // mayRun reports whether a request of the class gets a slot now. A class below
 // its own share goes first; above it, a class takes what is idle as long as
 // nobody waits for it. ga.mu is held.
-func (ga *Gate) mayRun(cl *class) bool {
+func (ga *Limiter) mayRun(cl *class) bool {
 	if ga.running >= ga.slots {
 		return false
 	}
 	return cl.running < cl.own || ga.waiting == 0
 }
 
-func (ga *Gate) admit(cl *class, rq Request) *Ticket {
+func (ga *Limiter) admit(cl *class, rq Request) *Slot {
 	ga.running++
 	cl.running++
 	ga.count(&rq, 1)
-	return &Ticket{ga: ga, cl: cl, rq: rq, since: time.Now()}
+	return &Slot{ga: ga, cl: cl, rq: rq, since: time.Now()}
 }
 
 // count counts a request that runs, or with n below zero one that has ended; ga.mu is
 // held.
-func (ga *Gate) count(rq *Request, n int) {
+func (ga *Limiter) count(rq *Request, n int) {
 	ga.repeats += float64(n) * rq.Repeat
 	if !rq.Final {
 		ga.doing[step(rq.Priority)] += n
@@ -192,14 +192,14 @@
 
 // hopeless refuses a request whose turn would come too late if it waited at a place
 // of its class's queue; ga.mu is held.
-func (ga *Gate) hopeless(ctx context.Context, cl *class, wt *waiter, at int) *result.Refusal {
+func (ga *Limiter) hopeless(ctx context.Context, cl *class, wt *waiter, at int) *result.Refusal {
 	wait := ga.expectedWait(cl, wt, at)
 	last := at >= len(cl.queue)
 	if last && len(cl.queue) >= cl.Queue || wait > wt.patient() {
-		return refuse(result.ReasonFull, wait)
+		return refuse(result.ReasonSlotsFull, wait)
 	}
 	if left, ok := ctx.Deadline(); ok && time.Until(left) < wait+wt.service {
-		return refuse(result.ReasonTooLate, wait)
+		return refuse(result.ReasonDeadlineTooNear, wait)
 	}
 	return nil
 }
@@ -207,7 +207,7 @@
 // expectedWait estimates when a slot would come to a request at a place of its
 // class's queue, from the time for which those before it will hold theirs; ga.mu is
 // held.
-func (ga *Gate) expectedWait(cl *class, wt *waiter, at int) time.Duration {
+func (ga *Limiter) expectedWait(cl *class, wt *waiter, at int) time.Duration {
 	slots, sum := ga.slots, ga.service.value+cl.before(wt, at)
 	if cl.own > 0 {
 		// Its own slots serve its own queue first.
@@ -221,7 +221,7 @@
 	return sum / time.Duration(slots)
 }
 
-func (ga *Gate) wait(ctx context.Context, cl *class, wt *waiter) (*Ticket, *result.Refusal) {
+func (ga *Limiter) wait(ctx context.Context, cl *class, wt *waiter) (*Slot, *result.Refusal) {
 	patient, late := wt.giveUp(), false
 	if left := wt.untilTooLate(ctx); left < patient {
 		patient, late = left, true
@@ -238,7 +238,7 @@
 	if wt.granted {
 		// Granted and given up at the same moment counts as granted; the
 		// caller sees its ended context next and leaves the slot.
-		return &Ticket{ga: ga, cl: cl, rq: wt.Request, since: time.Now()}, nil
+		return &Slot{ga: ga, cl: cl, rq: wt.Request, since: time.Now()}, nil
 	}
 	after := ga.expectedWait(cl, wt, len(cl.queue))
 	if !wt.gone {
@@ -250,18 +250,18 @@
 	case ga.draining:
 		return nil, refuse(result.ReasonDraining, 0)
 	case ctx.Err() != nil:
-		return nil, refuse(result.ReasonDeadline, after)
+		return nil, refuse(result.ReasonDeadlinePassed, after)
 	case late:
-		return nil, refuse(result.ReasonTooLate, after)
+		return nil, refuse(result.ReasonDeadlineTooNear, after)
 	}
-	return nil, refuse(result.ReasonFull, after)
+	return nil, refuse(result.ReasonSlotsFull, after)
 }
 
 // displace refuses the last of a full queue for one that goes before it, as long as
 // there is one that is not the only one of its priority. Without
 // that, calls of backend servers were refused behind a queue of less urgent
 // requests, and the work of their callers was lost. ga.mu is held.
-func (ga *Gate) displace(cl *class) {
+func (ga *Limiter) displace(cl *class) {
 	victim := cl.victim()
 	cl.remove(victim)
 	ga.waiting--
@@ -269,11 +269,11 @@
 	close(victim.ready)
 }
 
-// Since returns when the slot was given.
-func (tk *Ticket) Since() time.Time { return tk.since }
+// AcquiredAt returns when the slot was given.
+func (tk *Slot) AcquiredAt() time.Time { return tk.since }
 
-// Leave gives the slot back; it does so once. It is not safe for concurrent use.
-func (tk *Ticket) Leave() {
+// Release gives the slot back; it does so once. It is not safe for concurrent use.
+func (tk *Slot) Release() {
 	if tk.left {
 		return
 	}
@@ -298,7 +298,7 @@
 // handOver gives free slots to those who wait: classes below their own share
 // first, the one farthest below leading, then the others by their use.
 // ga.mu is held.
-func (ga *Gate) handOver() {
+func (ga *Limiter) handOver() {
 	for ga.running < ga.slots && ga.waiting > 0 {
 		cl := ga.nextClass()
 		if cl == nil {
@@ -315,7 +315,7 @@
 	}
 }
 
-func (ga *Gate) nextClass() *class {
+func (ga *Limiter) nextClass() *class {
 	var best *class
 	for _, cl := range ga.order {
 		if len(cl.queue) == 0 {
@@ -338,7 +338,7 @@
 
 // Drain refuses all new requests from now on and those that wait. It returns
 // how many run and a channel that is closed once none does.
-func (ga *Gate) Drain() (running int, idle <-chan struct{}) {
+func (ga *Limiter) Drain() (running int, idle <-chan struct{}) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	ga.draining = true
@@ -361,25 +361,25 @@
 	return ga.running, ch
 }
 
-// Open admits requests again after a Drain, for another backend server.
-func (ga *Gate) Open() {
+// Resume admits requests again after a Drain, for another backend server.
+func (ga *Limiter) Resume() {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	ga.draining = false
 }
 
 // Draining reports whether all new requests are refused.
-func (ga *Gate) Draining() bool {
+func (ga *Limiter) Draining() bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	return ga.draining
 }
 
-// Work returns what the backend server is doing.
-func (ga *Gate) Work() Work {
+// Activity returns what the backend server is doing.
+func (ga *Limiter) Activity() Activity {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	wk := Work{Running: ga.running}
+	wk := Activity{Running: ga.running}
 	for pr, count := range ga.doing {
 		if count >= ga.doing[wk.Priority] {
 			wk.Priority = pr
@@ -393,10 +393,10 @@
 
 // Load returns how many requests run and wait, the slots, and what waits are to be
 // expected.
-func (ga *Gate) Load() result.Load {
+func (ga *Limiter) Load() result.Load {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ld := result.Load{Running: ga.running, Waiting: ga.waiting, Slots: ga.slots, Service: ga.service.value.Truncate(time.Millisecond)}
+	ld := result.Load{Running: ga.running, Waiting: ga.waiting, Slots: ga.slots, ServiceTime: ga.service.value.Truncate(time.Millisecond)}
 	if ga.running < ga.slots || ga.slots <= 0 {
 		return ld
 	}
--- a/internal/path/limit/limit_test.go
+++ b/internal/path/limit/limit_test.go
@@ -41,7 +41,7 @@
 					time.Sleep(time.Duration(jb.at) * time.Millisecond)
 					ctx, cancel := context.WithTimeout(context.Background(), time.Duration(jb.wait)*time.Millisecond)
 					defer cancel()
-					tk, rf := ga.Enter(ctx, Request{Class: jb.class})
+					tk, rf := ga.Acquire(ctx, Request{Class: jb.class})
 					done.Add(1)
 					if rf != nil {
 						if rf.Outcome != result.NotRun {
@@ -54,7 +54,7 @@
 					}
 					time.Sleep(time.Duration(jb.work) * time.Millisecond)
 					running.Add(-1)
-					tk.Leave()
+					tk.Release()
 				})
 			}
 			time.Sleep(time.Duration(drainAt) * time.Millisecond)
@@ -75,11 +75,11 @@
 }
 
 // fill takes n slots for a class.
-func fill(t *testing.T, ga *Gate, class string, n int) []*Ticket {
+func fill(t *testing.T, ga *Limiter, class string, n int) []*Slot {
 	t.Helper()
-	var list []*Ticket
+	var list []*Slot
 	for range n {
-		tk, rf := ga.Enter(t.Context(), Request{Class: class})
+		tk, rf := ga.Acquire(t.Context(), Request{Class: class})
 		if rf != nil {
 			t.Fatalf("refused: %+v", rf)
 		}
@@ -101,10 +101,10 @@
 		defer close(end)
 		enter := func(class string) {
 			go func() {
-				if tk, rf := ga.Enter(t.Context(), Request{Class: class}); rf == nil {
+				if tk, rf := ga.Acquire(t.Context(), Request{Class: class}); rf == nil {
 					order <- class
 					<-end
-					tk.Leave()
+					tk.Release()
 				}
 			}()
 			synctest.Wait()
@@ -115,7 +115,7 @@
 		enter("confirm")
 		var got []string
 		for _, tk := range held {
-			tk.Leave()
+			tk.Release()
 			got = append(got, <-order)
 		}
 		want := []string{"confirm", "confirm", "lookup", "confirm"}
@@ -137,14 +137,14 @@
 		for range 50 {
 			tk := fill(t, ga, "lookup", 1)[0]
 			time.Sleep(2 * time.Second)
-			tk.Leave()
+			tk.Release()
 		}
 		fill(t, ga, "lookup", 1)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		began := time.Now()
-		_, rf := ga.Enter(ctx, Request{Class: "lookup"})
-		if took := time.Since(began); rf == nil || rf.Reason != result.ReasonTooLate || took != 0 {
+		_, rf := ga.Acquire(ctx, Request{Class: "lookup"})
+		if took := time.Since(began); rf == nil || rf.Reason != result.ReasonDeadlineTooNear || took != 0 {
 			t.Errorf("refused with %+v after %s", rf, took)
 		}
 		if rf.RetryAfter < 1500*time.Millisecond || rf.RetryAfter > 4*time.Second {
@@ -163,13 +163,13 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		for range 2 {
-			go func() { _, _ = ga.Enter(ctx, Request{Class: "lookup"}) }()
+			go func() { _, _ = ga.Acquire(ctx, Request{Class: "lookup"}) }()
 		}
 		synctest.Wait()
-		if _, rf := ga.Enter(t.Context(), Request{Class: "lookup"}); rf == nil || rf.Reason != result.ReasonFull {
+		if _, rf := ga.Acquire(t.Context(), Request{Class: "lookup"}); rf == nil || rf.Reason != result.ReasonSlotsFull {
 			t.Errorf("the third that waits: %+v", rf)
 		}
-		go func() { _, _ = ga.Enter(ctx, Request{Class: "confirm"}) }()
+		go func() { _, _ = ga.Acquire(ctx, Request{Class: "confirm"}) }()
 		synctest.Wait()
 		if ld := ga.Load(); ld.Waiting != 3 {
 			t.Errorf("%d wait, want 3", ld.Waiting)
@@ -185,10 +185,10 @@
 	held := fill(t, ga, "lookup", 4)
 	ga.Configure(1, nil)
 	for i, tk := range held {
-		if _, rf := ga.Enter(t.Context(), Request{Class: "lookup"}); rf == nil {
+		if _, rf := ga.Acquire(t.Context(), Request{Class: "lookup"}); rf == nil {
 			t.Fatalf("entered with %d running in 1 slot", len(held)-i)
 		}
-		tk.Leave()
+		tk.Release()
 	}
 	fill(t, ga, "lookup", 1)
 }
@@ -199,8 +199,8 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			if tk, rf := ga.Enter(b.Context(), Request{Class: "lookup"}); rf == nil {
-				tk.Leave()
+			if tk, rf := ga.Acquire(b.Context(), Request{Class: "lookup"}); rf == nil {
+				tk.Release()
 			}
 		}
 	})
@@ -226,22 +226,22 @@
 			ga := New()
 			ga.Configure(9, []Class{{Name: "", Queue: 16}})
 			for range 9 {
-				tk, rf := ga.Enter(t.Context(), Request{})
+				tk, rf := ga.Acquire(t.Context(), Request{})
 				if rf != nil {
 					t.Fatal(rf)
 				}
-				time.AfterFunc(160*time.Millisecond, tk.Leave)
+				time.AfterFunc(160*time.Millisecond, tk.Release)
 			}
 			time.Sleep(time.Second)
 			for range 9 {
-				if _, rf := ga.Enter(t.Context(), Request{}); rf != nil {
+				if _, rf := ga.Acquire(t.Context(), Request{}); rf != nil {
 					t.Fatal(rf)
 				}
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			var wg conc.WaitGroup
 			for range 30 {
-				wg.Go(func() { _, _ = ga.Enter(ctx, tc.rq) })
+				wg.Go(func() { _, _ = ga.Acquire(ctx, tc.rq) })
 				synctest.Wait()
 			}
 			if got := ga.Load().Waiting; got != tc.want {
@@ -269,10 +269,10 @@
 		ends := make(chan end, 10)
 		enter := func(name string, priority int) {
 			go func() {
-				tk, rf := ga.Enter(t.Context(), Request{Class: "default", Priority: priority, Objective: time.Second})
+				tk, rf := ga.Acquire(t.Context(), Request{Class: "default", Priority: priority, Objective: time.Second})
 				ends <- end{name, rf}
 				if tk != nil {
-					tk.Leave()
+					tk.Release()
 				}
 			}()
 			synctest.Wait()
@@ -281,14 +281,14 @@
 		enter("document", 2)
 		enter("lookup", 2)
 		enter("call", 0)
-		if got := <-ends; got.name != "lookup" || got.rf == nil || got.rf.Reason != result.ReasonFull || got.rf.Outcome != result.NotRun {
+		if got := <-ends; got.name != "lookup" || got.rf == nil || got.rf.Reason != result.ReasonSlotsFull || got.rf.Outcome != result.NotRun {
 			t.Errorf("%s ended with %+v; want the last lookup refused as full", got.name, got.rf)
 		}
 		enter("another", 2)
 		if got := <-ends; got.name != "another" || got.rf == nil {
 			t.Errorf("%s ended with %+v; want the newcomer refused", got.name, got.rf)
 		}
-		held[0].Leave()
+		held[0].Release()
 		for _, want := range []string{"call", "document"} {
 			if got := <-ends; got.name != want || got.rf != nil {
 				t.Errorf("%s got the slot, %+v; want %s", got.name, got.rf, want)
@@ -312,13 +312,13 @@
 		var wg conc.WaitGroup
 		send := func(priority int, objective time.Duration) {
 			wg.Go(func() {
-				tk, rf := ga.Enter(ctx, Request{Class: "default", Priority: priority, Objective: objective})
+				tk, rf := ga.Acquire(ctx, Request{Class: "default", Priority: priority, Objective: objective})
 				if rf != nil {
 					return
 				}
 				time.Sleep(10 * time.Millisecond)
 				served[priority].Add(1)
-				tk.Leave()
+				tk.Release()
 			})
 		}
 		for i := range 2000 {
--- a/internal/path/limit/load_test.go
+++ b/internal/path/limit/load_test.go
@@ -76,17 +76,17 @@
 
 // try is a caller with all its tries at one request, who comes back at the times drawn
 // from back.
-func try(ga *Gate, fl *flow, work time.Duration, back *rand.Rand) (took time.Duration, ok bool) {
+func try(ga *Limiter, fl *flow, work time.Duration, back *rand.Rand) (took time.Duration, ok bool) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), fl.deadline)
 	defer cancel()
 	for range max(1, fl.tries) {
 		left := max(1, fl.objective-time.Since(began))
 		rq := Request{Class: "default", Kind: fl.name, Priority: fl.priority, Objective: left, Final: fl.final}
-		tk, rf := ga.Enter(ctx, rq)
+		tk, rf := ga.Acquire(ctx, rq)
 		if rf == nil {
 			time.Sleep(work)
-			tk.Leave()
+			tk.Release()
 			return time.Since(began), true
 		}
 		time.Sleep(fl.back/2 + time.Duration(back.Int64N(int64(fl.back)+1)))
--- a/internal/path/outlet/answer_test.go
+++ b/internal/path/outlet/answer_test.go
@@ -80,7 +80,7 @@
 			t.Fatalf("a caller got status %d, %d bytes, %v", an.status, len(an.body), an.err)
 		}
 	}
-	if broken.Seen() == 0 {
+	if broken.RequestCount() == 0 {
 		t.Error("the broken server was never asked")
 	}
 }
@@ -107,7 +107,7 @@
 			return err == nil
 		})
 		rg := newRig(t, be.Addr)
-		rg.outlet = outlet.New(outlet.Options{Forwarder: proxy.New(proxy.Options{Dial: patientDial}), Names: result.Names{Fractions: true}})
+		rg.outlet = outlet.New(outlet.Options{Forwarder: proxy.New(proxy.Options{Dial: patientDial}), Names: result.HeaderNames{FractionalRetryAfter: true}})
 		rg.update()
 		rg.front.Config.Handler = rg.outlet
 		an := rg.do(rg.request("GET", "/always", ""))
