--- a/internal/path/outlet/attempt.go
+++ b/internal/path/outlet/attempt.go
@@ -35,35 +35,35 @@
 	if ld, ok := result.ParseLoad(at.Response.Header.Get(result.LoadHeader)); ok {
 		ep.SetLoad(ld, time.Now(), rq.gp)
 	}
-	if rf := result.FromAnswer(at.Response); rf != nil {
+	if rf := result.FromResponse(at.Response); rf != nil {
 		ep.End(time.Now(), verdictOf(rf), rq.gp)
 		// A short body is read to its end, so that the connection is kept.
 		_, _ = io.Copy(io.Discard, io.LimitReader(at.Response.Body, 4<<10))
 		return rf
 	}
-	vd := pick.Good
+	vd := pick.Success
 	if at.Response.StatusCode >= http.StatusInternalServerError {
-		vd = pick.Bad
+		vd = pick.Failure
 		rq.ou.memory.Failed(rq.try, time.Now(), false, &rq.kn.back)
 	}
-	rq.spent = result.ParseSpent(at.Response.Header.Get(result.SpentHeader))
-	if vd == pick.Good {
-		ep.Measured(rq.spent.Held, rq.kn.ran(rq.spent.Held))
+	rq.spent = result.ParseSlotTimes(at.Response.Header.Get(result.SlotTimesHeader))
+	if vd == pick.Success {
+		ep.RecordServiceTime(rq.spent.ServiceTime, rq.kn.ran(rq.spent.ServiceTime))
 	}
 	if rf := rq.readSmall(at); rf != nil {
 		ep.End(time.Now(), verdictOf(rf), rq.gp)
 		return rf
 	}
 	rq.kn.answered(headBytes + bodyBytes(rq.r) + max(0, at.Response.ContentLength))
-	proxy.CopyHead(rq.w, at.Response, nil)
+	proxy.CopyHeader(rq.w, at.Response, nil)
 	err := proxy.Copy(rq.w, at, proxy.Pace{})
 	var ce *proxy.CopyError
-	if errors.As(err, &ce) && ce.Reading && rq.ctx.Err() == nil {
-		vd = pick.Bad
+	if errors.As(err, &ce) && ce.ReadFailed && rq.ctx.Err() == nil {
+		vd = pick.Failure
 	}
 	ep.End(time.Now(), vd, rq.gp)
 	if err != nil {
-		rq.count(result.Ended, result.ReasonBroken)
+		rq.count(result.Ended, result.ReasonConnectionBroken)
 		panic(http.ErrAbortHandler)
 	}
 	return nil
@@ -73,7 +73,7 @@
 // left out until a connection can be made, so that no request has to find out.
 func (rq *request) ended(ep *pick.Endpoint, vd pick.Verdict) {
 	now := time.Now()
-	wasOut := ep.Out(now)
+	wasOut := ep.Ejected(now)
 	ep.End(now, vd, rq.gp)
 	if vd == pick.Unreachable && !wasOut {
 		go rq.ou.awaitReturn(ep)
@@ -98,14 +98,14 @@
 		case <-ou.life.Done():
 			return
 		}
-		if !ep.Out(time.Now()) {
+		if !ep.Ejected(time.Now()) {
 			return
 		}
-		if ou.fw.Reach(ou.life, ep.Inlet) {
-			ep.Return()
+		if ou.fw.Reachable(ou.life, ep.Inlet) {
+			ep.Reinstate()
 			return
 		}
-		ep.KeepOut(time.Now())
+		ep.EjectAgain(time.Now())
 	}
 }
 
@@ -117,8 +117,8 @@
 // middle would otherwise have cost the caller its connection, where a request
 // that may be repeated can be sent again as long as nothing was passed on.
 func (rq *request) readSmall(at *proxy.Attempt) *result.Refusal {
-	if err := at.Hold(maxHeldAnswer); err != nil {
-		rf := rq.failure(at, result.MayHaveRun, result.ReasonBroken)
+	if err := at.Buffer(maxHeldAnswer); err != nil {
+		rf := rq.failure(at, result.MayHaveRun, result.ReasonConnectionBroken)
 		rf.Cause = err
 		return rf
 	}
@@ -130,24 +130,24 @@
 	if staleConn(rf) {
 		return pick.Busy
 	}
-	if rf.Reason.NoRoom() {
+	if rf.Reason.NoCapacity() {
 		return pick.Busy
 	}
 	switch rf.Reason {
 	case result.ReasonCallerGone:
 		return pick.Busy
-	case result.ReasonWrongTarget, result.ReasonDraining, result.ReasonNoServer, result.ReasonConnect:
+	case result.ReasonWrongTarget, result.ReasonDraining, result.ReasonNoServer, result.ReasonNoConnection:
 		return pick.Unreachable
 	case result.ReasonShed:
 		return pick.Shed
-	case result.ReasonDeadline:
+	case result.ReasonDeadlinePassed:
 		// Waiting for a slot until the deadline is no fault of the server;
 		// running until then may be.
 		if rf.Outcome == result.NotRun {
 			return pick.Busy
 		}
 	}
-	return pick.Bad
+	return pick.Failure
 }
 
 // failure describes an attempt without an answer.
@@ -157,7 +157,7 @@
 	case rq.r.Context().Err() != nil:
 		rf.Reason = result.ReasonCallerGone
 	case rq.ctx.Err() != nil:
-		rf.Reason = result.ReasonDeadline
+		rf.Reason = result.ReasonDeadlinePassed
 	case rq.src.tooLarge():
 		rf.Reason, rf.RetryAfter = result.ReasonTooLarge, 0
 	case at.Err != nil:
@@ -168,9 +168,9 @@
 
 // outgoing makes the request for a server's inlet.
 func (rq *request) outgoing(ep *pick.Endpoint) *http.Request {
-	out := proxy.Outgoing(rq.ctx, rq.r, ep.Inlet, result.TimeoutMs)
+	out := proxy.Outgoing(rq.ctx, rq.r, ep.Inlet, result.TimeoutHeader)
 	nm := &rq.ou.names
-	if nm.Timeout != result.TimeoutMs {
+	if nm.Timeout != result.TimeoutHeader {
 		out.Header.Del(nm.Timeout)
 	}
 	if nm.Instance != "" {
@@ -187,16 +187,16 @@
 	out.Header[result.UrgencyHeader] = []string{urgency(rq.route, rq.priority, rq.elapsed, time.Since(rq.start), rq.final)}
 	out.Header[result.RouteHeader] = []string{rq.route.Name}
 	if rq.ends > 0 {
-		out.Header[result.EndsHeader] = []string{strconv.Itoa(rq.ends)}
+		out.Header[result.CrashesHeader] = []string{strconv.Itoa(rq.ends)}
 	}
 	if share := rq.repeated(); share > 0 {
-		out.Header[result.RepeatHeader] = []string{result.Share(share)}
+		out.Header[result.RepeatHeader] = []string{result.FormatProbability(share)}
 	}
 	if size := rq.kn.expected(); pick.Large(size) {
 		out.Header[result.SizeHeader] = []string{strconv.FormatInt(size, 10)}
 		// This one is counted among them.
 		others := int(rq.ou.large.Load()) - 1
-		if rate := pacer.Share(rq.ou.link, others); rate > 0 {
+		if rate := pacer.ReceiverRate(rq.ou.link, others); rate > 0 {
 			out.Header[result.RateHeader] = []string{strconv.Itoa(rate)}
 		}
 	}
--- a/internal/path/outlet/baseline_test.go
+++ b/internal/path/outlet/baseline_test.go
@@ -25,18 +25,18 @@
 func (ba *baseline) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	for try := range 4 {
 		rec := ba.lr.recs[ba.pick()]
-		out := proxy.Outgoing(r.Context(), r, rec.Inlet, result.TimeoutMs)
+		out := proxy.Outgoing(r.Context(), r, rec.Inlet, result.TimeoutHeader)
 		out.Header.Set(result.VMHeader, rec.VM)
 		out.Header.Set(result.ProcessHeader, pick.Process(rec))
 		out.Header.Set(result.ServiceHeader, "booking")
 		out.Header.Set(result.ClassHeader, "default")
-		out.Header.Set(result.TimeoutMs, "1000")
+		out.Header.Set(result.TimeoutHeader, "1000")
 		out.Body = proxy.Body(nil)
 		at := ba.fw.Do(out)
 		if at.Response == nil {
 			continue
 		}
-		failed := result.FromAnswer(at.Response) != nil || at.Response.StatusCode >= 500
+		failed := result.FromResponse(at.Response) != nil || at.Response.StatusCode >= 500
 		if failed && try < 3 {
 			at.Response.Body.Close()
 			continue
--- a/internal/path/outlet/deadline_test.go
+++ b/internal/path/outlet/deadline_test.go
@@ -16,7 +16,7 @@
 	ou := &Outlet{log: slog.New(slog.NewJSONHandler(&out, &slog.HandlerOptions{Level: slog.LevelDebug}))}
 	// A recorder knows no deadlines.
 	ou.guardTimes(httptest.NewRecorder(), time.Now())()
-	if n := bytes.Count(out.Bytes(), []byte(logs.DeadlineUnset)); n != 2 {
+	if n := bytes.Count(out.Bytes(), []byte(logs.SetDeadlineFailed)); n != 2 {
 		t.Errorf("%d lines, want 2: %s", n, &out)
 	}
 }
--- a/internal/path/outlet/edge.go
+++ b/internal/path/outlet/edge.go
@@ -19,7 +19,7 @@
 	if r.Method == http.MethodConnect || proxy.Upgrades(r.Header) {
 		return bad(result.ReasonUpgrade, "CONNECT and upgrades are not carried")
 	}
-	if name := proxy.Forged(r.Header); name != "" {
+	if name := proxy.ReservedHeader(r.Header); name != "" {
 		return bad(result.ReasonBadRequest, "the header %s is not taken from callers", name)
 	}
 	if _, ok := ou.timeout(r.Header); !ok && r.Header.Get(ou.names.Timeout) != "" {
--- a/internal/path/outlet/edge_test.go
+++ b/internal/path/outlet/edge_test.go
@@ -65,14 +65,14 @@
 		{"unknown host", "GET / HTTP/1.1\r\nHost: nobody\r\nConnection: close\r\n\r\n", "404"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			rs := newRaw(t, faulty.Well)
+			rs := newRaw(t, faulty.RespondOK)
 			rg := newRig(t, rs.Addr)
 			first, all := rg.raw(tc.text)
 			if tc.want != "" && !strings.HasPrefix(first, "HTTP/1.1 "+tc.want) {
 				t.Errorf("answered %q, want %s", first, tc.want)
 			}
-			if tc.want != "" && rs.Seen() > 0 {
-				t.Errorf("the server saw %d requests", rs.Seen())
+			if tc.want != "" && rs.RequestCount() > 0 {
+				t.Errorf("the server saw %d requests", rs.RequestCount())
 			}
 			if strings.Contains(all, "smuggled") {
 				t.Errorf("a smuggled request was answered: %q", all)
@@ -95,7 +95,7 @@
 		mu.Lock()
 		seen = append(seen, fmt.Sprintf("%s %s %q %d", req.Method, req.URL.Path, body, len(req.TransferEncoding)))
 		mu.Unlock()
-		return faulty.Well(cn, n, req)
+		return faulty.RespondOK(cn, n, req)
 	})
 	rg := newRig(t, rs.Addr)
 	rg.raw("POST /a HTTP/1.1\r\nHost: booking\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n" +
@@ -264,7 +264,7 @@
 func TestHTTP2Caller(t *testing.T) {
 	rs := newRaw(t, func(cn net.Conn, n int, req *http.Request) bool {
 		if req.URL.Path == "/whole" {
-			return faulty.Well(cn, n, req)
+			return faulty.RespondOK(cn, n, req)
 		}
 		faulty.ReadBody(req)
 		_, _ = fmt.Fprint(cn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")
@@ -291,7 +291,7 @@
 	rs := newRaw(t, func(cn net.Conn, n int, req *http.Request) bool {
 		began <- true
 		<-goOn
-		return faulty.Well(cn, n, req)
+		return faulty.RespondOK(cn, n, req)
 	})
 	rg := newRig(t, rs.Addr)
 	var wg conc.WaitGroup
@@ -347,7 +347,7 @@
 // bytes of bodies are kept; those of the others are streamed, and who gets a
 // slot is answered meanwhile.
 func TestManyBodies(t *testing.T) {
-	rg := newRig(t, newRaw(t, faulty.Well).Addr)
+	rg := newRig(t, newRaw(t, faulty.RespondOK).Addr)
 	addr := strings.TrimPrefix(rg.front.URL, "http://")
 	const kept = 4 << 20 / 60_000
 	var refused atomic.Int64
@@ -422,7 +422,7 @@
 func FuzzEdge(f *testing.F) {
 	f.Add("GET / HTTP/1.1\r\nHost: booking\r\n\r\n")
 	f.Add("POST /a HTTP/1.1\r\nHost: booking\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
-	rs := newRaw(f, faulty.Well)
+	rs := newRaw(f, faulty.RespondOK)
 	rg := newRig(f, rs.Addr)
 	addr := strings.TrimPrefix(rg.front.URL, "http://")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/path/outlet/faults_test.go
+++ b/internal/path/outlet/faults_test.go
@@ -50,16 +50,16 @@
 			for _, kd := range kinds {
 				t.Run(kd.name, func(t *testing.T) {
 					t.Parallel()
-					rs := newRaw(t, fa.Behave)
+					rs := newRaw(t, fa.Handler)
 					rg := newRig(t, rs.Addr)
 					an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
-					if n := rs.Seen(); n != 1 {
+					if n := rs.RequestCount(); n != 1 {
 						t.Errorf("the server saw the request %d times", n)
 					}
 					switch {
-					case fa.Broken && an.err == nil && an.outcome != "may-have-run":
+					case fa.HeadSent && an.err == nil && an.outcome != "may-have-run":
 						t.Errorf("a broken answer looked whole: %+v", an)
-					case !fa.Broken && (an.outcome != "may-have-run" || an.status != http.StatusBadGateway || an.err != nil):
+					case !fa.HeadSent && (an.outcome != "may-have-run" || an.status != http.StatusBadGateway || an.err != nil):
 						t.Errorf("the caller got %+v, want may-have-run", an)
 					}
 				})
@@ -74,7 +74,7 @@
 func TestServerFailsOnKeptConnection(t *testing.T) {
 	fn := func(cn net.Conn, n int, req *http.Request) bool {
 		if n == 1 {
-			return faulty.Well(cn, n, req)
+			return faulty.RespondOK(cn, n, req)
 		}
 		faulty.ReadBody(req)
 		return false
@@ -87,7 +87,7 @@
 				t.Fatalf("the first request: %+v", an)
 			}
 			an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
-			if n := rs.Seen(); n != 2 {
+			if n := rs.RequestCount(); n != 2 {
 				t.Errorf("the server saw %d requests, want the first and this one once", n)
 			}
 			if an.outcome != "may-have-run" {
@@ -104,7 +104,7 @@
 		method, key string
 		want        int
 	}{{"GET", "", 3}, {"DELETE", "k", 3}, {"POST", "k", 3}, {"POST", "", 2}} {
-		rs := newRaw(t, func(cn net.Conn, n int, req *http.Request) bool { return n == 1 && faulty.Well(cn, n, req) })
+		rs := newRaw(t, func(cn net.Conn, n int, req *http.Request) bool { return n == 1 && faulty.RespondOK(cn, n, req) })
 		tr := &http.Transport{}
 		cl := &http.Client{Transport: tr}
 		for range 2 {
@@ -117,7 +117,7 @@
 			}
 			send(cl, req)
 		}
-		if n := rs.Seen(); n != tc.want {
+		if n := rs.RequestCount(); n != tc.want {
 			t.Errorf("%s key %q: the server saw %d requests, want %d", tc.method, tc.key, n, tc.want)
 		}
 		tr.CloseIdleConnections()
@@ -129,17 +129,17 @@
 // caller is told that it may have run.
 func TestOtherServerHelps(t *testing.T) {
 	for _, fa := range faulty.Faults {
-		if fa.Broken {
+		if fa.HeadSent {
 			continue
 		}
 		for _, kd := range kinds {
 			t.Run(fa.Name+"/"+kd.name, func(t *testing.T) {
 				t.Parallel()
-				bad, good := newRaw(t, fa.Behave), newRaw(t, faulty.Well)
+				bad, good := newRaw(t, fa.Handler), newRaw(t, faulty.RespondOK)
 				// The failing server is in the own failure domain: tried first.
 				rg := newRig(t, bad.Addr, good.Addr)
 				an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
-				runs := [2]int{bad.Seen(), good.Seen()}
+				runs := [2]int{bad.RequestCount(), good.RequestCount()}
 				if kd.repeatable && (an.status != http.StatusOK || runs != [2]int{1, 1}) {
 					t.Errorf("got %+v, runs %v; want it answered by the other", an, runs)
 				}
@@ -160,7 +160,7 @@
 	const dead = "127.0.0.1:1"
 	for _, tc := range []struct {
 		name  string
-		fn    faulty.Behave
+		fn    faulty.Handler
 		spoil func(rg *rig)
 		// reason is given when there is no other server, and runs is how many
 		// heads the refusing server sees.
@@ -193,14 +193,14 @@
 			t.Run(tc.name+"/"+kd.name, func(t *testing.T) {
 				fn := tc.fn
 				if fn == nil {
-					fn = faulty.Well
+					fn = faulty.RespondOK
 				}
-				bad, good := newRaw(t, fn), newRaw(t, faulty.Well)
+				bad, good := newRaw(t, fn), newRaw(t, faulty.RespondOK)
 				rg := newRig(t, bad.Addr, good.Addr)
 				tc.spoil(rg)
 				an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
-				if an.status != http.StatusOK || bad.Seen() != tc.runs || good.Seen() != 1 {
-					t.Errorf("got %+v, runs %d and %d", an, bad.Seen(), good.Seen())
+				if an.status != http.StatusOK || bad.RequestCount() != tc.runs || good.RequestCount() != 1 {
+					t.Errorf("got %+v, runs %d and %d", an, bad.RequestCount(), good.RequestCount())
 				}
 				alone := newRig(t, bad.Addr)
 				tc.spoil(alone)
@@ -230,8 +230,8 @@
 	if an.status != http.StatusGatewayTimeout || an.outcome != "may-have-run" || an.reason != "deadline-passed" {
 		t.Errorf("got %+v", an)
 	}
-	if ms, err := strconv.Atoi(<-given); rs.Seen() != 1 || err != nil || ms > 200 {
-		t.Errorf("the server saw it %d times, with %d ms left of 200", rs.Seen(), ms)
+	if ms, err := strconv.Atoi(<-given); rs.RequestCount() != 1 || err != nil || ms > 200 {
+		t.Errorf("the server saw it %d times, with %d ms left of 200", rs.RequestCount(), ms)
 	}
 	eventually(t, func() bool { return rg.vms[0].in.Gate.Load().Running == 0 })
 }
@@ -267,7 +267,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			rs := newRaw(t, func(cn net.Conn, n int, req *http.Request) bool {
 				if strings.HasPrefix(req.URL.Path, "/good") {
-					return faulty.Well(cn, n, req)
+					return faulty.RespondOK(cn, n, req)
 				}
 				faulty.ReadBody(req)
 				_, err := fmt.Fprint(cn, tc.answer, stolen)
--- a/internal/path/outlet/known.go
+++ b/internal/path/outlet/known.go
@@ -19,7 +19,7 @@
 	// held is the weighted mean time for which its requests hold a slot.
 	held atomic.Int64
 	// back learns whether callers come back after a refusal.
-	back again.Route
+	back again.RetryStats
 }
 
 // sizeWeight is the part of the mean that one answer makes.
@@ -69,7 +69,7 @@
 		text += "/" + strconv.FormatInt(max(1, (rt.Objective-elapsed-spent).Milliseconds()), 10)
 	}
 	if final {
-		text += result.Final
+		text += result.FinalSuffix
 	}
 	return text
 }
--- a/internal/path/outlet/load_test.go
+++ b/internal/path/outlet/load_test.go
@@ -112,7 +112,7 @@
 	front  http.Handler
 	rules  string
 	recs   []*member.Record
-	gates  []*limit.Gate
+	gates  []*limit.Limiter
 	inlets []*counting
 	back   []*backend
 	stops  []func()
--- a/internal/path/outlet/outlet.go
+++ b/internal/path/outlet/outlet.go
@@ -32,9 +32,9 @@
 	fw      *proxy.Forwarder
 	log     *slog.Logger
 	token   string
-	names   result.Names
+	names   result.HeaderNames
 	service string
-	work    func() limit.Work
+	work    func() limit.Activity
 	repeats retry.Bound
 	poison  func() *poison.View
 	// spread is how much later than others this outlet tries a poison request again.
@@ -51,9 +51,9 @@
 	link  float64
 	large atomic.Int32
 	// requests and bodies bound what callers can make the outlet hold.
-	requests, bodies proxy.Bound
+	requests, bodies proxy.Budget
 	// memory knows the tries that failed.
-	memory again.Memory
+	memory again.Tracker
 }
 
 // routing is a table with the state that belongs to its services.
@@ -69,19 +69,19 @@
 type Options struct {
 	Forwarder *proxy.Forwarder
 	Log       *slog.Logger
-	// Sample is the share of requests, 0 to 1, that are logged.
-	Sample float64
+	// LogSample is the share of requests, 0 to 1, that are logged.
+	LogSample float64
 	// Token is what inlets ask for; empty for none.
 	Token string
 	// Names are the headers of callers.
-	Names result.Names
-	// Link is the rate of the VM's link in bits a second, 0 where it is not known.
-	Link float64
+	Names result.HeaderNames
+	// LinkRate is the rate of the VM's link in bits a second, 0 where it is not known.
+	LinkRate float64
 	// Work returns what the VM's own backend server is doing; nil where there is none.
-	Work func() limit.Work
-	// Repeats bounds the repeats of all outlets together, for each service; nil stands
+	Work func() limit.Activity
+	// RetryBound bounds the repeats of all outlets together, for each service; nil stands
 	// for retry.Default.
-	Repeats *retry.Bound
+	RetryBound *retry.Bound
 	// Poison returns the requests that servers ended under; nil where none are known.
 	Poison func() *poison.View
 	// Service is the service that runs on this VM, which backend servers are
@@ -91,19 +91,19 @@
 
 // New returns an outlet without a table; it refuses requests until SetTable.
 func New(op Options) *Outlet {
-	ou := &Outlet{fw: op.Forwarder, log: op.Log, token: op.Token, names: op.Names.Or(), service: op.Service, link: op.Link, work: op.Work, repeats: retry.Default, poison: op.Poison, spread: rand.N(poison.RefuseSpread), started: time.Now()}
+	ou := &Outlet{fw: op.Forwarder, log: op.Log, token: op.Token, names: op.Names.WithDefaults(), service: op.Service, link: op.LinkRate, work: op.Work, repeats: retry.Default, poison: op.Poison, spread: rand.N(poison.RetryJitter), started: time.Now()}
 	if ou.poison == nil {
 		ou.poison = func() *poison.View { return nil }
 	}
-	if op.Repeats != nil {
-		ou.repeats = *op.Repeats
+	if op.RetryBound != nil {
+		ou.repeats = *op.RetryBound
 	}
 	if ou.work == nil {
-		ou.work = func() limit.Work { return limit.Work{} }
+		ou.work = func() limit.Activity { return limit.Activity{} }
 	}
 	ou.life, ou.end = context.WithCancel(context.Background())
-	ou.SetSample(op.Sample)
-	ou.requests.Most, ou.bodies.Most = maxRequests, maxBodies
+	ou.SetLogSample(op.LogSample)
+	ou.requests.Limit, ou.bodies.Limit = maxRequests, maxBodies
 	if ou.fw == nil {
 		ou.fw = proxy.New(proxy.Options{})
 	}
@@ -113,10 +113,10 @@
 	return ou
 }
 
-// SetSample sets the share of requests, 0 to 1, that are logged.
-func (ou *Outlet) SetSample(share float64) { ou.sample.Store(math.Float64bits(share)) }
+// SetLogSample sets the share of requests, 0 to 1, that are logged.
+func (ou *Outlet) SetLogSample(share float64) { ou.sample.Store(math.Float64bits(share)) }
 
-// Sample returns the share of requests that are logged.
+// LogSample returns the share of requests that are logged.
 func (ou *Outlet) Sample() float64 { return math.Float64frombits(ou.sample.Load()) }
 
 // SetTable replaces the table. Requests under way keep the one they have.
@@ -124,7 +124,7 @@
 	old := ou.routing.Get()
 	if old != nil {
 		for _, bu := range old.budgets {
-			bu.Limit(ou.repeats, tb.Outlets)
+			bu.SetBound(ou.repeats, tb.Outlets)
 		}
 	}
 	if old != nil && old.tb.Snap == tb.Snap {
@@ -193,11 +193,11 @@
 		ou.refuse(w, r, rf)
 		return
 	}
-	if !ou.requests.Take(1) {
+	if !ou.requests.TryAcquire(1) {
 		ou.refuse(w, r, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonOutletFull, RetryAfter: time.Second})
 		return
 	}
-	defer ou.requests.Give(1)
+	defer ou.requests.Release(1)
 	rt, route := ou.lookUp(r)
 	if rt == nil {
 		ou.refuse(w, r, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonNoConfig, RetryAfter: time.Second})
@@ -214,17 +214,17 @@
 	if ok {
 		limit = min(limit, given)
 	}
-	try, further := ou.memory.Came(r, start, given, &kn.back)
-	elapsed, final := start.Sub(try.First), false
+	try, further := ou.memory.Arrived(r, start, given, &kn.back)
+	elapsed, final := start.Sub(try.FirstAt), false
 	priority, repeat := route.Priority, 0.0
-	if wk := ou.work(); kn.back.Came(start, short && !further, wk.Running > 0) {
+	if wk := ou.work(); kn.back.CountArrival(start, short && !further, wk.Running > 0) {
 		final, priority, repeat = true, wk.Priority, wk.Repeats
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), start.Add(limit))
 	defer cancel()
-	sv := route.Target(rand.IntN(route.Total()))
+	sv := route.Target(rand.IntN(route.TotalWeight()))
 	rq := &request{
-		ou: ou, route: route, sv: sv, base: rt.tb.Group(sv), gp: rt.tb.Group(sv).For(start, rand.Float64()), bu: rt.budgets[sv.Index],
+		ou: ou, route: route, sv: sv, base: rt.tb.Group(sv), gp: rt.tb.Group(sv).ForRequest(start, rand.Float64()), bu: rt.budgets[sv.Index],
 		version: rt.tb.Snap.Version, kn: kn, th: rt.throttles[sv.Index][route.Class.Index], w: w, r: r, ctx: ctx, start: start, queued: time.Since(start), limit: limit, elapsed: elapsed, final: final, priority: priority, repeat: repeat, further: further, try: try,
 	}
 	undo := ou.guardTimes(w, start.Add(limit))
@@ -241,15 +241,15 @@
 // arrived returns when a request had been read. One that was sent behind others and
 // waited for its turn has used up as much of its time.
 func arrived(r *http.Request) time.Time {
-	if at := piping.Arrived(r); !at.IsZero() {
+	if at := piping.ArrivalTime(r); !at.IsZero() {
 		return at
 	}
 	return time.Now()
 }
 
-// Repeatable reports whether a request may be run again if its answer is lost, and
+// Retryable reports whether a request may be run again if its answer is lost, and
 // begun before those that its caller sent before it are answered.
-func (ou *Outlet) Repeatable(r *http.Request) bool {
+func (ou *Outlet) Retryable(r *http.Request) bool {
 	_, route := ou.match(r)
 	return route != nil && retry.Allowed(result.MayHaveRun, route.Repeat, r.Method)
 }
@@ -270,7 +270,7 @@
 	rc := http.NewResponseController(w)
 	set := func(read, write time.Time) {
 		if err := errors.Join(rc.SetReadDeadline(read), rc.SetWriteDeadline(write)); err != nil {
-			ou.log.Debug(logs.DeadlineUnset, slog.Any("error", err))
+			ou.log.Debug(logs.SetDeadlineFailed, slog.Any("error", err))
 		}
 	}
 	// The write deadline is later, so that a caller whose body did not come in time is still
@@ -286,5 +286,5 @@
 		// another one.
 		w.Header().Set("Connection", "close")
 	}
-	rf.Write(w, ou.names.Fractions)
+	rf.Write(w, ou.names.FractionalRetryAfter)
 }
--- a/internal/path/outlet/pick_test.go
+++ b/internal/path/outlet/pick_test.go
@@ -45,7 +45,7 @@
 	table, sv := pickTable(t, 790, 73)
 	now := time.Now()
 	var tried pick.Tried
-	if n := testing.AllocsPerRun(100, func() { table.Group(sv).Pick(now, pick.Want{Size: 1000}, &tried, fixed) }); n > 0 {
+	if n := testing.AllocsPerRun(100, func() { table.Group(sv).Pick(now, pick.Criteria{Size: 1000}, &tried, fixed) }); n > 0 {
 		t.Errorf("%v allocations a pick", n)
 	}
 }
@@ -62,7 +62,7 @@
 			next := func(n int) int { i++; return i % n }
 			for b.Loop() {
 				var tried pick.Tried
-				if table.Group(sv).Pick(now, pick.Want{Size: 1000}, &tried, next) == nil {
+				if table.Group(sv).Pick(now, pick.Criteria{Size: 1000}, &tried, next) == nil {
 					b.Fatal("no server")
 				}
 			}
--- a/internal/path/outlet/poison.go
+++ b/internal/path/outlet/poison.go
@@ -23,13 +23,13 @@
 		// Its body broke off, which the attempt finds as well.
 		return nil
 	}
-	key := ident.Of(rq.r, lead)
-	rq.ends = vw.Ends(key)
+	key := ident.KeyOf(rq.r, lead)
+	rq.ends = vw.CrashCount(key)
 	if !vw.Refuses(key, time.Now(), rq.ou.spread) {
 		return nil
 	}
 	rq.ou.log.LogAttrs(context.Background(), slog.LevelInfo, logs.PoisonRefused,
-		slog.String(logs.ID, rq.id()), slog.String(logs.Key, key.String()), slog.Int(logs.Ends, rq.ends))
+		slog.String(logs.ID, rq.id()), slog.String(logs.RequestKey, key.String()), slog.Int(logs.Crashes, rq.ends))
 	return &result.Refusal{
 		Outcome: result.NotRun, Reason: result.ReasonPoison,
 		Detail: "backend servers ended each time they ran this request; it is not run again for now",
--- a/internal/path/outlet/request.go
+++ b/internal/path/outlet/request.go
@@ -57,7 +57,7 @@
 	// software is the version of the last server's software.
 	software string
 	// spent is what the answered attempt spent at the inlet.
-	spent result.Spent
+	spent result.SlotTimes
 	// tries counts the attempts, busy those that found no room, sent those that
 	// may have reached a backend server.
 	tries, busy, sent int
@@ -68,7 +68,7 @@
 }
 
 func (rq *request) serve() {
-	rq.bu.Request()
+	rq.bu.AddRequest()
 	if rq.repeat > 0 {
 		rq.bu.Charge(rq.repeat)
 	}
@@ -83,11 +83,11 @@
 	}
 	// One that came back is offered in any case: held back, it would be turned away
 	// twice for nothing.
-	if !rq.final && !rq.further && !rq.th.Offer(rq.priority, rq.start, rand.Float64()) {
-		rq.end(&result.Refusal{Outcome: result.NotRun, Reason: result.ReasonFull})
+	if !rq.final && !rq.further && !rq.th.Allow(rq.priority, rq.start, rand.Float64()) {
+		rq.end(&result.Refusal{Outcome: result.NotRun, Reason: result.ReasonSlotsFull})
 		return
 	}
-	rq.th.Done(rq.priority, time.Now(), rq.send())
+	rq.th.RecordOutcome(rq.priority, time.Now(), rq.send())
 }
 
 // send sends the request until it is answered or given up on, and reports whether
@@ -101,7 +101,7 @@
 				last = &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonNoServer, RetryAfter: time.Second}
 			}
 			rq.end(last)
-			return !last.Crowded()
+			return !last.Overloaded()
 		}
 		rq.software = ep.Software
 		rf := rq.attempt(ep)
@@ -112,8 +112,8 @@
 		}
 		rq.failed = rf
 		rq.logAttempt(ep, rf)
-		if rf.Reason == result.ReasonServerEnded {
-			rq.ends = max(rq.ends+1, rf.Ends)
+		if rf.Reason == result.ReasonServerCrashed {
+			rq.ends = max(rq.ends+1, rf.Crashes)
 		}
 		if !staleConn(rf) {
 			rq.tried.Add(ep)
@@ -125,23 +125,23 @@
 		}
 		if !rq.again(rf) {
 			rq.end(last)
-			return !last.Crowded()
+			return !last.Overloaded()
 		}
 	}
 }
 
 // want returns what the request asks of a server.
-func (rq *request) want() pick.Want {
-	return pick.Want{
-		Size: rq.kn.expected(), Stay: pacer.Narrow(rq.ou.link),
-		Rank: result.Rank(rq.priority, rq.final), Held: time.Duration(rq.kn.held.Load()), Reached: rq.busy > 0,
+func (rq *request) want() pick.Criteria {
+	return pick.Criteria{
+		Size: rq.kn.expected(), StayInDomain: pacer.IsNarrow(rq.ou.link),
+		Rank: result.Rank(rq.priority, rq.final), ServiceTime: time.Duration(rq.kn.held.Load()), FoundFull: rq.busy > 0,
 	}
 }
 
 // staleConn reports whether a request met a kept connection that could not take
 // it. That says nothing of the server, which may be tried again.
 func staleConn(rf *result.Refusal) bool {
-	return rf.Outcome == result.NotRun && rf.Reason == result.ReasonBroken
+	return rf.Outcome == result.NotRun && rf.Reason == result.ReasonConnectionBroken
 }
 
 // worse returns what must be said of two attempts together: a request of which
@@ -176,7 +176,7 @@
 	if rq.ctx.Err() != nil || rq.tries >= retry.MaxAttempts || !rq.src.replayable() {
 		return false
 	}
-	if rq.ends >= poison.Most {
+	if rq.ends >= poison.RefuseThreshold {
 		return false
 	}
 	if reached(rf) {
@@ -190,7 +190,7 @@
 		// until its deadline and be lost without a word whether it had run.
 		return false
 	}
-	if rf.Reason.NoRoom() || rf.Reason == result.ReasonShed {
+	if rf.Reason.NoCapacity() || rf.Reason == result.ReasonShed {
 		if rq.busy++; rq.busy >= rq.maxBusy() {
 			return false
 		}
@@ -230,7 +230,7 @@
 	if rq.src.streamed() || rq.src.broken {
 		rq.w.Header().Set("Connection", "close")
 	}
-	rf.Write(rq.w, rq.ou.names.Fractions)
+	rf.Write(rq.w, rq.ou.names.FractionalRetryAfter)
 }
 
 // The return of refused callers.
@@ -250,7 +250,7 @@
 // when a slot is expected to be free, spread over as long again, so that those
 // who were refused together do not come back as one wave.
 func (rq *request) spread(rf *result.Refusal) {
-	if rf.Reason == result.ReasonPoison || rq.ends >= poison.Most {
+	if rf.Reason == result.ReasonPoison || rq.ends >= poison.RefuseThreshold {
 		// It would be refused as it is now.
 		rf.RetryAfter = 0
 		return
@@ -304,10 +304,10 @@
 	rq.ou.log.LogAttrs(context.Background(), level, logs.Request, slog.String(logs.ID, rq.id()),
 		slog.String("service", rq.sv.Name), slog.String("route", rq.route.Name), slog.Uint64(logs.Version, rq.version),
 		slog.String("method", rq.r.Method), slog.String(logs.Outcome, oc.String()), slog.String(logs.Reason, string(re)),
-		slog.Int("attempts", rq.tries), slog.String(logs.VM, rq.vm), rq.softwareAttr(), slog.Duration(logs.Elapsed, rq.elapsed),
+		slog.Int("attempts", rq.tries), slog.String(logs.TargetVM, rq.vm), rq.softwareAttr(), slog.Duration(logs.Elapsed, rq.elapsed),
 		slog.Duration(logs.Queued, rq.queued), slog.Duration(logs.Limit, rq.limit), rq.causeAttr(),
 		slog.Duration(logs.Objective, rq.route.Objective),
-		slog.Duration(logs.Wait, rq.spent.Wait), slog.Duration(logs.Held, rq.spent.Held), slog.Duration(logs.Took, took))
+		slog.Duration(logs.Wait, rq.spent.Wait), slog.Duration(logs.ServiceTime, rq.spent.ServiceTime), slog.Duration(logs.Took, took))
 }
 
 // softwareAttr returns the version of the last server's software for the log, nothing where
@@ -331,15 +331,15 @@
 // logAttempt writes the line of a try that did not end in an answer, with what
 // was believed of the server.
 func (rq *request) logAttempt(ep *pick.Endpoint, rf *result.Refusal) {
-	load, age := ep.Believed(time.Now())
+	load, age := ep.EstimatedLoad(time.Now())
 	rq.ou.log.LogAttrs(context.Background(), slog.LevelInfo, logs.Attempt, slog.String(logs.ID, rq.id()),
-		slog.String(logs.VM, ep.VM), slog.String(logs.Outcome, rf.Outcome.String()), slog.String(logs.Reason, string(rf.Reason)),
+		slog.String(logs.TargetVM, ep.VM), slog.String(logs.Outcome, rf.Outcome.String()), slog.String(logs.Reason, string(rf.Reason)),
 		slog.Float64(logs.Load, load), slog.Duration(logs.LoadAge, age), slog.Duration(logs.Took, time.Since(rq.start)), rf.CauseAttr())
 }
 
 // id returns the caller's id of the request, empty where callers give none.
 func (rq *request) id() string {
-	if name := rq.ou.names.Request; name != "" {
+	if name := rq.ou.names.RequestID; name != "" {
 		return rq.r.Header.Get(name)
 	}
 	return ""
--- a/internal/path/outlet/rig_test.go
+++ b/internal/path/outlet/rig_test.go
@@ -171,7 +171,7 @@
 }
 
 // newRaw starts a faulty backend server for the test.
-func newRaw(t testing.TB, fn faulty.Behave) *faulty.Server {
+func newRaw(t testing.TB, fn faulty.Handler) *faulty.Server {
 	t.Helper()
 	sr, err := faulty.New(fn)
 	if err != nil {
--- a/internal/path/outlet/source.go
+++ b/internal/path/outlet/source.go
@@ -47,11 +47,11 @@
 }
 
 // fill reads a small body, as long as bodies has room for it.
-func (so *source) fill(w http.ResponseWriter, r *http.Request, bodies *proxy.Bound) *result.Refusal {
+func (so *source) fill(w http.ResponseWriter, r *http.Request, bodies *proxy.Budget) *result.Refusal {
 	if r.ContentLength == 0 {
 		return nil
 	}
-	if r.ContentLength < 0 || r.ContentLength > maxBuffered || !bodies.Take(r.ContentLength) {
+	if r.ContentLength < 0 || r.ContentLength > maxBuffered || !bodies.TryAcquire(r.ContentLength) {
 		so.stream = &stream{r: http.MaxBytesReader(w, r.Body, proxy.MaxBody)}
 		return nil
 	}
@@ -69,7 +69,7 @@
 }
 
 // release gives back what the body took.
-func (so *source) release(bodies *proxy.Bound) { bodies.Give(int64(len(so.buffered))) }
+func (so *source) release(bodies *proxy.Budget) { bodies.Release(int64(len(so.buffered))) }
 
 // attach gives the body to an attempt.
 func (so *source) attach(out, r *http.Request) {
@@ -95,7 +95,7 @@
 	if so.stream == nil {
 		return so.buffered, true
 	}
-	lead, err := io.ReadAll(io.LimitReader(so.stream.r, ident.LeadBytes))
+	lead, err := io.ReadAll(io.LimitReader(so.stream.r, ident.MaxPrefixBytes))
 	so.stream.r = io.MultiReader(bytes.NewReader(lead), so.stream.r)
 	return lead, err == nil
 }
--- a/internal/path/pacer/pacer.go
+++ b/internal/path/pacer/pacer.go
@@ -61,14 +61,14 @@
 	ready chan struct{}
 }
 
-// Narrow reports whether a link of so many bits a second is paced; 0 stands for one
+// IsNarrow reports whether a link of so many bits a second is paced; 0 stands for one
 // without a bound.
-func Narrow(bits float64) bool { return bits > 0 && bits/8 < fast }
+func IsNarrow(bits float64) bool { return bits > 0 && bits/8 < fast }
 
 // New returns a pacer for a link of so many bits a second; 0 stands for one
 // without a bound.
 func New(bits float64) *Pacer {
-	if !Narrow(bits) {
+	if !IsNarrow(bits) {
 		return nil
 	}
 	return &Pacer{rate: bits / 8 * use}
@@ -83,11 +83,11 @@
 	receiverLeast = 0.25
 )
 
-// Share returns how many bytes a second one more answer should come at over a
+// ReceiverRate returns how many bytes a second one more answer should come at over a
 // link of so many bits a second on which others large ones are under way, 0 for a
 // link that is fast enough for all.
-func Share(bits float64, others int) int {
-	if !Narrow(bits) {
+func ReceiverRate(bits float64, others int) int {
+	if !IsNarrow(bits) {
 		return 0
 	}
 	return int(bits / 8 * max(receiverLeast, min(receiverPart, 1/float64(1+others))))
--- a/internal/path/pacer/pacer_test.go
+++ b/internal/path/pacer/pacer_test.go
@@ -149,7 +149,7 @@
 			pa := New(5e6)
 			wg.Go(func() {
 				time.Sleep(time.Duration(i) * 3 * time.Millisecond)
-				an := pa.Expect(90_000, float64(Share(5e6, i)))
+				an := pa.Expect(90_000, float64(ReceiverRate(5e6, i)))
 				defer an.End()
 				for rest := 90_000; rest > 0; rest -= pa.Piece() {
 					if err := an.Wait(t.Context(), pa.Piece()); err != nil {
@@ -169,11 +169,11 @@
 			t.Errorf("a small answer took up to %v beside two large ones", got)
 		}
 		for others, want := range map[int]int{0: 312_500, 1: 312_500, 2: 208_333, 3: 156_250, 9: 156_250} {
-			if got := Share(5e6, others); got != want {
+			if got := ReceiverRate(5e6, others); got != want {
 				t.Errorf("beside %d others: %d bytes a second, want %d", others, got, want)
 			}
 		}
-		if got := Share(1e9, 5); got != 0 {
+		if got := ReceiverRate(1e9, 5); got != 0 {
 			t.Errorf("a fast link asks for %d bytes a second", got)
 		}
 	})
--- a/internal/path/pick/cost_test.go
+++ b/internal/path/pick/cost_test.go
@@ -17,15 +17,15 @@
 	now := time.Now()
 	slow, fast := NewEndpoint(Endpoint{VM: "slow", Slots: 6}), NewEndpoint(Endpoint{VM: "fast", Slots: 6})
 	for range 40 {
-		slow.Measured(48*ms, 30*ms)
-		fast.Measured(112*ms, 160*ms)
+		slow.RecordServiceTime(48*ms, 30*ms)
+		fast.RecordServiceTime(112*ms, 160*ms)
 	}
 	for _, ep := range []*Endpoint{slow, fast} {
 		ep.Begin(now)
-		ep.End(now, Good, &Group{})
+		ep.End(now, Success, &Group{})
 	}
 	for _, typical := range []time.Duration{30 * ms, 160 * ms} {
-		wa := Want{Held: typical}
+		wa := Criteria{ServiceTime: typical}
 		if s, f := slow.cost(now, &wa, 0), fast.cost(now, &wa, 0); f >= s {
 			t.Errorf("a request that takes %v costs %v at the fast server, %v at the slow one", typical, f, s)
 		}
@@ -84,9 +84,9 @@
 	}
 	ep := NewEndpoint(Endpoint{Slots: 6})
 	ep.Begin(now)
-	ep.End(now, Good, &Group{})
+	ep.End(now, Success, &Group{})
 	for range 100 {
-		ep.Measured(200*ms, 100*ms)
+		ep.RecordServiceTime(200*ms, 100*ms)
 	}
 	if was, is := ep.held(now, 100*ms), ep.held(now.Add(10*time.Second), 100*ms); is >= 100*ms || was < 150*ms {
 		t.Errorf("a slow server is expected to take %v, and %v ten seconds later", was, is)
--- a/internal/path/pick/cut_test.go
+++ b/internal/path/pick/cut_test.go
@@ -57,7 +57,7 @@
 			tried.Add(near)
 		}
 		got := ""
-		if ep := gp.Pick(now, Want{Size: 1000, Reached: tc.full}, &tried, first); ep != nil {
+		if ep := gp.Pick(now, Criteria{Size: 1000, FoundFull: tc.full}, &tried, first); ep != nil {
 			got = ep.VM
 		}
 		if got != tc.want {
@@ -75,11 +75,11 @@
 	ep.Begin(now)
 	ep.End(now, Unreachable, gp)
 	var tried Tried
-	pick := func() *Endpoint { return gp.Pick(now, Want{}, &tried, func(int) int { return 0 }) }
+	pick := func() *Endpoint { return gp.Pick(now, Criteria{}, &tried, func(int) int { return 0 }) }
 	if got := pick(); got != nil {
 		t.Errorf("picked %s, which cannot be reached", got.VM)
 	}
-	ep.Return()
+	ep.Reinstate()
 	if got := pick(); got != ep {
 		t.Errorf("picked %v once it can be reached", got)
 	}
--- a/internal/path/pick/endpoint.go
+++ b/internal/path/pick/endpoint.go
@@ -101,14 +101,14 @@
 
 // The verdicts.
 const (
-	// Good is an answer.
-	Good Verdict = iota
+	// Success is an answer.
+	Success Verdict = iota
 	// Busy is a refusal for want of room, which is no fault.
 	Busy
 	// Shed is a refusal by the server itself, whose slots may look free.
 	Shed
-	// Bad is a failure, or an answer that the server failed.
-	Bad
+	// Failure is a failure, or an answer that the server failed.
+	Failure
 	// Unreachable means that no connection could be made.
 	Unreachable
 )
@@ -132,7 +132,7 @@
 		if gp.mayEject(ep, now) {
 			ep.live.ejected.Store(steady.Nanos(now.Add(shedRest)))
 		}
-	case Bad:
+	case Failure:
 		if ep.weigh(one) > failShare && gp.mayEject(ep, now) {
 			ep.eject(now)
 		}
@@ -157,11 +157,11 @@
 	mostSpeed = 4
 )
 
-// Measured takes the time for which an answer held a slot, and what is typical of its
+// RecordServiceTime takes the time for which an answer held a slot, and what is typical of its
 // route over all servers. A mean time of the server alone would tell what it was asked
 // rather than how fast it is: one that has run short calls looks faster than another
 // that has run long records, and draws what all outlets send.
-func (ep *Endpoint) Measured(held, typical time.Duration) {
+func (ep *Endpoint) RecordServiceTime(held, typical time.Duration) {
 	if held <= 0 || typical <= 0 {
 		return
 	}
@@ -208,15 +208,17 @@
 	ep.live.failing.Store(failShare * 3 / 4)
 }
 
-// Out reports whether the server is left out for its failures.
-func (ep *Endpoint) Out(now time.Time) bool { return ep.live.ejected.Load() > steady.Nanos(now) }
+// Ejected reports whether the server is left out for its failures.
+func (ep *Endpoint) Ejected(now time.Time) bool { return ep.live.ejected.Load() > steady.Nanos(now) }
 
-// KeepOut prolongs the time for which an unreachable server is left out.
-func (ep *Endpoint) KeepOut(now time.Time) { ep.live.ejected.Store(steady.Nanos(now.Add(firstEject))) }
+// EjectAgain prolongs the time for which an unreachable server is left out.
+func (ep *Endpoint) EjectAgain(now time.Time) {
+	ep.live.ejected.Store(steady.Nanos(now.Add(firstEject)))
+}
 
-// Return ends the time for which an unreachable server is left out, once a
+// Reinstate ends the time for which an unreachable server is left out, once a
 // connection was made again.
-func (ep *Endpoint) Return() {
+func (ep *Endpoint) Reinstate() {
 	ep.live.cut.Store(false)
 	ep.live.ejected.Store(0)
 }
@@ -229,7 +231,7 @@
 	gp.typical.add(ld)
 	ep.live.linkFree.Store(steady.Nanos(now.Add(ld.Backlog)))
 	load := uint64(min(ld.Running+ld.Waiting, math.MaxUint16))
-	service := uint64(min(ld.Service.Milliseconds(), math.MaxUint16))
+	service := uint64(min(ld.ServiceTime.Milliseconds(), math.MaxUint16))
 	var waits uint64
 	for i, wait := range ld.Waits {
 		waits |= uint64(min(wait.Milliseconds(), math.MaxUint16)) << (16 * i)
@@ -260,9 +262,9 @@
 	return max(own, (float64(rep>>48)+since)*(1-old)+usual*old)
 }
 
-// Believed returns the load that is believed of the server and how old the last
+// EstimatedLoad returns the load that is believed of the server and how old the last
 // report is, for the log.
-func (ep *Endpoint) Believed(now time.Time) (load float64, age time.Duration) {
+func (ep *Endpoint) EstimatedLoad(now time.Time) (load float64, age time.Duration) {
 	rep := ep.live.reported.Load()
 	return ep.load(now, 0), time.Duration(uint32(steady.Millis(now))-uint32(rep)) * time.Millisecond
 }
@@ -288,10 +290,10 @@
 // service differ in speed by more than two, so their free slots do not tell
 // which of them answers first. A server that fails part of its requests is
 // taken to need them again, and one that is nearly full to slow down.
-func (ep *Endpoint) cost(now time.Time, wa *Want, typical float64) time.Duration {
+func (ep *Endpoint) cost(now time.Time, wa *Criteria, typical float64) time.Duration {
 	slots := float64(max(1, ep.Slots))
 	load := ep.load(now, typical)
-	held := float64(ep.held(now, wa.Held))
+	held := float64(ep.held(now, wa.ServiceTime))
 	use := min(1, load/slots)
 	cost := waitWeight*ep.wait(now, wa.Rank, load, held) + held*(1+fullSlowdown*use)
 	cost *= 1 + failWeight*ep.failShareNow()
--- a/internal/path/pick/pick.go
+++ b/internal/path/pick/pick.go
@@ -18,10 +18,10 @@
 	Snap *snap.Snapshot
 	// Outlets is how many live daemons there are, each of which has an outlet.
 	Outlets int
-	// Next is when the table has to be built anew though nothing else changes, the zero
+	// RebuildAt is when the table has to be built anew though nothing else changes, the zero
 	// time for never.
-	Next   time.Time
-	groups []*Group // by the index of the service
+	RebuildAt time.Time
+	groups    []*Group // by the index of the service
 }
 
 // Group has the backend servers of one service.
@@ -89,7 +89,7 @@
 			continue
 		}
 		others++
-		if ep.Out(now) {
+		if ep.Ejected(now) {
 			out++
 		} else {
 			sum += ep.failShareNow()
@@ -147,43 +147,43 @@
 	borderPart = 0.5
 )
 
-// Want is what a request asks of a server.
-type Want struct {
+// Criteria is what a request asks of a server.
+type Criteria struct {
 	// Size is how many bytes its answer is expected to have.
 	Size int64
-	// Stay keeps a large answer in the failure domain as long as a server there is
+	// StayInDomain keeps a large answer in the failure domain as long as a server there is
 	// alive. It is for narrow links: those behind the border are as busy, so that
 	// a large answer which finds no room here takes it from others there.
-	Stay bool
+	StayInDomain bool
 	// Rank is the request's among those that wait, Held for how long those of its
 	// route hold a slot as a rule.
-	Rank int
-	Held time.Duration
-	// Reached says that a server within reach had no room for it. It is not sent to one
+	Rank        int
+	ServiceTime time.Duration
+	// FoundFull says that a server within reach had no room for it. It is not sent to one
 	// that may be out of reach then: the answer that there is no room is known.
-	Reached bool
+	FoundFull bool
 }
 
 // Pick returns the server for a request, or nil when the group has none that was
 // not tried. Each tier stands for the best of some drawn at random. The cheapest one
 // wins, where a server behind more borders costs more. Where the rules do not let requests spill,
 // only the first tier with a server counts.
-func (gp *Group) Pick(now time.Time, wa Want, tried *Tried, rnd Random) *Endpoint {
-	if wa.Held <= 0 {
-		wa.Held = guessHeld
+func (gp *Group) Pick(now time.Time, wa Criteria, tried *Tried, rnd Random) *Endpoint {
+	if wa.ServiceTime <= 0 {
+		wa.ServiceTime = guessHeld
 	}
 	var best *Endpoint
 	var bestCost time.Duration
 	for i := range gp.tiers {
 		for j, pl := range [2]*pool{&gp.tiers[i].strong, &gp.tiers[i].weak} {
-			if j > 0 && wa.Reached {
+			if j > 0 && wa.FoundFull {
 				break
 			}
 			ep, cost := pl.cheapest(now, &wa, gp.typical.share(), tried, rnd)
 			if ep == nil {
 				continue
 			}
-			border := borderHop + time.Duration(wa.Size)*borderByte + time.Duration(borderPart*float64(wa.Held))
+			border := borderHop + time.Duration(wa.Size)*borderByte + time.Duration(borderPart*float64(wa.ServiceTime))
 			cost += time.Duration(i)*border + time.Duration(j)*weakCost
 			if best == nil || cost < bestCost {
 				best, bestCost = ep, cost
@@ -192,11 +192,11 @@
 		if !gp.spill && best != nil {
 			return best
 		}
-		if wa.Stay && Large(wa.Size) && gp.tiers[i].takes(now) {
+		if wa.StayInDomain && Large(wa.Size) && gp.tiers[i].takes(now) {
 			return best
 		}
 	}
-	if best != nil || wa.Reached {
+	if best != nil || wa.FoundFull {
 		return best
 	}
 	return gp.lastResort(now, tried, rnd)
@@ -205,7 +205,7 @@
 // takes reports whether a server of the tier is within reach and not left out.
 func (tr *tier) takes(now time.Time) bool {
 	for _, ep := range tr.strong.list {
-		if !ep.Out(now) {
+		if !ep.Ejected(now) {
 			return true
 		}
 	}
@@ -222,7 +222,7 @@
 
 // cheapest returns the server of a pool that costs least among some drawn, and its
 // cost.
-func (pl *pool) cheapest(now time.Time, wa *Want, use float64, tried *Tried, rnd Random) (*Endpoint, time.Duration) {
+func (pl *pool) cheapest(now time.Time, wa *Criteria, use float64, tried *Tried, rnd Random) (*Endpoint, time.Duration) {
 	if len(pl.list) == 0 {
 		return nil, 0
 	}
@@ -257,7 +257,7 @@
 	for i := range list {
 		ep := list[(start+i)%len(list)]
 		switch {
-		case ep.Out(now) || tried.has(ep):
+		case ep.Ejected(now) || tried.has(ep):
 			continue
 		case ep.starting(now, rnd):
 			starting = ep
@@ -285,7 +285,7 @@
 	start := rnd(len(gp.all))
 	for i := range gp.all {
 		ep := gp.all[(start+i)%len(gp.all)]
-		if !tried.has(ep) && !(ep.live.cut.Load() && ep.Out(now)) {
+		if !tried.has(ep) && !(ep.live.cut.Load() && ep.Ejected(now)) {
 			return ep
 		}
 	}
--- a/internal/path/pick/pick_test.go
+++ b/internal/path/pick/pick_test.go
@@ -24,16 +24,16 @@
 	first := func(int) int { return 0 }
 	for _, tc := range []struct {
 		name  string
-		wa    Want
+		wa    Criteria
 		tried Tried
 		out   bool
 		want  *Endpoint
 	}{
-		{"a document", Want{Size: 90_000, Stay: true}, Tried{}, false, near},
-		{"a document without room", Want{Size: 90_000, Stay: true}, busy, false, nil},
-		{"a document over wide links without room", Want{Size: 90_000}, busy, false, far},
-		{"a lookup without room", Want{Size: 1000, Stay: true}, busy, false, far},
-		{"a document, the server is dead", Want{Size: 90_000, Stay: true}, Tried{}, true, far},
+		{"a document", Criteria{Size: 90_000, StayInDomain: true}, Tried{}, false, near},
+		{"a document without room", Criteria{Size: 90_000, StayInDomain: true}, busy, false, nil},
+		{"a document over wide links without room", Criteria{Size: 90_000}, busy, false, far},
+		{"a lookup without room", Criteria{Size: 1000, StayInDomain: true}, busy, false, far},
+		{"a document, the server is dead", Criteria{Size: 90_000, StayInDomain: true}, Tried{}, true, far},
 	} {
 		near.live.ejected.Store(0)
 		if tc.out {
--- a/internal/path/pick/table.go
+++ b/internal/path/pick/table.go
@@ -16,7 +16,7 @@
 // Fleet is what a table is built from besides the configuration.
 type Fleet struct {
 	Members *member.View
-	Cut     *board.CutSet
+	Cut     *board.DomainSet
 	// Self is the outlet's VM.
 	Self     string
 	Rollouts *canary.View
@@ -56,8 +56,8 @@
 		}
 		gp, next := fl.group(sv, byService[i], typical)
 		tb.groups[i] = gp
-		if !next.IsZero() && (tb.Next.IsZero() || next.Before(tb.Next)) {
-			tb.Next = next
+		if !next.IsZero() && (tb.RebuildAt.IsZero() || next.Before(tb.RebuildAt)) {
+			tb.RebuildAt = next
 		}
 	}
 	return tb
@@ -93,7 +93,7 @@
 // group returns the servers of a service by the versions of their software, and when that
 // changes by itself.
 func (fl *Fleet) group(sv *snap.Service, list []*Endpoint, typical *use) (*Group, time.Time) {
-	ro := fl.Rollouts.Of(sv.Name)
+	ro := fl.Rollouts.Get(sv.Name)
 	counts := map[string]int{}
 	for _, ep := range list {
 		counts[ep.Software]++
@@ -101,7 +101,7 @@
 	var cohorts map[string]canary.Cohort
 	var next time.Time
 	if fl.Admission != nil {
-		cohorts, next = fl.Admission.Look(sv.Name, ro, counts, fl.Now)
+		cohorts, next = fl.Admission.Assign(sv.Name, ro, counts, fl.Now)
 	}
 	var baseline, target, idle []*Endpoint
 	for _, ep := range list {
@@ -186,9 +186,9 @@
 	}
 }
 
-// For returns the servers for a request, which draws a number from 0 to 1: those of the
+// ForRequest returns the servers for a request, which draws a number from 0 to 1: those of the
 // version that is being rolled out for its share of the requests, else those of before.
-func (gp *Group) For(now time.Time, draw float64) *Group {
+func (gp *Group) ForRequest(now time.Time, draw float64) *Group {
 	if gp.target == nil {
 		return gp
 	}
--- a/internal/path/piping/branch.go
+++ b/internal/path/piping/branch.go
@@ -74,7 +74,7 @@
 			n, err := cn.Conn.Write(p)
 			cn.mu.Lock()
 			return n, err
-		case cn.fr.held.Take(int64(len(p))):
+		case cn.fr.held.TryAcquire(int64(len(p))):
 			br.held = append(br.held, p...)
 			return len(p), nil
 		case !br.writeBy.IsZero() && !br.writeBy.After(time.Now()):
--- a/internal/path/piping/conn.go
+++ b/internal/path/piping/conn.go
@@ -39,7 +39,7 @@
 // of a request whose turn has not come.
 type conn struct {
 	net.Conn
-	fr *Front
+	fr *Pipeliner
 
 	mu      sync.Mutex
 	changed *sync.Cond
@@ -80,7 +80,7 @@
 	arrived time.Time
 }
 
-func newConn(fr *Front, nc net.Conn) *conn {
+func newConn(fr *Pipeliner, nc net.Conn) *conn {
 	cn := &conn{Conn: nc, fr: fr}
 	cn.changed = sync.NewCond(&cn.mu)
 	return cn
@@ -349,7 +349,7 @@
 	if len(cn.turns) == 0 || cn.turns[0] != nil {
 		return false
 	}
-	return cn.own.request.Close || !cn.fr.Ahead(cn.own.request)
+	return cn.own.request.Close || !cn.fr.MayRunEarly(cn.own.request)
 }
 
 func (cn *conn) handOver(br *branch) bool {
@@ -384,7 +384,7 @@
 		return false
 	}
 	bare := r.ContentLength == 0 && len(r.TransferEncoding) == 0
-	return bare && r.ProtoAtLeast(1, 1) && !r.Close && r.Header.Get("Expect") == "" && r.Header.Get("Upgrade") == "" && cn.fr.Ahead(r)
+	return bare && r.ProtoAtLeast(1, 1) && !r.Close && r.Header.Get("Expect") == "" && r.Header.Get("Upgrade") == "" && cn.fr.MayRunEarly(r)
 }
 
 // leave ends what runs ahead for the caller, which has gone; cn.mu is held. The
--- a/internal/path/piping/front.go
+++ b/internal/path/piping/front.go
@@ -29,32 +29,32 @@
 	linger = 500 * time.Millisecond
 )
 
-// Front joins connections of callers to an http.Server: its listener, its
+// Pipeliner joins connections of callers to an http.Server: its listener, its
 // ConnState and ConnContext hooks and its handler must all be used. The fields are
 // set before use; the zero value runs nothing ahead of its turn.
-type Front struct {
-	// Ahead reports whether a request without a body may run before those that were
+type Pipeliner struct {
+	// MayRunEarly reports whether a request without a body may run before those that were
 	// sent before it have been answered, and run again if its answer is lost.
-	Ahead func(*http.Request) bool
+	MayRunEarly func(*http.Request) bool
 	// State is told when a caller's connection becomes active and when all that was
 	// read from it has been answered, as http.Server.ConnState is.
 	State func(net.Conn, http.ConnState)
 
-	held  proxy.Bound
+	held  proxy.Budget
 	ahead chan net.Conn
 	once  sync.Once
 	done  chan struct{}
 }
 
 // New returns a front.
-func New(ahead func(*http.Request) bool, state func(net.Conn, http.ConnState)) *Front {
-	fr := &Front{Ahead: ahead, State: state, ahead: make(chan net.Conn), done: make(chan struct{})}
-	fr.held.Most = MostHeld
+func New(ahead func(*http.Request) bool, state func(net.Conn, http.ConnState)) *Pipeliner {
+	fr := &Pipeliner{MayRunEarly: ahead, State: state, ahead: make(chan net.Conn), done: make(chan struct{})}
+	fr.held.Limit = MostHeld
 	return fr
 }
 
 // Listener returns ln with its connections joined.
-func (fr *Front) Listener(ln net.Listener) net.Listener {
+func (fr *Pipeliner) Listener(ln net.Listener) net.Listener {
 	ls := &listener{Listener: ln, fr: fr, accepted: make(chan accepted)}
 	go ls.accept()
 	return ls
@@ -64,7 +64,7 @@
 // was sent ahead.
 type listener struct {
 	net.Listener
-	fr       *Front
+	fr       *Pipeliner
 	accepted chan accepted
 }
 
@@ -95,7 +95,7 @@
 
 // close ends accepting. Requests that are sent ahead wait for their turn from now
 // on.
-func (fr *Front) close() { fr.once.Do(func() { close(fr.done) }) }
+func (fr *Pipeliner) close() { fr.once.Do(func() { close(fr.done) }) }
 
 // Accept returns the next connection.
 func (ls *listener) Accept() (net.Conn, error) {
@@ -119,7 +119,7 @@
 }
 
 // ConnState is the hook of an http.Server.
-func (fr *Front) ConnState(nc net.Conn, state http.ConnState) {
+func (fr *Pipeliner) ConnState(nc net.Conn, state http.ConnState) {
 	switch cn := nc.(type) {
 	case *conn:
 		cn.setState(state)
@@ -134,13 +134,13 @@
 type connKey struct{}
 
 // ConnContext is the hook of an http.Server.
-func (fr *Front) ConnContext(ctx context.Context, nc net.Conn) context.Context {
+func (fr *Pipeliner) ConnContext(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, nc)
 }
 
 // Handler returns next, with each connection told of a request before next is
 // called.
-func (fr *Front) Handler(next http.Handler) http.Handler {
+func (fr *Pipeliner) Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch cn := r.Context().Value(connKey{}).(type) {
 		case *conn:
@@ -152,10 +152,10 @@
 	})
 }
 
-// Arrived returns when the head of a request had been read from its caller, which
+// ArrivalTime returns when the head of a request had been read from its caller, which
 // is before its handler is called where the request waited for its turn; the zero
 // time where that is not known: with HTTP/2, and behind a body without a length.
-func Arrived(r *http.Request) time.Time {
+func ArrivalTime(r *http.Request) time.Time {
 	switch cn := r.Context().Value(connKey{}).(type) {
 	case *conn:
 		cn.mu.Lock()
--- a/internal/path/piping/idle_test.go
+++ b/internal/path/piping/idle_test.go
@@ -47,7 +47,7 @@
 		ho, _ := nw.Listen("caller:1", "")
 		_, ln := nw.Listen("server:1", "")
 		var st idle.Set
-		fr := New(func(r *http.Request) bool { return r.Method == http.MethodGet }, func(nc net.Conn, state http.ConnState) { st.State(nc.(*slowConn).Conn, state) })
+		fr := New(func(r *http.Request) bool { return r.Method == http.MethodGet }, func(nc net.Conn, state http.ConnState) { st.ConnState(nc.(*slowConn).Conn, state) })
 		var slow atomic.Int64
 		rg := &rig{t: t, nw: nw, ho: ho, ages: map[string]time.Duration{}}
 		hs := &http.Server{Handler: fr.Handler(rg), ConnState: fr.ConnState, ConnContext: fr.ConnContext}
@@ -69,7 +69,7 @@
 		slow.Store(int64(100 * time.Millisecond))
 		_, _ = io.WriteString(nc, request("POST", "/200", ""))
 		time.Sleep(60 * time.Millisecond)
-		st.End(0)
+		st.CloseIdle(0)
 		slow.Store(0)
 		br := bufio.NewReader(nc)
 		for _, want := range []string{"GET", "GET", "POST"} {
@@ -80,7 +80,7 @@
 			_, _ = io.Copy(io.Discard, re.Body)
 		}
 		time.Sleep(time.Second)
-		st.End(0)
+		st.CloseIdle(0)
 		synctest.Wait()
 		if n := st.Len(); n != 0 {
 			t.Errorf("%d connections are left that are idle", n)
--- a/internal/path/piping/piping_test.go
+++ b/internal/path/piping/piping_test.go
@@ -70,7 +70,7 @@
 func (rg *rig) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	rg.mu.Lock()
 	rg.ran = append(rg.ran, r.Method+" "+r.URL.Path)
-	if at := Arrived(r); !at.IsZero() {
+	if at := ArrivalTime(r); !at.IsZero() {
 		rg.ages[r.URL.Path] = time.Since(at)
 	}
 	rg.mu.Unlock()
--- a/internal/path/piping/turn.go
+++ b/internal/path/piping/turn.go
@@ -84,7 +84,7 @@
 		br.held = nil
 		cn.mu.Unlock()
 		err := cn.send(held, by)
-		cn.fr.held.Give(int64(len(held)))
+		cn.fr.held.Release(int64(len(held)))
 		cn.mu.Lock()
 		if err != nil {
 			cn.end()
@@ -127,7 +127,7 @@
 		if br != nil {
 			br.cut = true
 			br.leave()
-			cn.fr.held.Give(int64(len(br.held)))
+			cn.fr.held.Release(int64(len(br.held)))
 			br.held = nil
 		}
 	}
--- a/internal/path/proxy/bound.go
+++ b/internal/path/proxy/bound.go
@@ -2,20 +2,20 @@
 
 import "sync/atomic"
 
-// Bound counts what is in use of something that has a most.
-type Bound struct {
-	Most int64
-	used atomic.Int64
+// Budget counts what is in use of something that has a most.
+type Budget struct {
+	Limit int64
+	used  atomic.Int64
 }
 
-// Take takes n and reports whether there was as much.
-func (bo *Bound) Take(n int64) bool {
-	if bo.used.Add(n) > bo.Most {
-		bo.used.Add(-n)
+// TryAcquire takes n and reports whether there was as much.
+func (bu *Budget) TryAcquire(n int64) bool {
+	if bu.used.Add(n) > bu.Limit {
+		bu.used.Add(-n)
 		return false
 	}
 	return true
 }
 
-// Give gives n back that was taken.
-func (bo *Bound) Give(n int64) { bo.used.Add(-n) }
+// Release gives n back that was taken.
+func (bu *Budget) Release(n int64) { bu.used.Add(-n) }
--- a/internal/path/proxy/header.go
+++ b/internal/path/proxy/header.go
@@ -44,10 +44,10 @@
 	return cp
 }
 
-// Forged returns the first header of this system that a caller may not set.
-func Forged(hdr http.Header) string {
+// ReservedHeader returns the first header of this system that a caller may not set.
+func ReservedHeader(hdr http.Header) string {
 	for name := range hdr {
-		if result.IsControl(name) && name != result.TimeoutMs {
+		if result.IsControl(name) && name != result.TimeoutHeader {
 			return name
 		}
 	}
--- a/internal/path/proxy/proxy.go
+++ b/internal/path/proxy/proxy.go
@@ -76,8 +76,8 @@
 	}}
 }
 
-// Reach reports whether a connection to addr can be made.
-func (fw *Forwarder) Reach(ctx context.Context, addr string) bool {
+// Reachable reports whether a connection to addr can be made.
+func (fw *Forwarder) Reachable(ctx context.Context, addr string) bool {
 	nc, err := fw.dial(ctx, addr)
 	if err != nil {
 		return false
@@ -162,12 +162,12 @@
 func (at *Attempt) Outcome() (result.Outcome, result.Reason) {
 	cn, before := at.connection()
 	if cn == nil && !at.sent.Load() {
-		return result.NotRun, result.ReasonConnect
+		return result.NotRun, result.ReasonNoConnection
 	}
 	if cn != nil && !cn.wrote(before) {
-		return result.NotRun, result.ReasonBroken
+		return result.NotRun, result.ReasonConnectionBroken
 	}
-	return result.MayHaveRun, result.ReasonBroken
+	return result.MayHaveRun, result.ReasonConnectionBroken
 }
 
 // Discard ends the connection of an attempt whose answer is not to be used, so
@@ -224,9 +224,9 @@
 	return pc.Wait(n)
 }
 
-// Hold reads the answer's body whole, if it has a length that is not above most.
+// Buffer reads the answer's body whole, if it has a length that is not above most.
 // When it breaks off, the error is returned and the attempt's connection ends.
-func (at *Attempt) Hold(most int64) error {
+func (at *Attempt) Buffer(most int64) error {
 	res := at.Response
 	// An answer to HEAD has the length of a body that does not come.
 	if res.ContentLength <= 0 || res.ContentLength > most || res.Body == http.NoBody {
@@ -245,15 +245,15 @@
 
 // CopyError tells which side of a copy failed.
 type CopyError struct {
-	// Reading is set when the answer broke off, unset when the caller did not
+	// ReadFailed is set when the answer broke off, unset when the caller did not
 	// take it.
-	Reading bool
-	Err     error
+	ReadFailed bool
+	Err        error
 }
 
 // Error names the side and the cause.
 func (er *CopyError) Error() string {
-	if er.Reading {
+	if er.ReadFailed {
 		return "the answer broke off: " + er.Err.Error()
 	}
 	return "the caller did not take the answer: " + er.Err.Error()
@@ -299,7 +299,7 @@
 			break
 		}
 		if err != nil {
-			return &CopyError{Reading: true, Err: err}
+			return &CopyError{ReadFailed: true, Err: err}
 		}
 	}
 	for name, values := range res.Trailer {
@@ -310,9 +310,9 @@
 	return nil
 }
 
-// CopyHead sends the answer's status and headers to a caller; extra headers
+// CopyHeader sends the answer's status and headers to a caller; extra headers
 // are added to it first.
-func CopyHead(w http.ResponseWriter, res *http.Response, extra func(http.Header)) {
+func CopyHeader(w http.ResponseWriter, res *http.Response, extra func(http.Header)) {
 	hdr := w.Header()
 	Clean(res.Header)
 	for name, values := range res.Header {
--- a/internal/path/proxy/proxy_test.go
+++ b/internal/path/proxy/proxy_test.go
@@ -43,7 +43,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			sr, err := faulty.New(func(cn net.Conn, n int, req *http.Request) bool {
-				return faulty.Sends(fmt.Sprintf(tc.format, len(req.URL.Path), req.URL.Path)+stolen, true)(cn, n, req)
+				return faulty.RespondRaw(fmt.Sprintf(tc.format, len(req.URL.Path), req.URL.Path)+stolen, true)(cn, n, req)
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -102,12 +102,12 @@
 		want   result.Outcome
 		reason result.Reason
 	}{
-		{"no connection", func() (net.Conn, error) { return nil, refused }, result.NotRun, result.ReasonConnect},
+		{"no connection", func() (net.Conn, error) { return nil, refused }, result.NotRun, result.ReasonNoConnection},
 		{"closed before the request", func() (net.Conn, error) {
 			client, server := net.Pipe()
 			server.Close()
 			return &brokenConn{Conn: client}, nil
-		}, result.MayHaveRun, result.ReasonBroken},
+		}, result.MayHaveRun, result.ReasonConnectionBroken},
 		{"closed after a byte", func() (net.Conn, error) {
 			client, server := net.Pipe()
 			go func() {
@@ -115,7 +115,7 @@
 				server.Close()
 			}()
 			return client, nil
-		}, result.MayHaveRun, result.ReasonBroken},
+		}, result.MayHaveRun, result.ReasonConnectionBroken},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			fw := New(Options{Dial: func(context.Context, string) (net.Conn, error) { return tc.dial() }})
@@ -169,7 +169,7 @@
 	front := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		at := fw.Do(newRequest(t, "GET", strings.TrimPrefix(back.URL, "http://"), "/"))
 		defer at.Response.Body.Close()
-		CopyHead(w, at.Response, nil)
+		CopyHeader(w, at.Response, nil)
 		if err := Copy(w, at, Pace{}); err != nil {
 			t.Error(err)
 		}
--- a/internal/path/result/result.go
+++ b/internal/path/result/result.go
@@ -48,32 +48,32 @@
 
 // The reasons.
 const (
-	ReasonNoRoute     Reason = "no-route"
-	ReasonNoConfig    Reason = "no-configuration"
-	ReasonNoServer    Reason = "no-backend-server"
-	ReasonWrongTarget Reason = "wrong-target"
-	ReasonFull        Reason = "slots-full"
-	ReasonOutletFull  Reason = "outlet-full"
-	ReasonDraining    Reason = "draining"
-	ReasonTooLate     Reason = "deadline-too-near"
-	ReasonLink        Reason = "link-full"
-	ReasonDeadline    Reason = "deadline-passed"
-	ReasonConnect     Reason = "no-connection"
-	ReasonBroken      Reason = "connection-broken"
-	ReasonServerEnded Reason = "server-ended"
-	ReasonPoison      Reason = "poison-request"
-	ReasonApart       Reason = "another-suspect-runs"
-	ReasonShed        Reason = "shed-by-server"
-	ReasonBadRequest  Reason = "bad-request"
-	ReasonTooLarge    Reason = "too-large"
-	ReasonSlowBody    Reason = "body-too-slow"
-	ReasonToken       Reason = "token-missing-or-wrong"
-	ReasonUpgrade     Reason = "upgrade-not-carried"
-	ReasonCallerGone  Reason = "caller-gone"
-	ReasonForeign     Reason = "foreign-answer"
+	ReasonNoRoute          Reason = "no-route"
+	ReasonNoConfig         Reason = "no-configuration"
+	ReasonNoServer         Reason = "no-backend-server"
+	ReasonWrongTarget      Reason = "wrong-target"
+	ReasonSlotsFull        Reason = "slots-full"
+	ReasonOutletFull       Reason = "outlet-full"
+	ReasonDraining         Reason = "draining"
+	ReasonDeadlineTooNear  Reason = "deadline-too-near"
+	ReasonLinkFull         Reason = "link-full"
+	ReasonDeadlinePassed   Reason = "deadline-passed"
+	ReasonNoConnection     Reason = "no-connection"
+	ReasonConnectionBroken Reason = "connection-broken"
+	ReasonServerCrashed    Reason = "server-ended"
+	ReasonPoison           Reason = "poison-request"
+	ReasonSuspectRunning   Reason = "another-suspect-runs"
+	ReasonShed             Reason = "shed-by-server"
+	ReasonBadRequest       Reason = "bad-request"
+	ReasonTooLarge         Reason = "too-large"
+	ReasonSlowBody         Reason = "body-too-slow"
+	ReasonBadToken         Reason = "token-missing-or-wrong"
+	ReasonUpgrade          Reason = "upgrade-not-carried"
+	ReasonCallerGone       Reason = "caller-gone"
+	ReasonForeignResponse  Reason = "foreign-answer"
 )
 
-// The headers of this system. All begin with Prefix, and none but TimeoutMs is
+// The headers of this system. All begin with Prefix, and none but TimeoutHeader is
 // taken from a caller.
 const (
 	Prefix = "Flamingomast-"
@@ -81,10 +81,10 @@
 	// server gave.
 	OutcomeHeader = Prefix + "Outcome"
 	ReasonHeader  = Prefix + "Reason"
-	// TimeoutMs is how many milliseconds the sender gives the request. A
+	// TimeoutHeader is how many milliseconds the sender gives the request. A
 	// caller may set it; a backend server receives what is left of it and
 	// passes it on to the services that it calls.
-	TimeoutMs = Prefix + "Timeout-Ms"
+	TimeoutHeader = Prefix + "Timeout-Ms"
 	// NotRunHeader on a 429 or 503 of a backend server says that it has not
 	// begun to run the request.
 	NotRunHeader = Prefix + "Not-Run"
@@ -97,19 +97,19 @@
 	// declared, how many milliseconds of it are left, joined by a slash. Final
 	// ends it where the caller cannot come back after a refusal.
 	UrgencyHeader = Prefix + "Urgency"
-	Final         = "/final"
+	FinalSuffix   = "/final"
 	// RouteHeader names the route.
 	RouteHeader = Prefix + "Route"
 	// SizeHeader is how many bytes the answer is expected to have, where that is
 	// large.
 	SizeHeader = Prefix + "Size"
 	// SentHeader is the sender's process and its steady clock in milliseconds,
-	// joined by a slash: the time that TimeoutMs gives counts from then.
+	// joined by a slash: the time that TimeoutHeader gives counts from then.
 	SentHeader = Prefix + "Sent"
-	// EndsHeader is how many backend servers ended while they ran the request: on a
+	// CrashesHeader is how many backend servers ended while they ran the request: on a
 	// request as far as its outlet knows, on a refusal as far as the inlet does. It is
 	// left out where none is known.
-	EndsHeader = Prefix + "Ends"
+	CrashesHeader = Prefix + "Ends"
 	// RepeatHeader is how likely the request has been sent to a backend server before,
 	// 0 to 1; it is left out where it certainly has not.
 	RepeatHeader = Prefix + "Repeat"
@@ -121,21 +121,21 @@
 	// LoadHeader on an inlet's answer gives running requests, waiting requests
 	// and slots.
 	LoadHeader = Prefix + "Load"
-	// SpentHeader on an inlet's answer gives for how many milliseconds the request
+	// SlotTimesHeader on an inlet's answer gives for how many milliseconds the request
 	// waited for a slot and held it, joined by a slash.
-	SpentHeader = Prefix + "Spent"
+	SlotTimesHeader = Prefix + "Spent"
 )
 
-// Names are the headers in which callers and backend servers speak to this
+// HeaderNames are the headers in which callers and backend servers speak to this
 // system. An empty one stands for this system's own name, where it has one, or
 // for a matter that is not spoken of.
-type Names struct {
+type HeaderNames struct {
 	// Timeout is how many milliseconds the sender of a request waits.
 	Timeout string
-	// Request is the id that a caller gives each request and that a backend
+	// RequestID is the id that a caller gives each request and that a backend
 	// server repeats on its answer. With it, an answer to another request is
 	// told from the one that is due.
-	Request string
+	RequestID string
 	// Caller is set to the service of the VM on which the request began.
 	Caller string
 	// Instance is set to the lifetime of the backend server that is meant; any
@@ -151,19 +151,19 @@
 	// asked whether it serves, Load the one in which it gives its running and waiting
 	// requests and its slots.
 	Lifetime, Load string
-	// Fractions lets Retry-After bear fractions of a second.
-	Fractions bool
+	// FractionalRetryAfter lets Retry-After bear fractions of a second.
+	FractionalRetryAfter bool
 }
 
-// Or returns the names with this system's own for those that are empty.
-func (nm Names) Or() Names {
-	if nm.Timeout == "" {
-		nm.Timeout = TimeoutMs
+// WithDefaults returns the names with this system's own for those that are empty.
+func (hn HeaderNames) WithDefaults() HeaderNames {
+	if hn.Timeout == "" {
+		hn.Timeout = TimeoutHeader
 	}
-	if nm.NotRun == "" {
-		nm.NotRun = NotRunHeader
+	if hn.NotRun == "" {
+		hn.NotRun = NotRunHeader
 	}
-	return nm
+	return hn
 }
 
 // IsControl reports whether a canonical header name belongs to this system.
@@ -179,9 +179,9 @@
 	Detail     string
 	// Cause is the error of the connection, for logs alone; nil where none broke.
 	Cause error
-	// Ends is how many backend servers ended while they ran the request, where one did
+	// Crashes is how many backend servers ended while they ran the request, where one did
 	// in this attempt.
-	Ends int
+	Crashes int
 }
 
 // CauseAttr returns the cause for a log line, nothing where there is none.
@@ -192,17 +192,17 @@
 	return slog.Any(logs.Error, rf.Cause)
 }
 
-// Crowded reports whether the request was refused for want of room.
-func (rf *Refusal) Crowded() bool {
+// Overloaded reports whether the request was refused for want of room.
+func (rf *Refusal) Overloaded() bool {
 	if rf.Outcome != NotRun {
 		return false
 	}
-	return rf.Reason.NoRoom() || rf.Reason == ReasonDeadline
+	return rf.Reason.NoCapacity() || rf.Reason == ReasonDeadlinePassed
 }
 
-// NoRoom reports whether the reason is that a VM had no room for a request.
-func (re Reason) NoRoom() bool {
-	return re == ReasonFull || re == ReasonTooLate || re == ReasonLink || re == ReasonApart
+// NoCapacity reports whether the reason is that a VM had no room for a request.
+func (re Reason) NoCapacity() bool {
+	return re == ReasonSlotsFull || re == ReasonDeadlineTooNear || re == ReasonLinkFull || re == ReasonSuspectRunning
 }
 
 // StatusFor returns the HTTP status of an outcome and reason.
@@ -220,11 +220,11 @@
 		return http.StatusNotImplemented
 	case ReasonWrongTarget:
 		return http.StatusMisdirectedRequest
-	case ReasonToken:
+	case ReasonBadToken:
 		return http.StatusForbidden
 	}
 	switch {
-	case re == ReasonDeadline && oc != NotRun:
+	case re == ReasonDeadlinePassed && oc != NotRun:
 		return http.StatusGatewayTimeout
 	case oc == MayHaveRun:
 		return http.StatusBadGateway
@@ -243,10 +243,10 @@
 	hdr.Set("Content-Type", "application/json")
 	hdr.Set("Cache-Control", "no-store")
 	if rf.RetryAfter > 0 {
-		hdr.Set("Retry-After", Seconds(rf.RetryAfter, fractions))
+		hdr.Set("Retry-After", FormatRetryAfter(rf.RetryAfter, fractions))
 	}
-	if rf.Ends > 0 {
-		hdr.Set(EndsHeader, strconv.Itoa(rf.Ends))
+	if rf.Crashes > 0 {
+		hdr.Set(CrashesHeader, strconv.Itoa(rf.Crashes))
 	}
 	status := rf.Status
 	if status == 0 {
@@ -263,18 +263,18 @@
 	_, _ = w.Write(body)
 }
 
-// Seconds returns a duration for Retry-After: in whole seconds, at least 1, or
+// FormatRetryAfter returns a duration for Retry-After: in whole seconds, at least 1, or
 // with fractions to the millisecond.
-func Seconds(d time.Duration, fractions bool) string {
+func FormatRetryAfter(d time.Duration, fractions bool) string {
 	if fractions {
 		return strconv.FormatFloat(max(0.001, d.Seconds()), 'f', 3, 64)
 	}
 	return strconv.Itoa(max(1, int(math.Ceil(d.Seconds()))))
 }
 
-// FromAnswer reads the refusal of an inlet from its answer. It returns nil for
+// FromResponse reads the refusal of an inlet from its answer. It returns nil for
 // an answer of a backend server.
-func FromAnswer(res *http.Response) *Refusal {
+func FromResponse(res *http.Response) *Refusal {
 	oc := res.Header.Get(OutcomeHeader)
 	if oc == "" {
 		return nil
@@ -283,16 +283,16 @@
 	if oc == NotRun.String() {
 		rf.Outcome = NotRun
 	}
-	rf.RetryAfter = ParseSeconds(res.Header.Get("Retry-After"))
-	if n, err := strconv.ParseUint(res.Header.Get(EndsHeader), 10, 16); err == nil {
-		rf.Ends = int(n)
+	rf.RetryAfter = ParseRetryAfter(res.Header.Get("Retry-After"))
+	if n, err := strconv.ParseUint(res.Header.Get(CrashesHeader), 10, 16); err == nil {
+		rf.Crashes = int(n)
 	}
 	return rf
 }
 
-// ParseSeconds reads a Retry-After in seconds, with or without fractions; 0
+// ParseRetryAfter reads a Retry-After in seconds, with or without fractions; 0
 // for none that can be read.
-func ParseSeconds(s string) time.Duration {
+func ParseRetryAfter(s string) time.Duration {
 	sec, err := strconv.ParseFloat(s, 64)
 	if err != nil || !(sec > 0) || sec > maxRetryAfter.Seconds() {
 		return 0
@@ -303,11 +303,11 @@
 // maxRetryAfter is the longest Retry-After that is believed.
 const maxRetryAfter = time.Hour
 
-// Share returns the form of a share from 0 to 1 that ParseShare reads.
-func Share(share float64) string { return strconv.FormatFloat(share, 'f', 2, 64) }
+// FormatProbability returns the form of a share from 0 to 1 that ParseProbability reads.
+func FormatProbability(share float64) string { return strconv.FormatFloat(share, 'f', 2, 64) }
 
-// ParseShare reads what Share returns; 0 for what cannot be read.
-func ParseShare(s string) float64 {
+// ParseProbability reads what Share returns; 0 for what cannot be read.
+func ParseProbability(s string) float64 {
 	share, err := strconv.ParseFloat(s, 64)
 	if err != nil || !(share >= 0 && share <= 1) {
 		return 0
@@ -315,35 +315,35 @@
 	return share
 }
 
-// Spent is the time that a request spent at an inlet.
-type Spent struct {
+// SlotTimes is the time that a request spent at an inlet.
+type SlotTimes struct {
 	// Wait is for a slot, Held the time of the slot until the answer was read.
-	Wait, Held time.Duration
+	Wait, ServiceTime time.Duration
 }
 
-// String returns the form that ParseSpent reads.
-func (sp Spent) String() string {
-	return strconv.FormatInt(sp.Wait.Milliseconds(), 10) + "/" + strconv.FormatInt(sp.Held.Milliseconds(), 10)
+// String returns the form that ParseSlotTimes reads.
+func (st SlotTimes) String() string {
+	return strconv.FormatInt(st.Wait.Milliseconds(), 10) + "/" + strconv.FormatInt(st.ServiceTime.Milliseconds(), 10)
 }
 
-// ParseSpent reads what String returns; the zero value for what cannot be read.
-func ParseSpent(s string) Spent {
+// ParseSlotTimes reads what String returns; the zero value for what cannot be read.
+func ParseSlotTimes(s string) SlotTimes {
 	wait, held, _ := strings.Cut(s, "/")
 	w, werr := strconv.ParseUint(wait, 10, 31)
 	h, herr := strconv.ParseUint(held, 10, 31)
 	if werr != nil || herr != nil {
 		// An older release sends none.
-		return Spent{}
+		return SlotTimes{}
 	}
-	return Spent{Wait: time.Duration(w) * time.Millisecond, Held: time.Duration(h) * time.Millisecond}
+	return SlotTimes{Wait: time.Duration(w) * time.Millisecond, ServiceTime: time.Duration(h) * time.Millisecond}
 }
 
 // Load is what an inlet says of its backend server.
 type Load struct {
 	Running, Waiting, Slots int
-	// Service is the mean time for which a slot is held, in whole milliseconds;
+	// ServiceTime is the mean time for which a slot is held, in whole milliseconds;
 	// 0 for not known.
-	Service time.Duration
+	ServiceTime time.Duration
 	// Backlog is how long the VM's link takes for what waits to be sent, in whole
 	// milliseconds.
 	Backlog time.Duration
@@ -367,7 +367,7 @@
 // String returns the form that ParseLoad reads.
 func (ld Load) String() string {
 	fields := [5 + Ranks]int64{
-		int64(ld.Running), int64(ld.Waiting), int64(ld.Slots), ld.Service.Milliseconds(), ld.Backlog.Milliseconds(),
+		int64(ld.Running), int64(ld.Waiting), int64(ld.Slots), ld.ServiceTime.Milliseconds(), ld.Backlog.Milliseconds(),
 	}
 	for i, wait := range ld.Waits {
 		fields[5+i] = wait.Milliseconds()
@@ -403,7 +403,7 @@
 		return Load{}, false
 	}
 	ms := func(i int) time.Duration { return time.Duration(fields[i]) * time.Millisecond }
-	ld = Load{Running: fields[0], Waiting: fields[1], Slots: fields[2], Service: ms(3), Backlog: ms(4)}
+	ld = Load{Running: fields[0], Waiting: fields[1], Slots: fields[2], ServiceTime: ms(3), Backlog: ms(4)}
 	for i := range ld.Waits {
 		ld.Waits[i] = ms(5 + i)
 	}
--- a/internal/path/result/result_test.go
+++ b/internal/path/result/result_test.go
@@ -13,12 +13,12 @@
 		status int
 		after  time.Duration
 	}{
-		{Refusal{Outcome: NotRun, Reason: ReasonFull, RetryAfter: 1200 * time.Millisecond}, 503, 2 * time.Second},
+		{Refusal{Outcome: NotRun, Reason: ReasonSlotsFull, RetryAfter: 1200 * time.Millisecond}, 503, 2 * time.Second},
 		{Refusal{Outcome: NotRun, Reason: ReasonWrongTarget}, 421, 0},
-		{Refusal{Outcome: NotRun, Reason: ReasonDeadline}, 503, 0},
-		{Refusal{Outcome: NotRun, Reason: ReasonTooLate, RetryAfter: time.Millisecond}, 503, time.Second},
-		{Refusal{Outcome: MayHaveRun, Reason: ReasonDeadline, RetryAfter: time.Second}, 504, time.Second},
-		{Refusal{Outcome: MayHaveRun, Reason: ReasonBroken}, 502, 0},
+		{Refusal{Outcome: NotRun, Reason: ReasonDeadlinePassed}, 503, 0},
+		{Refusal{Outcome: NotRun, Reason: ReasonDeadlineTooNear, RetryAfter: time.Millisecond}, 503, time.Second},
+		{Refusal{Outcome: MayHaveRun, Reason: ReasonDeadlinePassed, RetryAfter: time.Second}, 504, time.Second},
+		{Refusal{Outcome: MayHaveRun, Reason: ReasonConnectionBroken}, 502, 0},
 		{Refusal{Outcome: NotRun, Reason: ReasonNoRoute}, 404, 0},
 		{Refusal{Outcome: NotRun, Reason: ReasonBadRequest}, 400, 0},
 		{Refusal{Outcome: NotRun, Reason: ReasonTooLarge}, 413, 0},
@@ -26,7 +26,7 @@
 	} {
 		rec := httptest.NewRecorder()
 		tc.rf.Write(rec, false)
-		got := FromAnswer(rec.Result())
+		got := FromResponse(rec.Result())
 		want := Refusal{Outcome: tc.rf.Outcome, Reason: tc.rf.Reason, Status: tc.status, RetryAfter: tc.after}
 		if got == nil || *got != want {
 			t.Errorf("%+v was read as %+v", tc.rf, got)
@@ -34,12 +34,12 @@
 	}
 	rec := httptest.NewRecorder()
 	rec.WriteHeader(503)
-	if rf := FromAnswer(rec.Result()); rf != nil {
+	if rf := FromResponse(rec.Result()); rf != nil {
 		t.Errorf("an answer of a backend server was read as %+v", rf)
 	}
 	rec = httptest.NewRecorder()
 	rec.Header().Set(OutcomeHeader, "a-newer-word")
-	if rf := FromAnswer(rec.Result()); rf == nil || rf.Outcome != MayHaveRun {
+	if rf := FromResponse(rec.Result()); rf == nil || rf.Outcome != MayHaveRun {
 		t.Errorf("an outcome that is not known was read as %+v, want the cautious one", rf)
 	}
 }
@@ -73,11 +73,11 @@
 		120 * time.Millisecond: "0.120", time.Microsecond: "0.001", 2 * time.Second: "2.000",
 	} {
 		rec := httptest.NewRecorder()
-		(&Refusal{Outcome: NotRun, Reason: ReasonFull, RetryAfter: after}).Write(rec, true)
+		(&Refusal{Outcome: NotRun, Reason: ReasonSlotsFull, RetryAfter: after}).Write(rec, true)
 		if got := rec.Header().Get("Retry-After"); got != want {
 			t.Errorf("Retry-After for %s is %q, want %q", after, got, want)
 		}
-		if got := FromAnswer(rec.Result()).RetryAfter; got > after+time.Millisecond || got < after-time.Millisecond {
+		if got := FromResponse(rec.Result()).RetryAfter; got > after+time.Millisecond || got < after-time.Millisecond {
 			t.Errorf("%s was read as %s", after, got)
 		}
 	}
--- a/internal/path/retry/budget.go
+++ b/internal/path/retry/budget.go
@@ -58,7 +58,7 @@
 // New returns a budget of one of several outlets.
 func New(bo Bound, outlets int) *Budget {
 	var bu Budget
-	bu.Limit(bo, outlets)
+	bu.SetBound(bo, outlets)
 	if most := bu.most.Load(); most > 0 {
 		bu.advance.Store(max(unit, most/startPart))
 		bu.saved.Store(bu.advance.Load())
@@ -66,10 +66,10 @@
 	return &bu
 }
 
-// Limit sets what is allowed to an outlet that is one of several. Too low a number of
+// SetBound sets what is allowed to an outlet that is one of several. Too low a number of
 // outlets, as one knows it that lost its links, does little harm: savings come from its
 // own requests alone, and are cut down with the next, higher number.
-func (bu *Budget) Limit(bo Bound, outlets int) {
+func (bu *Budget) SetBound(bo Bound, outlets int) {
 	// One that may not save a whole repeat could never send one.
 	share := math.Max(1, bo.Spare/float64(max(1, outlets)))
 	if bo.Ratio <= 0 {
@@ -80,8 +80,8 @@
 	bu.add(0)
 }
 
-// Request adds what a new request brings.
-func (bu *Budget) Request() {
+// AddRequest adds what a new request brings.
+func (bu *Budget) AddRequest() {
 	n := bu.perRequest.Load()
 	if bu.advance.Load() > 0 && bu.advance.Add(-n) >= 0 {
 		return
--- a/internal/path/retry/budget_test.go
+++ b/internal/path/retry/budget_test.go
@@ -14,7 +14,7 @@
 	retries := 0
 	const requests = 10_000
 	for range requests {
-		bu.Request()
+		bu.AddRequest()
 		for bu.Take() {
 			retries++
 		}
@@ -24,7 +24,7 @@
 	}
 	quiet := New(bo, 1)
 	for range requests {
-		quiet.Request()
+		quiet.AddRequest()
 	}
 	burst := 0
 	for quiet.Take() {
@@ -60,9 +60,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			bu := New(Bound{Ratio: 0.2, Spare: 60}, 1)
 			for range 1000 {
-				bu.Request()
+				bu.AddRequest()
 			}
-			bu.Limit(tc.bo, tc.outlets)
+			bu.SetBound(tc.bo, tc.outlets)
 			if got := taken(bu); got != tc.want {
 				t.Errorf("%d repeats, want %d", got, tc.want)
 			}
@@ -73,7 +73,7 @@
 		debt.Charge(1)
 	}
 	for range 100 {
-		debt.Request()
+		debt.AddRequest()
 	}
 	if taken(debt) == 0 {
 		t.Error("a wave of calls that were made again forbids retries after 100 requests")
@@ -146,7 +146,7 @@
 func (fl *fleet) request(ou *outletOf, shed float64) {
 	at := len(fl.a.requests) - 1
 	fl.a.requests[at]++
-	ou.a.Request()
+	ou.a.AddRequest()
 	for try := range 3 {
 		if try > 0 {
 			if !ou.a.Take() {
@@ -174,7 +174,7 @@
 func (fl *fleet) call(on *outletOf, again bool, shed float64) {
 	at := len(fl.b.requests) - 1
 	fl.b.requests[at]++
-	on.b.Request()
+	on.b.AddRequest()
 	on.b.Charge(on.repeats / on.running)
 	if again {
 		fl.b.repeats[at]++
@@ -241,8 +241,8 @@
 						}
 						if tick%(5*ticksPerSecond) == ticksPerSecond {
 							for _, ou := range fl.outlets {
-								ou.a.Limit(fl.bo, len(fl.outlets))
-								ou.b.Limit(fl.bo, len(fl.outlets))
+								ou.a.SetBound(fl.bo, len(fl.outlets))
+								ou.b.SetBound(fl.bo, len(fl.outlets))
 							}
 						}
 						fl.tick(8, shed)
@@ -278,8 +278,8 @@
 				if i < 59 {
 					side = 59
 				}
-				ou.a.Limit(fl.bo, side)
-				ou.b.Limit(fl.bo, side)
+				ou.a.SetBound(fl.bo, side)
+				ou.b.SetBound(fl.bo, side)
 			}
 		}
 		shed := 0.0
--- a/internal/path/shed/shed.go
+++ b/internal/path/shed/shed.go
@@ -72,9 +72,9 @@
 
 func pack(v float64) uint64 { return min(uint64(v*unit), maxSum) }
 
-// Offer reports whether a request of a priority should be offered; draw is a
+// Allow reports whether a request of a priority should be offered; draw is a
 // random number from 0 to 1.
-func (th *Throttle) Offer(priority int, now time.Time, draw float64) bool {
+func (th *Throttle) Allow(priority int, now time.Time, draw float64) bool {
 	co := &th.ranks[rank(priority)]
 	asked, taken, _ := co.read(now)
 	over := asked - surplus*taken - spare
@@ -85,8 +85,8 @@
 	return false
 }
 
-// Done notes whether a request that was offered was taken.
-func (th *Throttle) Done(priority int, now time.Time, taken bool) {
+// RecordOutcome notes whether a request that was offered was taken.
+func (th *Throttle) RecordOutcome(priority int, now time.Time, taken bool) {
 	n := 0.0
 	if taken {
 		n = 1
--- a/internal/path/shed/shed_test.go
+++ b/internal/path/shed/shed_test.go
@@ -14,7 +14,7 @@
 		offered, taken = 0, 0
 		for i := range rate {
 			now := start.Add(time.Duration(s)*time.Second + time.Duration(i)*time.Second/time.Duration(rate))
-			if !th.Offer(1, now, rnd.Float64()) {
+			if !th.Allow(1, now, rnd.Float64()) {
 				continue
 			}
 			offered++
@@ -23,7 +23,7 @@
 			if ok {
 				taken++
 			}
-			th.Done(1, now, ok)
+			th.RecordOutcome(1, now, ok)
 		}
 	}
 	return offered, taken
@@ -63,12 +63,12 @@
 	var th Throttle
 	now := time.Unix(1000, 0)
 	for range 100 {
-		th.Done(2, now, false)
+		th.RecordOutcome(2, now, false)
 	}
-	if th.Offer(2, now, 0.5) {
+	if th.Allow(2, now, 0.5) {
 		t.Error("the refused kind is offered")
 	}
-	if !th.Offer(1, now, 0) || !th.Offer(100, now, 0) {
+	if !th.Allow(1, now, 0) || !th.Allow(100, now, 0) {
 		t.Error("other kinds are held back")
 	}
 }
--- a/internal/plat/dialer/stale.go
+++ b/internal/plat/dialer/stale.go
@@ -9,10 +9,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// DoFresh makes a request that is not written to a kept connection which the other side has
+// DoSkipStale makes a request that is not written to a kept connection which the other side has
 // closed already. The transport notices that later, and a request which was written by then
 // may or may not have run. It is made on another connection instead.
-func DoFresh(hc *http.Client, req *http.Request) (*http.Response, error) {
+func DoSkipStale(hc *http.Client, req *http.Request) (*http.Response, error) {
 	for {
 		stale := false
 		ctx := httptrace.WithClientTrace(req.Context(), &httptrace.ClientTrace{GotConn: func(in httptrace.GotConnInfo) {
--- a/internal/plat/faulty/faulty.go
+++ b/internal/plat/faulty/faulty.go
@@ -10,9 +10,9 @@
 	"sync"
 )
 
-// Behave handles a request, number n on its connection counting from 1, whose
+// Handler handles a request, number n on its connection counting from 1, whose
 // body it has to read itself. It reports whether the connection goes on.
-type Behave func(cn net.Conn, n int, req *http.Request) bool
+type Handler func(cn net.Conn, n int, req *http.Request) bool
 
 // Server is a backend server that does as Behave says.
 type Server struct {
@@ -20,14 +20,14 @@
 	Addr string
 
 	ln     net.Listener
-	behave Behave
+	behave Handler
 	mu     sync.Mutex
 	seen   int
 	conns  map[net.Conn]bool
 }
 
 // New starts a server on a free loopback port; Close ends it.
-func New(fn Behave) (*Server, error) {
+func New(fn Handler) (*Server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -36,7 +36,7 @@
 }
 
 // Serve starts a server on ln; Close ends it.
-func Serve(ln net.Listener, fn Behave) *Server {
+func Serve(ln net.Listener, fn Handler) *Server {
 	sr := &Server{Addr: ln.Addr().String(), ln: ln, behave: fn, conns: map[net.Conn]bool{}}
 	go sr.accept()
 	return sr
@@ -77,8 +77,8 @@
 	}
 }
 
-// Seen returns how many requests the server has read the head of.
-func (sr *Server) Seen() int {
+// RequestCount returns how many requests the server has read the head of.
+func (sr *Server) RequestCount() int {
 	sr.mu.Lock()
 	defer sr.mu.Unlock()
 	return sr.seen
@@ -94,8 +94,8 @@
 	}
 }
 
-// Well answers with "ok" and the request's path, in good order.
-func Well(cn net.Conn, _ int, req *http.Request) bool {
+// RespondOK answers with "ok" and the request's path, in good order.
+func RespondOK(cn net.Conn, _ int, req *http.Request) bool {
 	ReadBody(req)
 	text := "ok " + req.URL.Path
 	_, err := fmt.Fprintf(cn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
@@ -105,9 +105,9 @@
 // ReadBody reads a request's body to its end.
 func ReadBody(req *http.Request) { _, _ = io.Copy(io.Discard, req.Body) }
 
-// Sends returns what reads a request and sends text in place of an answer; the
+// RespondRaw returns what reads a request and sends text in place of an answer; the
 // connection goes on if keep is set.
-func Sends(text string, keep bool) Behave {
+func RespondRaw(text string, keep bool) Handler {
 	return func(cn net.Conn, _ int, req *http.Request) bool {
 		ReadBody(req)
 		_, err := io.WriteString(cn, text)
@@ -116,7 +116,7 @@
 }
 
 // resets returns what does as fn says and ends the connection by a TCP reset.
-func resets(fn Behave) Behave {
+func resets(fn Handler) Handler {
 	return func(cn net.Conn, n int, req *http.Request) bool {
 		fn(cn, n, req)
 		if tc, ok := cn.(*net.TCPConn); ok {
@@ -128,10 +128,10 @@
 
 // Fault is a way in which a backend server fails.
 type Fault struct {
-	Name   string
-	Behave Behave
-	// Broken says that the head of an answer is sent before the failure.
-	Broken bool
+	Name    string
+	Handler Handler
+	// HeadSent says that the head of an answer is sent before the failure.
+	HeadSent bool
 }
 
 const (
@@ -142,25 +142,25 @@
 
 // Faults are the ways known. In each the server has read the request.
 var Faults = []Fault{
-	{Name: "closes-after-head", Behave: func(net.Conn, int, *http.Request) bool { return false }},
-	{Name: "closes-after-body", Behave: Sends("", false)},
-	{Name: "resets-after-body", Behave: resets(Sends("", false))},
-	{Name: "closes-in-answer-head", Behave: Sends(head+"Content-Le", false)},
-	{Name: "conflicting-lengths", Behave: Sends(head+"Content-Length: 2\r\nContent-Length: 5\r\n\r\nokokok", false)},
-	{Name: "huge-head", Behave: hugeHead},
-	{Name: "endless-interim", Behave: endlessInterim},
-	{Name: "no-http", Behave: Sends("220 mail ready\r\n", false)},
-	{Name: "closes-after-answer-head", Behave: Sends(head+"Content-Length: 10\r\n\r\n", false), Broken: true},
-	{Name: "closes-in-answer-body", Behave: Sends(half, false), Broken: true},
-	{Name: "resets-in-answer-body", Behave: resets(Sends(half, false)), Broken: true},
-	{Name: "closes-in-chunked-body", Behave: Sends(head+"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", false), Broken: true},
-	{Name: "bad-chunk", Behave: Sends(head+"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\nzz\r\n", false), Broken: true},
+	{Name: "closes-after-head", Handler: func(net.Conn, int, *http.Request) bool { return false }},
+	{Name: "closes-after-body", Handler: RespondRaw("", false)},
+	{Name: "resets-after-body", Handler: resets(RespondRaw("", false))},
+	{Name: "closes-in-answer-head", Handler: RespondRaw(head+"Content-Le", false)},
+	{Name: "conflicting-lengths", Handler: RespondRaw(head+"Content-Length: 2\r\nContent-Length: 5\r\n\r\nokokok", false)},
+	{Name: "huge-head", Handler: hugeHead},
+	{Name: "endless-interim", Handler: endlessInterim},
+	{Name: "no-http", Handler: RespondRaw("220 mail ready\r\n", false)},
+	{Name: "closes-after-answer-head", Handler: RespondRaw(head+"Content-Length: 10\r\n\r\n", false), HeadSent: true},
+	{Name: "closes-in-answer-body", Handler: RespondRaw(half, false), HeadSent: true},
+	{Name: "resets-in-answer-body", Handler: resets(RespondRaw(half, false)), HeadSent: true},
+	{Name: "closes-in-chunked-body", Handler: RespondRaw(head+"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", false), HeadSent: true},
+	{Name: "bad-chunk", Handler: RespondRaw(head+"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\nzz\r\n", false), HeadSent: true},
 }
 
 // hugeHead makes its megabyte when it is used, not when a process starts: every
 // daemon has this package in it.
 func hugeHead(cn net.Conn, n int, req *http.Request) bool {
-	return Sends(head+"X: "+strings.Repeat("x", 1<<20)+"\r\n\r\n", false)(cn, n, req)
+	return RespondRaw(head+"X: "+strings.Repeat("x", 1<<20)+"\r\n\r\n", false)(cn, n, req)
 }
 
 // interims is how many interim answers an endless series has.
--- a/internal/plat/guard/guard.go
+++ b/internal/plat/guard/guard.go
@@ -28,28 +28,30 @@
 // Guard counts and limits calls.
 type Guard struct {
 	// Calls counts the calls that were sent, Held those that were not.
-	Calls, Held atomic.Int64
-	// Purposes counts the calls that were sent by operation and the first part of the
+	Calls, Rejected atomic.Int64
+	// CallsByPurpose counts the calls that were sent by operation and the first part of the
 	// key, Read the bytes of values that came back by the same.
-	Purposes, Read expvar.Map
-	kv             store.Store
-	lim            *rate.Limiter
-	brk            atomic.Pointer[gobreaker.CircuitBreaker[any]]
+	CallsByPurpose, BytesByPurpose expvar.Map
+	kv                             store.Store
+	lim                            *rate.Limiter
+	brk                            atomic.Pointer[gobreaker.CircuitBreaker[any]]
 }
 
 // New returns a guard around kv.
 func New(kv store.Store) *Guard {
 	gd := &Guard{kv: kv, lim: rate.NewLimiter(callRate, callBurst)}
-	gd.Close()
+	gd.ResetBreaker()
 	return gd
 }
 
-// Close closes the breaker: the store is known to answer others again.
-func (gd *Guard) Close() {
+// ResetBreaker closes the breaker: the store is known to answer others again.
+func (gd *Guard) ResetBreaker() {
 	gd.brk.Store(gobreaker.NewCircuitBreaker[any](gobreaker.Settings{
-		Timeout:      rest,
-		ReadyToTrip:  func(cs gobreaker.Counts) bool { return cs.ConsecutiveFailures >= trip },
-		IsSuccessful: func(err error) bool { return err == nil || store.Is(err, store.Gone) || store.Is(err, store.TooLarge) },
+		Timeout:     rest,
+		ReadyToTrip: func(cs gobreaker.Counts) bool { return cs.ConsecutiveFailures >= trip },
+		IsSuccessful: func(err error) bool {
+			return err == nil || store.IsKind(err, store.LeaseNotFound) || store.IsKind(err, store.TooLarge)
+		},
 	}))
 }
 
@@ -68,13 +70,13 @@
 	get, list, watch := kv.Get, kv.List, kv.Watch
 	kv.Get = func(ctx context.Context, key string) (store.Entry, error) {
 		ent, err := get(ctx, key)
-		gd.Read.Add(purpose("get", key), int64(len(ent.Value)))
+		gd.BytesByPurpose.Add(purpose("get", key), int64(len(ent.Value)))
 		return ent, err
 	}
 	kv.List = func(ctx context.Context, prefix string) ([]store.Item, error) {
 		items, err := list(ctx, prefix)
 		for _, it := range items {
-			gd.Read.Add(purpose("list", prefix), int64(len(it.Value)))
+			gd.BytesByPurpose.Add(purpose("list", prefix), int64(len(it.Value)))
 		}
 		return items, err
 	}
@@ -86,7 +88,7 @@
 		}
 		ent, err := watch(ctx, key, after, wait)
 		if ent.Revision != after {
-			gd.Read.Add(purpose("watch", key), int64(len(ent.Value)))
+			gd.BytesByPurpose.Add(purpose("watch", key), int64(len(ent.Value)))
 		}
 		return ent, err
 	}
@@ -104,16 +106,16 @@
 // open.
 func (gd *Guard) through(ctx context.Context, op, key string, call func() error) error {
 	if err := gd.lim.Wait(ctx); err != nil {
-		gd.Held.Add(1)
+		gd.Rejected.Add(1)
 		return &store.Error{Kind: store.Unavailable, Op: op, Key: key, Err: err}
 	}
 	_, err := gd.brk.Load().Execute(func() (any, error) {
 		gd.Calls.Add(1)
-		gd.Purposes.Add(purpose(op, key), 1)
+		gd.CallsByPurpose.Add(purpose(op, key), 1)
 		return nil, call()
 	})
 	if errors.Is(err, gobreaker.ErrOpenState) || errors.Is(err, gobreaker.ErrTooManyRequests) {
-		gd.Held.Add(1)
+		gd.Rejected.Add(1)
 		return &store.Error{Kind: store.Unavailable, Op: op, Key: key, Err: err}
 	}
 	return err
--- a/internal/plat/kvtest/ended.go
+++ b/internal/plat/kvtest/ended.go
@@ -10,10 +10,10 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// LateEnd makes connections whose end is noticed late: a read that finds it returns only once
+// EOFDelayer makes connections whose end is noticed late: a read that finds it returns only once
 // something was written or the connection was closed, as in a process that is short of
 // processor time.
-type LateEnd struct {
+type EOFDelayer struct {
 	mu    sync.Mutex
 	conns []*lateConn
 }
@@ -27,7 +27,7 @@
 }
 
 // Dial opens a connection over loopback.
-func (le *LateEnd) Dial(addr string) (net.Conn, error) {
+func (le *EOFDelayer) Dial(addr string) (net.Conn, error) {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -65,9 +65,9 @@
 	return lc.TCPConn.Close()
 }
 
-// EndedBeforeCall checks that a write is done whose kept connection the service had closed
+// ClosedBeforeCall checks that a write is done whose kept connection the service had closed
 // before the call; closeAll closes the connections from the side of the service.
-func EndedBeforeCall(t *testing.T, kv store.Store, le *LateEnd, closeAll func()) {
+func ClosedBeforeCall(t *testing.T, kv store.Store, le *EOFDelayer, closeAll func()) {
 	t.Helper()
 	wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 	le.mu.Lock()
--- a/internal/plat/kvtest/kvtest.go
+++ b/internal/plat/kvtest/kvtest.go
@@ -10,7 +10,7 @@
 )
 
 // Run runs the contract against the stores that open returns for a stand-in.
-func Run(t *testing.T, open func(t *testing.T, st *stand.Stand) store.Store) {
+func Run(t *testing.T, open func(t *testing.T, st *stand.Service) store.Store) {
 	for _, tc := range contract {
 		t.Run(tc.name, func(t *testing.T) {
 			st := stand.New()
@@ -26,19 +26,19 @@
 // contract is what every implementation of the platform's interface must do.
 var contract = []struct {
 	name string
-	run  func(t *testing.T, kv store.Store, st *stand.Stand)
+	run  func(t *testing.T, kv store.Store, st *stand.Service)
 }{
-	{"a missing key has revision 0", func(t *testing.T, kv store.Store, _ *stand.Stand) {
+	{"a missing key has revision 0", func(t *testing.T, kv store.Store, _ *stand.Service) {
 		if ent, err := kv.Get(t.Context(), "a"); err != nil || ent.Revision.Exists() {
 			t.Errorf("Get: %+v, %v", ent, err)
 		}
 	}},
-	{"swap creates once", func(t *testing.T, kv store.Store, _ *stand.Stand) {
+	{"swap creates once", func(t *testing.T, kv store.Store, _ *stand.Service) {
 		wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		wantSwap(t, kv, store.Change{Key: "a", Value: []byte("2")}, false)
 		wantValue(t, kv, "a", "1")
 	}},
-	{"swap needs the newest revision", func(t *testing.T, kv store.Store, _ *stand.Stand) {
+	{"swap needs the newest revision", func(t *testing.T, kv store.Store, _ *stand.Service) {
 		one := wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		wantSwap(t, kv, store.Change{Key: "a", Revision: one.Revision, Value: []byte("2")}, true)
 		cur := wantSwap(t, kv, store.Change{Key: "a", Revision: one.Revision, Value: []byte("3")}, false)
@@ -46,20 +46,20 @@
 			t.Errorf("a failed swap returned %q as current", cur.Value)
 		}
 	}},
-	{"remove", func(t *testing.T, kv store.Store, _ *stand.Stand) {
+	{"remove", func(t *testing.T, kv store.Store, _ *stand.Service) {
 		one := wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		wantSwap(t, kv, store.Change{Key: "a", Revision: one.Revision, Remove: true}, true)
 		if ent, err := kv.Get(t.Context(), "a"); err != nil || ent.Revision.Exists() {
 			t.Errorf("Get after remove: %+v, %v", ent, err)
 		}
 	}},
-	{"watch returns at once what is new", func(t *testing.T, kv store.Store, _ *stand.Stand) {
+	{"watch returns at once what is new", func(t *testing.T, kv store.Store, _ *stand.Service) {
 		wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		if ent, err := kv.Watch(t.Context(), "a", store.Revision{}, time.Minute); err != nil || string(ent.Value) != "1" {
 			t.Errorf("Watch: %+v, %v", ent, err)
 		}
 	}},
-	{"watch wakes at a change", func(t *testing.T, kv store.Store, _ *stand.Stand) {
+	{"watch wakes at a change", func(t *testing.T, kv store.Store, _ *stand.Service) {
 		got := make(chan store.Entry, 1)
 		go func() {
 			ent, _ := kv.Watch(t.Context(), "a", store.Revision{}, time.Minute)
@@ -70,7 +70,7 @@
 			t.Errorf("Watch: %+v", ent)
 		}
 	}},
-	{"list returns what begins with the prefix", func(t *testing.T, kv store.Store, _ *stand.Stand) {
+	{"list returns what begins with the prefix", func(t *testing.T, kv store.Store, _ *stand.Service) {
 		for _, key := range []string{"b/2", "a", "b/1", "c", "b"} {
 			wantSwap(t, kv, store.Change{Key: key, Value: []byte(key)}, true)
 		}
@@ -79,7 +79,7 @@
 			t.Errorf("List: %+v, %v", items, err)
 		}
 	}},
-	{"list ends with its context", func(t *testing.T, kv store.Store, st *stand.Stand) {
+	{"list ends with its context", func(t *testing.T, kv store.Store, st *stand.Service) {
 		st.SetFaults(stand.Faults{Delay: time.Minute})
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
@@ -87,19 +87,19 @@
 			t.Error("List with an ended context gave no error")
 		}
 	}},
-	{"watch ends after its wait", func(t *testing.T, kv store.Store, _ *stand.Stand) {
+	{"watch ends after its wait", func(t *testing.T, kv store.Store, _ *stand.Service) {
 		if ent, err := kv.Watch(t.Context(), "a", store.Revision{}, time.Millisecond); err != nil || ent.Revision.Exists() {
 			t.Errorf("Watch: %+v, %v", ent, err)
 		}
 	}},
-	{"watch ends with its context", func(t *testing.T, kv store.Store, _ *stand.Stand) {
+	{"watch ends with its context", func(t *testing.T, kv store.Store, _ *stand.Service) {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		if _, err := kv.Watch(ctx, "a", store.Revision{}, time.Minute); err == nil {
 			t.Error("Watch with an ended context gave no error")
 		}
 	}},
-	{"a lease ends with its keys", func(t *testing.T, kv store.Store, _ *stand.Stand) {
+	{"a lease ends with its keys", func(t *testing.T, kv store.Store, _ *stand.Service) {
 		id, err := kv.Grant(t.Context(), time.Minute)
 		if err != nil {
 			t.Fatal(err)
@@ -114,24 +114,24 @@
 		if ent, err := kv.Watch(t.Context(), "a", ent.Revision, time.Minute); err != nil || ent.Revision.Exists() {
 			t.Errorf("the key after its lease: %+v, %v", ent, err)
 		}
-		WantKind(t, kv.Renew(t.Context(), id), store.Gone)
+		WantKind(t, kv.Renew(t.Context(), id), store.LeaseNotFound)
 		_, _, err = kv.Swap(t.Context(), store.Change{Key: "b", Lease: id})
-		WantKind(t, err, store.Gone)
+		WantKind(t, err, store.LeaseNotFound)
 	}},
-	{"a lease lapses", func(t *testing.T, kv store.Store, st *stand.Stand) {
+	{"a lease lapses", func(t *testing.T, kv store.Store, st *stand.Service) {
 		id, err := kv.Grant(t.Context(), time.Minute)
 		if err != nil {
 			t.Fatal(err)
 		}
-		st.LapseLeases()
-		WantKind(t, kv.Renew(t.Context(), id), store.Gone)
+		st.ExpireLeases()
+		WantKind(t, kv.Renew(t.Context(), id), store.LeaseNotFound)
 	}},
-	{"values have a largest size", func(t *testing.T, kv store.Store, _ *stand.Stand) {
+	{"values have a largest size", func(t *testing.T, kv store.Store, _ *stand.Service) {
 		wantSwap(t, kv, store.Change{Key: "a", Value: make([]byte, store.MaxValue)}, true)
 		_, _, err := kv.Swap(t.Context(), store.Change{Key: "b", Value: make([]byte, store.MaxValue+1)})
 		WantKind(t, err, store.TooLarge)
 	}},
-	{"an outage has no effect", func(t *testing.T, kv store.Store, st *stand.Stand) {
+	{"an outage has no effect", func(t *testing.T, kv store.Store, st *stand.Service) {
 		st.SetFaults(stand.Faults{Down: true})
 		_, _, err := kv.Swap(t.Context(), store.Change{Key: "a"})
 		WantKind(t, err, store.Unavailable)
@@ -140,13 +140,13 @@
 		st.SetFaults(stand.Faults{})
 		wantSwap(t, kv, store.Change{Key: "a"}, true)
 	}},
-	{"a lost answer is unknown and has its effect", func(t *testing.T, kv store.Store, st *stand.Stand) {
-		st.SetFaults(stand.Faults{LoseAnswers: 1})
+	{"a lost answer is unknown and has its effect", func(t *testing.T, kv store.Store, st *stand.Service) {
+		st.SetFaults(stand.Faults{LoseResponses: 1})
 		_, _, err := kv.Swap(t.Context(), store.Change{Key: "a", Value: []byte("1")})
 		WantKind(t, err, store.Unknown)
 		wantValue(t, kv, "a", "1")
 	}},
-	{"watch of a prefix", func(t *testing.T, kv store.Store, st *stand.Stand) {
+	{"watch of a prefix", func(t *testing.T, kv store.Store, st *stand.Service) {
 		wantSwap(t, kv, store.Change{Key: "a/1", Value: []byte("1")}, true)
 		wantSwap(t, kv, store.Change{Key: "b/1", Value: []byte("1")}, true)
 		li, err := kv.WatchAll(t.Context(), "a/", store.Revision{}, time.Minute)
@@ -154,7 +154,7 @@
 			t.Fatalf("WatchAll: %+v, %v", li, err)
 		}
 		wantSwap(t, kv, store.Change{Key: "b/2", Value: []byte("1")}, true)
-		if li, err = kv.WatchAll(t.Context(), "a/", li.At, 10*time.Millisecond); err != nil || li.Changed || len(li.Items) != 0 {
+		if li, err = kv.WatchAll(t.Context(), "a/", li.Revision, 10*time.Millisecond); err != nil || li.Changed || len(li.Items) != 0 {
 			t.Fatalf("WatchAll without a change: %+v, %v", li, err)
 		}
 		got := make(chan store.Listing, 1)
@@ -162,31 +162,31 @@
 			li, _ := kv.WatchAll(t.Context(), "a/", after, epochWait)
 			got <- li
 		}
-		go watch(li.At)
+		go watch(li.Revision)
 		two := wantSwap(t, kv, store.Change{Key: "a/2", Value: []byte("2")}, true)
 		if li = <-got; !li.Changed || len(li.Items) != 2 {
 			t.Fatalf("WatchAll after a write: %+v", li)
 		}
-		go watch(li.At)
+		go watch(li.Revision)
 		wantSwap(t, kv, store.Change{Key: "a/2", Revision: two.Revision, Remove: true}, true)
 		if li = <-got; !li.Changed || len(li.Items) != 1 {
 			t.Fatalf("WatchAll after a removal: %+v", li)
 		}
-		go watch(li.At)
-		st.ComeBack(st.Backup())
-		if li = <-got; !li.Changed || len(li.Items) != 1 || li.At.Epoch == two.Revision.Epoch {
+		go watch(li.Revision)
+		st.RestoreInNewEpoch(st.Backup())
+		if li = <-got; !li.Changed || len(li.Items) != 1 || li.Revision.Epoch == two.Revision.Epoch {
 			t.Fatalf("WatchAll in a new epoch: %+v", li)
 		}
 	}},
-	{"a new epoch is another revision", func(t *testing.T, kv store.Store, st *stand.Stand) {
+	{"a new epoch is another revision", func(t *testing.T, kv store.Store, st *stand.Service) {
 		one := wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
-		st.ComeBack(st.Backup())
+		st.RestoreInNewEpoch(st.Backup())
 		ent, err := kv.Watch(t.Context(), "a", one.Revision, time.Minute)
 		if err != nil || string(ent.Value) != "1" || ent.Revision.Epoch <= one.Revision.Epoch || kv.Epoch() != ent.Revision.Epoch {
 			t.Errorf("Watch in a new epoch: %+v, %v; was %+v", ent, err, one.Revision)
 		}
 	}},
-	{"a watch wakes at a new epoch", func(t *testing.T, kv store.Store, st *stand.Stand) {
+	{"a watch wakes at a new epoch", func(t *testing.T, kv store.Store, st *stand.Service) {
 		one := wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		bk := st.Backup()
 		two := wantSwap(t, kv, store.Change{Key: "a", Revision: one.Revision, Value: []byte("2")}, true)
@@ -195,16 +195,16 @@
 			ent, _ := kv.Watch(t.Context(), "a", two.Revision, epochWait)
 			got <- ent
 		}()
-		st.ComeBack(bk)
+		st.RestoreInNewEpoch(bk)
 		if ent := <-got; string(ent.Value) != "1" {
 			t.Errorf("Watch: %+v", ent)
 		}
 	}},
-	{"a revision given out twice matches in its own epoch only", func(t *testing.T, kv store.Store, st *stand.Stand) {
+	{"a revision given out twice matches in its own epoch only", func(t *testing.T, kv store.Store, st *stand.Service) {
 		one := wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		bk := st.Backup()
 		two := wantSwap(t, kv, store.Change{Key: "a", Revision: one.Revision, Value: []byte("2")}, true)
-		st.ComeBack(bk)
+		st.RestoreInNewEpoch(bk)
 		one = wantGet(t, kv, "a")
 		other := wantSwap(t, kv, store.Change{Key: "a", Revision: one.Revision, Value: []byte("other")}, true)
 		if other.Revision.Number != two.Revision.Number {
@@ -214,48 +214,48 @@
 		wantValue(t, kv, "a", "other")
 		wantSwap(t, kv, store.Change{Key: "a", Revision: other.Revision, Value: []byte("4")}, true)
 	}},
-	{"a missing key in a new epoch is created once", func(t *testing.T, kv store.Store, st *stand.Stand) {
+	{"a missing key in a new epoch is created once", func(t *testing.T, kv store.Store, st *stand.Service) {
 		none := wantGet(t, kv, "a")
-		st.ComeBack(st.Backup())
+		st.RestoreInNewEpoch(st.Backup())
 		if kv.Epoch() == none.Revision.Epoch {
 			wantGet(t, kv, "b")
 		}
 		wantSwap(t, kv, store.Change{Key: "a", Revision: none.Revision, Value: []byte("1")}, false)
 		wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 	}},
-	{"a lease given out twice is held by the later owner only", func(t *testing.T, kv store.Store, st *stand.Stand) {
+	{"a lease given out twice is held by the later owner only", func(t *testing.T, kv store.Store, st *stand.Service) {
 		bk := st.Backup()
 		lost, err := kv.Grant(t.Context(), time.Minute)
 		if err != nil {
 			t.Fatal(err)
 		}
-		st.ComeBack(bk)
+		st.RestoreInNewEpoch(bk)
 		next, err := kv.Grant(t.Context(), time.Minute)
 		if err != nil || next.Number != lost.Number || next == lost {
 			t.Fatalf("Grant: %+v, %v; want number %d in a new epoch", next, err, lost.Number)
 		}
 		wantSwap(t, kv, store.Change{Key: "a", Lease: next}, true)
-		WantKind(t, kv.Renew(t.Context(), lost), store.Gone)
-		WantKind(t, kv.Revoke(t.Context(), lost), store.Gone)
+		WantKind(t, kv.Renew(t.Context(), lost), store.LeaseNotFound)
+		WantKind(t, kv.Revoke(t.Context(), lost), store.LeaseNotFound)
 		_, _, err = kv.Swap(t.Context(), store.Change{Key: "b", Lease: lost})
-		WantKind(t, err, store.Gone)
+		WantKind(t, err, store.LeaseNotFound)
 		if !wantGet(t, kv, "a").Revision.Exists() {
 			t.Error("the key of the later lease is gone")
 		}
 	}},
-	{"a lease of the copy goes on without its holder", func(t *testing.T, kv store.Store, st *stand.Stand) {
+	{"a lease of the copy goes on without its holder", func(t *testing.T, kv store.Store, st *stand.Service) {
 		id, err := kv.Grant(t.Context(), time.Minute)
 		if err != nil {
 			t.Fatal(err)
 		}
 		wantSwap(t, kv, store.Change{Key: "a", Lease: id}, true)
-		st.ComeBack(st.Backup())
+		st.RestoreInNewEpoch(st.Backup())
 		if !wantGet(t, kv, "a").Revision.Exists() {
 			t.Error("the key of the copy is gone")
 		}
-		WantKind(t, kv.Renew(t.Context(), id), store.Gone)
+		WantKind(t, kv.Renew(t.Context(), id), store.LeaseNotFound)
 	}},
-	{"a backup brings an older state", func(t *testing.T, kv store.Store, st *stand.Stand) {
+	{"a backup brings an older state", func(t *testing.T, kv store.Store, st *stand.Service) {
 		one := wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		bk := st.Backup()
 		two := wantSwap(t, kv, store.Change{Key: "a", Revision: one.Revision, Value: []byte("2")}, true)
@@ -294,7 +294,7 @@
 // WantKind fails the test unless err is of a kind.
 func WantKind(t *testing.T, err error, want store.Kind) {
 	t.Helper()
-	if !store.Is(err, want) {
+	if !store.IsKind(err, want) {
 		t.Errorf("error %v, want %s", err, want)
 	}
 }
--- a/internal/plat/memnet/memnet.go
+++ b/internal/plat/memnet/memnet.go
@@ -30,10 +30,10 @@
 // Host is one end point, named by its address.
 type Host struct {
 	Addr, Domain string
-	// In and Out count the bytes of all its connections; they go on with the
+	// BytesIn and Out count the bytes of all its connections; they go on with the
 	// address when a new process takes it.
-	In, Out atomic.Int64
-	ln      *listener
+	BytesIn, BytesOut atomic.Int64
+	ln                *listener
 }
 
 // New returns a network without hosts, whose latency is a millisecond.
@@ -45,9 +45,9 @@
 	}
 }
 
-// SetCut replaces which hosts cannot reach each other; nil cuts none. Bytes on
+// SetPartition replaces which hosts cannot reach each other; nil cuts none. Bytes on
 // their way wait for the cut to heal, as they do in TCP.
-func (nw *Network) SetCut(cut func(a, b *Host) bool) {
+func (nw *Network) SetPartition(cut func(a, b *Host) bool) {
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
 	if cut == nil {
@@ -80,8 +80,8 @@
 	defer nw.mu.Unlock()
 	if old := nw.hosts[addr]; old != nil {
 		// The counters go on with the address.
-		ho.In.Store(old.In.Load())
-		ho.Out.Store(old.Out.Load())
+		ho.BytesIn.Store(old.BytesIn.Load())
+		ho.BytesOut.Store(old.BytesOut.Load())
 	}
 	nw.hosts[addr] = ho
 	return ho, ho.ln
@@ -93,8 +93,8 @@
 	return nw.hosts[addr]
 }
 
-// Reset ends all connections of a host, as the death of its process does.
-func (nw *Network) Reset(ho *Host) {
+// CloseConns ends all connections of a host, as the death of its process does.
+func (nw *Network) CloseConns(ho *Host) {
 	nw.mu.Lock()
 	var list []*pipe
 	for pi := range nw.conns {
@@ -220,7 +220,7 @@
 		return 0, io.ErrClosedPipe
 	}
 	n := len(p)
-	pi.from.Out.Add(int64(n))
+	pi.from.BytesOut.Add(int64(n))
 	pi.nw.mu.Lock()
 	corrupt := pi.nw.corrupt
 	pi.nw.mu.Unlock()
@@ -271,7 +271,7 @@
 				pi.chunks = pi.chunks[1:]
 			}
 			pi.mu.Unlock()
-			pi.to.In.Add(int64(n))
+			pi.to.BytesIn.Add(int64(n))
 			return n, nil
 		case !cut && len(pi.chunks) > 0:
 			wait = pi.chunks[0].at.Sub(now)
--- a/internal/plat/remote/client.go
+++ b/internal/plat/remote/client.go
@@ -38,7 +38,7 @@
 		MaxIdleConnsPerHost: 4,
 		IdleConnTimeout:     time.Minute,
 	}}
-	do := func(req *http.Request) (*http.Response, error) { return dialer.DoFresh(hc, req) }
+	do := func(req *http.Request) (*http.Response, error) { return dialer.DoSkipStale(hc, req) }
 	return &Client{kv: kvpb.NewKeyValueClient(&stall.Client{HTTP: do, Timeout: CallTimeout}, "http://"+addr)}
 }
 
@@ -147,7 +147,7 @@
 	}
 	cl.sawEpoch(res.Epoch)
 	at := store.Revision{Epoch: store.Epoch(res.Epoch), Number: res.Revision}
-	return store.Listing{Changed: res.Changed, Items: cl.itemsOf(res.Items), At: at}, nil
+	return store.Listing{Changed: res.Changed, Items: cl.itemsOf(res.Items), Revision: at}, nil
 }
 
 func (cl *Client) grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
--- a/internal/plat/remote/contract_test.go
+++ b/internal/plat/remote/contract_test.go
@@ -16,7 +16,7 @@
 )
 
 // serve returns a client of a served stand-in.
-func serve(t *testing.T, st *stand.Stand) store.Store {
+func serve(t *testing.T, st *stand.Service) store.Store {
 	mux := http.NewServeMux()
 	mux.Handle(Handler(st.Store()))
 	sv := httptest.NewServer(mux)
@@ -27,10 +27,10 @@
 // TestContract runs the contract against the stand-in, against the client of a
 // served one, and against both behind a guard.
 func TestContract(t *testing.T) {
-	for name, open := range map[string]func(t *testing.T, st *stand.Stand) store.Store{
-		"stand":   func(_ *testing.T, st *stand.Stand) store.Store { return st.Store() },
+	for name, open := range map[string]func(t *testing.T, st *stand.Service) store.Store{
+		"stand":   func(_ *testing.T, st *stand.Service) store.Store { return st.Store() },
 		"remote":  serve,
-		"guarded": func(t *testing.T, st *stand.Stand) store.Store { return guard.New(serve(t, st)).Store() },
+		"guarded": func(t *testing.T, st *stand.Service) store.Store { return guard.New(serve(t, st)).Store() },
 	} {
 		t.Run(name, func(t *testing.T) { kvtest.Run(t, open) })
 	}
@@ -63,7 +63,7 @@
 	mux.Handle(Handler(stand.New().Store()))
 	sv := httptest.NewServer(mux)
 	t.Cleanup(sv.Close)
-	var le kvtest.LateEnd
+	var le kvtest.EOFDelayer
 	kv := newClient(strings.TrimPrefix(sv.URL, "http://"), func(_ context.Context, _, addr string) (net.Conn, error) { return le.Dial(addr) }).Store()
-	kvtest.EndedBeforeCall(t, kv, &le, sv.CloseClientConnections)
+	kvtest.ClosedBeforeCall(t, kv, &le, sv.CloseClientConnections)
 }
--- a/internal/plat/remote/handler.go
+++ b/internal/plat/remote/handler.go
@@ -14,11 +14,11 @@
 
 // kinds maps each kind of error to its code on the wire.
 var kinds = map[store.Kind]connect.Code{
-	store.Unavailable: connect.CodeUnavailable,
-	store.Unknown:     connect.CodeUnknown,
-	store.Limited:     connect.CodeResourceExhausted,
-	store.TooLarge:    connect.CodeInvalidArgument,
-	store.Gone:        connect.CodeNotFound,
+	store.Unavailable:   connect.CodeUnavailable,
+	store.Unknown:       connect.CodeUnknown,
+	store.RateLimited:   connect.CodeResourceExhausted,
+	store.TooLarge:      connect.CodeInvalidArgument,
+	store.LeaseNotFound: connect.CodeNotFound,
 }
 
 func kindOf(code connect.Code) store.Kind {
@@ -96,7 +96,7 @@
 		return nil, codeOf(err)
 	}
 	return connect.NewResponse(&kvpb.WatchAllResponse{
-		Changed: li.Changed, Items: itemsPB(li.Items), Revision: li.At.Number, Epoch: int64(li.At.Epoch),
+		Changed: li.Changed, Items: itemsPB(li.Items), Revision: li.Revision.Number, Epoch: int64(li.Revision.Epoch),
 	}), nil
 }
 
--- a/internal/plat/stall/stall.go
+++ b/internal/plat/stall/stall.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// MinRate is the rate in bytes a second at which a request body is taken to be sent at least.
+// MinSendRate is the rate in bytes a second at which a request body is taken to be sent at least.
 // What the system has taken into its buffers may still be on its way.
-const MinRate = 64 << 10
+const MinSendRate = 64 << 10
 
 // Client makes calls by HTTP.
 type Client struct {
@@ -20,8 +20,8 @@
 	// Timeout bounds the time to the head of the answer, besides that for sending the
 	// request, and then the time between any two pieces of the answer.
 	Timeout time.Duration
-	// Received, if set, is called after each piece of an answer.
-	Received func()
+	// OnReceive, if set, is called after each piece of an answer.
+	OnReceive func()
 }
 
 type headKey struct{}
@@ -53,7 +53,7 @@
 	if !ok {
 		head = cl.Timeout
 	}
-	sending := time.Duration(max(0, req.ContentLength)) * time.Second / MinRate
+	sending := time.Duration(max(0, req.ContentLength)) * time.Second / MinSendRate
 	timer := time.AfterFunc(head+sending, func() { cancel(errStalled) })
 	res, err := cl.HTTP(req.WithContext(ctx))
 	if err != nil {
@@ -88,8 +88,8 @@
 	bo.timer.Reset(bo.client.Timeout)
 	n, err := bo.ReadCloser.Read(p)
 	bo.timer.Stop()
-	if n > 0 && bo.client.Received != nil {
-		bo.client.Received()
+	if n > 0 && bo.client.OnReceive != nil {
+		bo.client.OnReceive()
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
 		err = cause(bo.ctx, err)
--- a/internal/plat/stand/stand.go
+++ b/internal/plat/stand/stand.go
@@ -27,9 +27,9 @@
 	Down bool
 	// Delay is how long each call takes besides.
 	Delay time.Duration
-	// LoseAnswers is how many of the next swaps take effect and then fail as
+	// LoseResponses is how many of the next swaps take effect and then fail as
 	// unknown.
-	LoseAnswers int
+	LoseResponses int
 }
 
 // Calls counts the calls made so far.
@@ -40,8 +40,8 @@
 // Total returns the sum of all calls.
 func (cl *Calls) Total() int64 { return cl.Reads.Load() + cl.Writes.Load() + cl.Watches.Load() }
 
-// Stand is the stand-in. Its methods may be called from any goroutine.
-type Stand struct {
+// Service is the stand-in. Its methods may be called from any goroutine.
+type Service struct {
 	Calls  Calls
 	reads  *rate.Limiter
 	writes *rate.Limiter
@@ -71,14 +71,14 @@
 }
 
 // at returns the entry of a key; st.mu is held.
-func (st *Stand) at(key string) store.Entry {
+func (st *Service) at(key string) store.Entry {
 	ent := st.entries[key]
 	return store.Entry{Value: ent.value, Revision: store.Revision{Epoch: st.epoch, Number: ent.number}}
 }
 
 // New returns an empty stand-in with the platform's rates.
-func New() *Stand {
-	return &Stand{
+func New() *Service {
+	return &Service{
 		reads:   rate.NewLimiter(ReadRate, ReadRate),
 		writes:  rate.NewLimiter(WriteRate, WriteRate),
 		entries: map[string]entry{},
@@ -90,7 +90,7 @@
 }
 
 // SetFaults replaces what goes wrong.
-func (st *Stand) SetFaults(fa Faults) {
+func (st *Service) SetFaults(fa Faults) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.faults = fa
@@ -106,7 +106,7 @@
 }
 
 // Backup returns a copy of the entries and leases.
-func (st *Stand) Backup() Backup {
+func (st *Service) Backup() Backup {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	bk := Backup{entries: maps.Clone(st.entries), leases: map[int64]time.Duration{}, nextID: st.nextID, rev: st.rev}
@@ -117,7 +117,7 @@
 }
 
 // Restore sets the entries back to those of a backup, without a new epoch.
-func (st *Stand) Restore(bk Backup) {
+func (st *Service) Restore(bk Backup) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.entries, st.rev = maps.Clone(bk.entries), bk.rev
@@ -126,17 +126,17 @@
 }
 
 // touchAll takes all entries for changed by their last writes; st.mu is held.
-func (st *Stand) touchAll() {
+func (st *Service) touchAll() {
 	clear(st.touched)
 	for key, ent := range st.entries {
 		st.touched[key] = ent.number
 	}
 }
 
-// ComeBack goes on from a backup in a new epoch: what was written since is gone, the
+// RestoreInNewEpoch goes on from a backup in a new epoch: what was written since is gone, the
 // leases of the backup begin anew, and the numbers of writes and leases are given out
 // again.
-func (st *Stand) ComeBack(bk Backup) {
+func (st *Service) RestoreInNewEpoch(bk Backup) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	for _, ls := range st.leases {
@@ -152,8 +152,8 @@
 	st.wake()
 }
 
-// LapseLeases ends all leases, as if their time had run out.
-func (st *Stand) LapseLeases() {
+// ExpireLeases ends all leases, as if their time had run out.
+func (st *Service) ExpireLeases() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	for id := range st.leases {
@@ -162,29 +162,29 @@
 }
 
 // Store returns the functions that clients call.
-func (st *Stand) Store() store.Store {
+func (st *Service) Store() store.Store {
 	return store.Store{
 		Get: st.get, List: st.list, Swap: st.swap, Watch: st.watch, WatchAll: st.watchAll,
 		Grant: st.grant, Renew: st.renew, Revoke: st.revoke, Epoch: st.Epoch,
 	}
 }
 
-// Newest returns the number of the newest write.
-func (st *Stand) Newest() int64 {
+// LatestRevision returns the number of the newest write.
+func (st *Service) LatestRevision() int64 {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.rev
 }
 
 // Epoch returns the epoch in which the stand-in is.
-func (st *Stand) Epoch() store.Epoch {
+func (st *Service) Epoch() store.Epoch {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.epoch
 }
 
 // admit waits as the faults say and refuses a call that may not have effect.
-func (st *Stand) admit(ctx context.Context, op, key string, count *atomic.Int64, lim *rate.Limiter) error {
+func (st *Service) admit(ctx context.Context, op, key string, count *atomic.Int64, lim *rate.Limiter) error {
 	count.Add(1)
 	st.mu.Lock()
 	fa := st.faults
@@ -200,12 +200,12 @@
 		return &store.Error{Kind: store.Unavailable, Op: op, Key: key}
 	}
 	if !lim.Allow() {
-		return &store.Error{Kind: store.Limited, Op: op, Key: key}
+		return &store.Error{Kind: store.RateLimited, Op: op, Key: key}
 	}
 	return nil
 }
 
-func (st *Stand) get(ctx context.Context, key string) (store.Entry, error) {
+func (st *Service) get(ctx context.Context, key string) (store.Entry, error) {
 	if err := st.admit(ctx, "get", key, &st.Calls.Reads, st.reads); err != nil {
 		return store.Entry{}, err
 	}
@@ -214,7 +214,7 @@
 	return st.at(key), nil
 }
 
-func (st *Stand) list(ctx context.Context, prefix string) ([]store.Item, error) {
+func (st *Service) list(ctx context.Context, prefix string) ([]store.Item, error) {
 	if err := st.admit(ctx, "list", prefix, &st.Calls.Reads, st.reads); err != nil {
 		return nil, err
 	}
@@ -224,7 +224,7 @@
 }
 
 // under returns the entries of all keys under a prefix; st.mu is held.
-func (st *Stand) under(prefix string) (items []store.Item) {
+func (st *Service) under(prefix string) (items []store.Item) {
 	for _, key := range slices.Sorted(maps.Keys(st.entries)) {
 		if strings.HasPrefix(key, prefix) {
 			items = append(items, store.Item{Key: key, Entry: st.at(key)})
@@ -234,7 +234,7 @@
 }
 
 // touchedAfter reports whether a key under a prefix changed after a write; st.mu is held.
-func (st *Stand) touchedAfter(prefix string, number int64) bool {
+func (st *Service) touchedAfter(prefix string, number int64) bool {
 	for key, n := range st.touched {
 		if n > number && strings.HasPrefix(key, prefix) {
 			return true
@@ -243,7 +243,7 @@
 	return false
 }
 
-func (st *Stand) watchAll(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Listing, error) {
+func (st *Service) watchAll(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Listing, error) {
 	if err := st.admit(ctx, "watch", prefix, &st.Calls.Watches, st.reads); err != nil {
 		return store.Listing{}, err
 	}
@@ -251,7 +251,7 @@
 	defer end.Stop()
 	for {
 		st.mu.Lock()
-		li := store.Listing{At: store.Revision{Epoch: st.epoch, Number: st.rev}}
+		li := store.Listing{Revision: store.Revision{Epoch: st.epoch, Number: st.rev}}
 		if after == (store.Revision{}) || after.Epoch != st.epoch || st.touchedAfter(prefix, after.Number) {
 			li.Changed, li.Items = true, st.under(prefix)
 		}
@@ -273,7 +273,7 @@
 	}
 }
 
-func (st *Stand) swap(ctx context.Context, ch store.Change) (bool, store.Entry, error) {
+func (st *Service) swap(ctx context.Context, ch store.Change) (bool, store.Entry, error) {
 	if len(ch.Value) > store.MaxValue {
 		return false, store.Entry{}, &store.Error{Kind: store.TooLarge, Op: "swap", Key: ch.Key}
 	}
@@ -283,11 +283,11 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	cur := st.at(ch.Key)
-	if !ch.Revision.Is(cur.Revision) {
+	if !ch.Revision.Matches(cur.Revision) {
 		return false, cur, nil
 	}
 	if ch.Lease != (store.LeaseID{}) && st.lease(ch.Lease) == nil {
-		return false, store.Entry{}, &store.Error{Kind: store.Gone, Op: "swap", Key: ch.Key}
+		return false, store.Entry{}, &store.Error{Kind: store.LeaseNotFound, Op: "swap", Key: ch.Key}
 	}
 	st.rev++
 	st.touched[ch.Key] = st.rev
@@ -297,22 +297,22 @@
 		st.entries[ch.Key] = entry{value: bytes.Clone(ch.Value), number: st.rev, lease: ch.Lease.Number}
 	}
 	st.wake()
-	if st.faults.LoseAnswers > 0 {
-		st.faults.LoseAnswers--
+	if st.faults.LoseResponses > 0 {
+		st.faults.LoseResponses--
 		return false, store.Entry{}, &store.Error{Kind: store.Unknown, Op: "swap", Key: ch.Key}
 	}
 	return true, st.at(ch.Key), nil
 }
 
 // lease returns a lease, nil where it has ended; st.mu is held.
-func (st *Stand) lease(id store.LeaseID) *lease {
+func (st *Service) lease(id store.LeaseID) *lease {
 	if id.Epoch != 0 && id.Epoch != st.epoch {
 		return nil
 	}
 	return st.leases[id.Number]
 }
 
-func (st *Stand) watch(ctx context.Context, key string, after store.Revision, wait time.Duration) (store.Entry, error) {
+func (st *Service) watch(ctx context.Context, key string, after store.Revision, wait time.Duration) (store.Entry, error) {
 	if err := st.admit(ctx, "watch", key, &st.Calls.Watches, st.reads); err != nil {
 		return store.Entry{}, err
 	}
@@ -325,7 +325,7 @@
 		if down {
 			return store.Entry{}, &store.Error{Kind: store.Unavailable, Op: "watch", Key: key}
 		}
-		if !after.Is(ent.Revision) {
+		if !after.Matches(ent.Revision) {
 			return ent, nil
 		}
 		select {
@@ -338,7 +338,7 @@
 	}
 }
 
-func (st *Stand) grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
+func (st *Service) grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
 	if err := st.admit(ctx, "grant", "", &st.Calls.Writes, st.writes); err != nil {
 		return store.LeaseID{}, err
 	}
@@ -350,7 +350,7 @@
 }
 
 // hold begins a lease; st.mu is held.
-func (st *Stand) hold(id int64, ttl time.Duration) {
+func (st *Service) hold(id int64, ttl time.Duration) {
 	ls := &lease{ttl: ttl}
 	ls.timer = time.AfterFunc(ttl, func() {
 		st.mu.Lock()
@@ -363,7 +363,7 @@
 	st.leases[id] = ls
 }
 
-func (st *Stand) renew(ctx context.Context, id store.LeaseID) error {
+func (st *Service) renew(ctx context.Context, id store.LeaseID) error {
 	if err := st.admit(ctx, "renew", "", &st.Calls.Writes, st.writes); err != nil {
 		return err
 	}
@@ -371,27 +371,27 @@
 	defer st.mu.Unlock()
 	ls := st.lease(id)
 	if ls == nil {
-		return &store.Error{Kind: store.Gone, Op: "renew"}
+		return &store.Error{Kind: store.LeaseNotFound, Op: "renew"}
 	}
 	ls.timer.Reset(ls.ttl)
 	return nil
 }
 
-func (st *Stand) revoke(ctx context.Context, id store.LeaseID) error {
+func (st *Service) revoke(ctx context.Context, id store.LeaseID) error {
 	if err := st.admit(ctx, "revoke", "", &st.Calls.Writes, st.writes); err != nil {
 		return err
 	}
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if st.lease(id) == nil {
-		return &store.Error{Kind: store.Gone, Op: "revoke"}
+		return &store.Error{Kind: store.LeaseNotFound, Op: "revoke"}
 	}
 	st.end(id.Number)
 	return nil
 }
 
 // end removes a lease and its keys; st.mu is held.
-func (st *Stand) end(id int64) {
+func (st *Service) end(id int64) {
 	ls := st.leases[id]
 	if ls == nil {
 		return
@@ -409,7 +409,7 @@
 }
 
 // wake lets all watches look again; st.mu is held.
-func (st *Stand) wake() {
+func (st *Service) wake() {
 	close(st.changed)
 	st.changed = make(chan struct{})
 }
--- a/internal/plat/store/store.go
+++ b/internal/plat/store/store.go
@@ -25,9 +25,9 @@
 // Exists reports whether the key existed.
 func (rv Revision) Exists() bool { return rv.Number != 0 }
 
-// Is reports whether a key at cur is still as it was at rv. A revision without an epoch
+// Matches reports whether a key at cur is still as it was at rv. A revision without an epoch
 // stands for its number in any.
-func (rv Revision) Is(cur Revision) bool {
+func (rv Revision) Matches(cur Revision) bool {
 	return rv.Number == cur.Number && (rv.Epoch == 0 || rv.Epoch == cur.Epoch)
 }
 
@@ -56,8 +56,8 @@
 	// empty.
 	Changed bool
 	Items   []Item
-	// At is the write up to which this holds.
-	At Revision
+	// Revision is the write up to which this holds.
+	Revision Revision
 }
 
 // Change is a compare-and-swap: it takes effect only while the key is still at
@@ -111,12 +111,12 @@
 	Unavailable Kind = iota + 1
 	// Unknown means that the call may have taken effect.
 	Unknown
-	// Limited means that the rate was exceeded and the call had no effect.
-	Limited
+	// RateLimited means that the rate was exceeded and the call had no effect.
+	RateLimited
 	// TooLarge means that the value is above MaxValue.
 	TooLarge
-	// Gone means that the lease has ended.
-	Gone
+	// LeaseNotFound means that the lease has ended.
+	LeaseNotFound
 )
 
 // String returns the kind in words.
@@ -126,11 +126,11 @@
 		return "unavailable"
 	case Unknown:
 		return "outcome unknown"
-	case Limited:
+	case RateLimited:
 		return "rate exceeded"
 	case TooLarge:
 		return "value too large"
-	case Gone:
+	case LeaseNotFound:
 		return "lease ended"
 	}
 	return fmt.Sprintf("Kind(%d)", int(kd))
@@ -156,8 +156,8 @@
 // Unwrap returns the cause.
 func (er *Error) Unwrap() error { return er.Err }
 
-// Is reports whether err is an *Error of kind kd.
-func Is(err error, kd Kind) bool {
+// Matches reports whether err is an *Error of kind kd.
+func IsKind(err error, kd Kind) bool {
 	var er *Error
 	return errors.As(err, &er) && er.Kind == kd
 }
--- a/internal/roll/canary/admit.go
+++ b/internal/roll/canary/admit.go
@@ -24,9 +24,9 @@
 	admitted map[string]bool
 }
 
-// Look takes how many servers of each version a service has. It returns the cohort of each,
+// Assign takes how many servers of each version a service has. It returns the cohort of each,
 // and when that changes if nothing else does, the zero time for never.
-func (ad *Admission) Look(service string, ro *Rollout, servers map[string]int, now time.Time) (cohorts map[string]Cohort, next time.Time) {
+func (ad *Admission) Assign(service string, ro *Rollout, servers map[string]int, now time.Time) (cohorts map[string]Cohort, next time.Time) {
 	if ad.services == nil {
 		ad.services = map[string]*versions{}
 	}
--- a/internal/roll/canary/canary.go
+++ b/internal/roll/canary/canary.go
@@ -52,15 +52,15 @@
 	State State
 	// Baseline lists the versions that served before.
 	Baseline []string
-	// Began is when the order was first seen.
-	Began time.Time
+	// StartedAt is when the order was first seen.
+	StartedAt time.Time
 	// Stored says that the state is what the store has.
 	Stored bool
 	// Share is the part of the requests, 0 to 1, that go to servers of the target until
 	// Until, and Servers how many of them take requests.
-	Share   float64
-	Servers int
-	Until   time.Time
+	Share      float64
+	Servers    int
+	ValidUntil time.Time
 	// Seq orders the decisions of one rollout.
 	Seq uint64
 }
@@ -71,7 +71,7 @@
 
 // ShareAt returns the part of the requests that go to servers of the target at a moment.
 func (ro *Rollout) ShareAt(now time.Time) float64 {
-	if ro.State != InProgress || !now.Before(ro.Until) {
+	if ro.State != InProgress || !now.Before(ro.ValidUntil) {
 		return 0
 	}
 	return ro.Share
@@ -105,8 +105,8 @@
 	rollouts map[string]*Rollout
 }
 
-// Of returns the newest rollout of a service, nil for none.
-func (vw *View) Of(service string) *Rollout {
+// Get returns the newest rollout of a service, nil for none.
+func (vw *View) Get(service string) *Rollout {
 	if vw == nil {
 		return nil
 	}
@@ -136,7 +136,7 @@
 
 // Merge returns the view with a statement in it, and whether that was news.
 func (vw *View) Merge(ro *Rollout) (next *View, news bool) {
-	cur := vw.Of(ro.Order.Service)
+	cur := vw.Get(ro.Order.Service)
 	if cur != nil && compare(ro, cur) <= 0 || vw != nil && cur == nil && len(vw.rollouts) >= maxServices {
 		return vw, false
 	}
--- a/internal/roll/canary/canary_test.go
+++ b/internal/roll/canary/canary_test.go
@@ -40,8 +40,8 @@
 				for _, ro := range order {
 					vw, _ = vw.Merge(ro)
 				}
-				if vw.Of("s") != now {
-					t.Errorf("kept %+v, want %+v", vw.Of("s"), now)
+				if vw.Get("s") != now {
+					t.Errorf("kept %+v, want %+v", vw.Get("s"), now)
 				}
 			}
 		})
@@ -62,7 +62,7 @@
 			for _, ro := range list {
 				vw, _ = vw.Merge(ro)
 			}
-			return vw.Of("s")
+			return vw.Get("s")
 		}
 		if a, b := merge(list), merge(rapid.Permutation(list).Draw(t, "permutation")); compare(a, b) != 0 {
 			t.Fatalf("%+v and %+v", a, b)
@@ -72,7 +72,7 @@
 
 func TestShareAt(t *testing.T) {
 	now := time.Now()
-	ro := Rollout{State: InProgress, Share: 0.2, Until: now.Add(TTL)}
+	ro := Rollout{State: InProgress, Share: 0.2, ValidUntil: now.Add(TTL)}
 	if got := ro.ShareAt(now); got != 0.2 {
 		t.Errorf("share %v", got)
 	}
@@ -171,7 +171,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			var ad Admission
 			for i, lk := range tc.looks {
-				got, next := ad.Look("s", lk.ro, lk.servers, start.Add(lk.after))
+				got, next := ad.Assign("s", lk.ro, lk.servers, start.Add(lk.after))
 				wantNext := time.Time{}
 				if lk.next > 0 {
 					wantNext = start.Add(lk.next)
--- a/internal/roll/judge/judge.go
+++ b/internal/roll/judge/judge.go
@@ -14,7 +14,7 @@
 	duration time.Duration
 	servers  map[serverKey]*server
 	// sums are the counts of the last look.
-	sums map[string]tally.Sum
+	sums map[string]tally.Cohorts
 	// times are the looks whose counts are kept, the starts of the windows.
 	times []time.Duration
 	// requests is how many the target has run, all how many the service has since the
@@ -33,15 +33,15 @@
 // server is what is known of a backend server.
 type server struct {
 	target bool
-	seen   map[string]tally.Row
+	seen   map[string]tally.Counts
 	routes map[string]*series
 }
 
 // series has the counts of a server on one route: all of them, and those that it had at each
 // of the judge's times.
 type series struct {
-	total tally.Row
-	marks []tally.Row
+	total tally.Counts
+	marks []tally.Counts
 }
 
 // New returns a judge of a rollout.
@@ -49,9 +49,9 @@
 	return &Judge{target: target, duration: duration, servers: map[serverKey]*server{}}
 }
 
-// Look takes what the servers of the service did by failure domain, some time after the
+// Observe takes what the servers of the service did by failure domain, some time after the
 // order. Failure domains that are not heard are left out.
-func (ju *Judge) Look(elapsed time.Duration, sums map[string]tally.Sum) {
+func (ju *Judge) Observe(elapsed time.Duration, sums map[string]tally.Cohorts) {
 	for domain, sum := range sums {
 		for software, list := range sum {
 			for i, ch := range list {
@@ -80,10 +80,10 @@
 // update adds what a server counted since it was seen last. What servers of other versions did
 // before that was at another load; a judge that takes over needs some of it, as there may be
 // no time left for enough requests.
-func (ju *Judge) update(key serverKey, routes map[string]*tally.Row, elapsed time.Duration) {
+func (ju *Judge) update(key serverKey, routes map[string]*tally.Counts, elapsed time.Duration) {
 	sr := ju.servers[key]
 	if sr == nil {
-		sr = &server{target: key.software == ju.target, seen: map[string]tally.Row{}, routes: map[string]*series{}}
+		sr = &server{target: key.software == ju.target, seen: map[string]tally.Counts{}, routes: map[string]*series{}}
 		ju.servers[key] = sr
 		for name, ro := range routes {
 			if sr.target {
@@ -104,7 +104,7 @@
 			continue
 		}
 		if sr.routes[name] == nil {
-			sr.routes[name] = &series{marks: make([]tally.Row, len(ju.times))}
+			sr.routes[name] = &series{marks: make([]tally.Counts, len(ju.times))}
 		}
 		sr.routes[name].total.Add(&next)
 		ju.all += next.Requests
@@ -146,9 +146,9 @@
 	// those take them.
 	Share   float64
 	Servers int
-	// Against is the evidence against the target, and Cause what it comes from. Requests is
+	// Evidence is the evidence against the target, and Cause what it comes from. Requests is
 	// how many the target has run.
-	Against  float64
+	Evidence float64
 	Cause    Cause
 	Requests uint64
 }
--- a/internal/roll/judge/model.go
+++ b/internal/roll/judge/model.go
@@ -24,7 +24,7 @@
 	healthy [][]int
 	bad     [][][]int
 	// logLikes sets the log likelihood of counts at the first points, up to what all share.
-	logLikes func(list []float64, ro *tally.Row)
+	logLikes func(list []float64, ro *tally.Counts)
 }
 
 // newMeasure returns a measure without logLikes. Levels are those of healthy servers; bad
@@ -90,7 +90,7 @@
 	for i, hazard := range me.points {
 		logs[i] = math.Log(-math.Expm1(-hazard))
 	}
-	me.logLikes = func(list []float64, ro *tally.Row) {
+	me.logLikes = func(list []float64, ro *tally.Counts) {
 		weight := min(1, maxWeight/float64(ro.Requests))
 		failed, answered := weight*float64(ro.Failures), weight*float64(ro.Requests-ro.Failures)
 		for i := range list {
@@ -133,7 +133,7 @@
 // around returns the measure of service times around a mean logarithm, with the variance of
 // those of a single server.
 func (me measure) around(mean, variance float64) *measure {
-	me.logLikes = func(list []float64, ro *tally.Row) {
+	me.logLikes = func(list []float64, ro *tally.Counts) {
 		if ro.Timed == 0 {
 			return
 		}
@@ -148,13 +148,13 @@
 }
 
 // meanLog returns the mean logarithm of the service times in doublings.
-func meanLog(ro *tally.Row) float64 {
-	return float64(ro.Logs) / float64(ro.Timed) / tally.PerDoubling
+func meanLog(ro *tally.Counts) float64 {
+	return float64(ro.LogSum) / float64(ro.Timed) / tally.PerDoubling
 }
 
 // observation is what a server did before a window and within it.
 type observation struct {
-	before, within tally.Row
+	before, within tally.Counts
 }
 
 // fits are the likelihoods of one observation.
@@ -165,7 +165,7 @@
 }
 
 // likes sets the likelihoods of counts at the first points, beside that of the best one.
-func (me *measure) likes(list []float64, ro *tally.Row) {
+func (me *measure) likes(list []float64, ro *tally.Counts) {
 	clear(list)
 	me.logLikes(list, ro)
 	top := slices.Max(list)
--- a/internal/roll/judge/model_test.go
+++ b/internal/roll/judge/model_test.go
@@ -14,13 +14,13 @@
 
 // failed returns the counts of a server that failed some of its requests.
 func failed(failures, requests uint64) observation {
-	return observation{within: tally.Row{Requests: requests, Failures: failures}}
+	return observation{within: tally.Counts{Requests: requests, Failures: failures}}
 }
 
 // times returns the counts of a server whose requests all took as long.
 func times(held time.Duration, requests uint64) observation {
 	lg := tally.Log(held)
-	return observation{within: tally.Row{Requests: requests, Timed: requests, Logs: lg * requests, Squares: lg * lg * requests}}
+	return observation{within: tally.Counts{Requests: requests, Timed: requests, LogSum: lg * requests, LogSquareSum: lg * lg * requests}}
 }
 
 // after returns the counts with what the server did before.
@@ -99,11 +99,11 @@
 
 // TestEvidenceIsFinite guards against counts that make the evidence overflow.
 func TestEvidenceIsFinite(t *testing.T) {
-	row := rapid.Custom(func(t *rapid.T) tally.Row {
+	row := rapid.Custom(func(t *rapid.T) tally.Counts {
 		n := rapid.Uint64Range(0, 1<<40).Draw(t, "requests")
 		timed := rapid.Uint64Range(0, n).Draw(t, "timed")
 		lg := rapid.Uint64Range(0, 600).Draw(t, "log")
-		return tally.Row{Requests: n, Failures: rapid.Uint64Range(0, n).Draw(t, "failures"), Timed: timed, Logs: lg * timed, Squares: lg * lg * timed}
+		return tally.Counts{Requests: n, Failures: rapid.Uint64Range(0, n).Draw(t, "failures"), Timed: timed, LogSum: lg * timed, LogSquareSum: lg * lg * timed}
 	})
 	list := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) observation {
 		ob := observation{before: row.Draw(t, "before"), within: row.Draw(t, "within")}
@@ -143,23 +143,23 @@
 			var de Decision
 			requests := 0
 			for now := time.Duration(0); now < 10*time.Second && !de.State.Final(); now += 250 * time.Millisecond {
-				sum := tally.Sum{}
+				sum := tally.Cohorts{}
 				for i := range counters {
 					requests++
 					counters[i].Add("", tc.failing > 0 && (requests+requests/len(counters))%tc.failing == 0, 100*time.Millisecond)
-					sum.Add("v2", &tally.Cohort{VM: fmt.Sprint("a-", i), Servers: 1, Routes: counters[i].Rows()})
+					sum.Add("v2", &tally.Cohort{VM: fmt.Sprint("a-", i), Servers: 1, Routes: counters[i].Snapshot()})
 				}
 				if now < tc.heardUntil {
 					for range 10 {
 						old.Add("", false, 100*time.Millisecond)
 					}
-					sum.Add("v1", &tally.Cohort{VM: "b-1", Servers: 1, Running: 1, Routes: old.Rows()})
+					sum.Add("v1", &tally.Cohort{VM: "b-1", Servers: 1, Running: 1, Routes: old.Snapshot()})
 				}
-				ju.Look(now, map[string]tally.Sum{"a": sum})
+				ju.Observe(now, map[string]tally.Cohorts{"a": sum})
 				de = ramp.Step(now, ju)
 			}
 			if de.State != tc.want {
-				t.Errorf("the rollout ended as %s, evidence %.1f; want %s", de.State, de.Against, tc.want)
+				t.Errorf("the rollout ended as %s, evidence %.1f; want %s", de.State, de.Evidence, tc.want)
 			}
 		})
 	}
@@ -171,7 +171,7 @@
 	co := &tally.Counter{}
 	for now := time.Duration(0); now < time.Hour; now += 250 * time.Millisecond {
 		co.Add("", false, 100*time.Millisecond)
-		ju.Look(now, map[string]tally.Sum{"a": {"v1": {{Servers: 1, Routes: co.Rows()}}}})
+		ju.Observe(now, map[string]tally.Cohorts{"a": {"v1": {{Servers: 1, Routes: co.Snapshot()}}}})
 	}
 	if n := len(ju.times); n > 40 {
 		t.Errorf("%d times are kept", n)
@@ -192,7 +192,7 @@
 		old.Add("", false, 20*time.Millisecond)
 	}
 	for at := time.Duration(0); at < 6*time.Second; at += 250 * time.Millisecond {
-		ju.Look(at, map[string]tally.Sum{"a": {"v1": {{VM: "a-1", Servers: 1, Routes: old.Rows()}}, "v2": {{VM: "a-2", Servers: 1, Routes: now.Rows()}}}})
+		ju.Observe(at, map[string]tally.Cohorts{"a": {"v1": {{VM: "a-1", Servers: 1, Routes: old.Snapshot()}}, "v2": {{VM: "a-2", Servers: 1, Routes: now.Snapshot()}}}})
 		for range 10 {
 			old.Add("", false, 200*time.Millisecond)
 			now.Add("", false, 200*time.Millisecond)
@@ -212,7 +212,7 @@
 	ju := New("v2", 10*time.Second)
 	var old, now tally.Counter
 	for at := time.Duration(0); at < 4*time.Second; at += 250 * time.Millisecond {
-		ju.Look(at, map[string]tally.Sum{"a": {"v1": {{VM: "a-1", Servers: 1, Routes: old.Rows()}}, "v2": {{VM: "a-2", Servers: 1, Routes: now.Rows()}}}})
+		ju.Observe(at, map[string]tally.Cohorts{"a": {"v1": {{VM: "a-1", Servers: 1, Routes: old.Snapshot()}}, "v2": {{VM: "a-2", Servers: 1, Routes: now.Snapshot()}}}})
 		for range 5 {
 			old.Add("often", false, 200*time.Millisecond)
 			now.Add("often", false, 200*time.Millisecond)
@@ -232,7 +232,7 @@
 	for now := time.Duration(0); now < 8*time.Second; now += simStep {
 		wo.serve(&rs, now, wo.rate, 0.04, firstServers, 0)
 		if now%tallyEvery == 0 {
-			ju.Look(now, wo.sums())
+			ju.Observe(now, wo.sums())
 		}
 	}
 	b.ReportAllocs()
--- a/internal/roll/judge/ramp.go
+++ b/internal/roll/judge/ramp.go
@@ -97,10 +97,10 @@
 		de.Servers = max(firstServers, int(math.Ceil(2*watchShare*float64(targets))))
 	}
 	var compared bool
-	de.Against, de.Cause, compared = ju.against()
-	accepted := compared && (de.Against < acceptBelowFew || de.Against < acceptBelow && targets >= fewServers)
+	de.Evidence, de.Cause, compared = ju.against()
+	accepted := compared && (de.Evidence < acceptBelowFew || de.Evidence < acceptBelow && targets >= fewServers)
 	switch {
-	case de.Against >= rejectAbove, ra.doubt(elapsed, compared && de.Against >= doubtAbove) >= doubtTime && ju.requests >= doubtRequests:
+	case de.Evidence >= rejectAbove, ra.doubt(elapsed, compared && de.Evidence >= doubtAbove) >= doubtTime && ju.requests >= doubtRequests:
 		de.State = canary.RolledBack
 		return de
 	case part >= lastRamp && ra.step == 0, part >= endAt && ra.step < len(rampShares):
--- a/internal/roll/judge/sim_test.go
+++ b/internal/roll/judge/sim_test.go
@@ -121,16 +121,16 @@
 			wo.restartAt = wo.restartAt[1:]
 			ju, ramp = New("v2", wo.duration), Resume(share)
 		}
-		var seen map[string]tally.Sum
+		var seen map[string]tally.Cohorts
 		for len(history) > 0 && history[0].at <= now-tallyLag {
 			seen, history = history[0].sums, history[1:]
 		}
 		if now >= wo.cutAt && now < wo.cutAt+wo.cutFor {
 			delete(seen, wo.cut)
 		}
-		ju.Look(now, seen)
+		ju.Observe(now, seen)
 		de := ramp.Step(now, ju)
-		rs.against = de.Against
+		rs.against = de.Evidence
 		if de.State.Final() {
 			rs.state, rs.at = de.State, now
 			de.Share = 0
@@ -151,7 +151,7 @@
 
 type snapshot struct {
 	at   time.Duration
-	sums map[string]tally.Sum
+	sums map[string]tally.Cohorts
 }
 
 // serve plays the requests of one step and returns how many answers of the target were bad.
@@ -221,13 +221,13 @@
 }
 
 // sums returns what the servers have counted, by failure domain.
-func (wo *simWorld) sums() map[string]tally.Sum {
-	sums := map[string]tally.Sum{}
+func (wo *simWorld) sums() map[string]tally.Cohorts {
+	sums := map[string]tally.Cohorts{}
 	for _, sr := range wo.servers {
 		if sums[sr.domain] == nil {
-			sums[sr.domain] = tally.Sum{}
+			sums[sr.domain] = tally.Cohorts{}
 		}
-		sums[sr.domain].Add(sr.software, &tally.Cohort{Servers: 1, Routes: sr.counter.Rows()})
+		sums[sr.domain].Add(sr.software, &tally.Cohort{Servers: 1, Routes: sr.counter.Snapshot()})
 	}
 	return sums
 }
--- a/internal/roll/judge/windows.go
+++ b/internal/roll/judge/windows.go
@@ -91,7 +91,7 @@
 // answersAlone reports whether the target, with no other version to compare it with or to go
 // back to, answers nearly all requests. Others may serve behind a cut, so it has to.
 func (ju *Judge) answersAlone() bool {
-	var all tally.Row
+	var all tally.Counts
 	for _, sr := range ju.servers {
 		for _, se := range sr.routes {
 			all.Add(&se.total)
@@ -116,7 +116,7 @@
 // suspected returns the measures by which the target looks worse than the better ones of the
 // others. By the rest it would be taken for good.
 func suspected(others, targets []observation) (list []*measure) {
-	var target tally.Row
+	var target tally.Counts
 	for i := range targets {
 		target.Add(&targets[i].within)
 	}
@@ -151,9 +151,9 @@
 		if ro.Timed == 0 {
 			continue
 		}
-		mean := float64(ro.Logs) / float64(ro.Timed)
+		mean := float64(ro.LogSum) / float64(ro.Timed)
 		means += mean
-		spread += float64(ro.Squares) - mean*float64(ro.Logs)
+		spread += float64(ro.LogSquareSum) - mean*float64(ro.LogSum)
 		n++
 	}
 	if n == 0 {
@@ -185,7 +185,7 @@
 // means returns the mean logarithm of the service times of the others by route, in units of
 // the counts, so that the routes of a server can be added up.
 func (ju *Judge) means() map[string]uint64 {
-	sums := map[string]tally.Row{}
+	sums := map[string]tally.Counts{}
 	for _, sr := range ju.servers {
 		for name, se := range sr.routes {
 			if !sr.target {
@@ -198,7 +198,7 @@
 	means := map[string]uint64{}
 	for name, all := range sums {
 		if all.Timed > 0 {
-			means[name] = all.Logs / all.Timed
+			means[name] = all.LogSum / all.Timed
 		}
 	}
 	return means
@@ -212,7 +212,7 @@
 	for _, sr := range ju.servers {
 		var ob observation
 		for name, se := range sr.routes {
-			within, before := se.total, tally.Row{}
+			within, before := se.total, tally.Counts{}
 			if start >= 0 {
 				before = se.marks[start]
 				within, _ = se.total.Since(&before)
@@ -246,13 +246,13 @@
 
 // shift returns a row with its logarithms moved so that a mean lies at the origin. Without a
 // mean that is known the times cannot be compared, and are left out.
-func shift(ro tally.Row, mean uint64, known bool) tally.Row {
+func shift(ro tally.Counts, mean uint64, known bool) tally.Counts {
 	if !known {
-		return tally.Row{Requests: ro.Requests, Failures: ro.Failures}
+		return tally.Counts{Requests: ro.Requests, Failures: ro.Failures}
 	}
 	by := origin - mean
-	ro.Squares += 2*by*ro.Logs + by*by*ro.Timed
-	ro.Logs += by * ro.Timed
+	ro.LogSquareSum += 2*by*ro.LogSum + by*by*ro.Timed
+	ro.LogSum += by * ro.Timed
 	return ro
 }
 
--- a/internal/roll/order/order.go
+++ b/internal/roll/order/order.go
@@ -49,8 +49,8 @@
 // Key returns the key of the order.
 func (or *Order) Key() string { return Prefix + or.Service }
 
-// Read reads the order under a key.
-func Read(key string, value []byte) (canary.Order, error) {
+// Decode reads the order under a key.
+func Decode(key string, value []byte) (canary.Order, error) {
 	var or Order
 	if err := json.Unmarshal(value, &or); err != nil {
 		return canary.Order{}, fmt.Errorf("%s: %w", key, err)
--- a/internal/roll/order/order_test.go
+++ b/internal/roll/order/order_test.go
@@ -23,7 +23,7 @@
 		{"a day and more", "rollout/booking", `{"service":"booking","target":"v2","duration-ms":86400001}`, false},
 		{"a service with a slash", "rollout/a/b", `{"service":"a/b","target":"v2","duration-ms":12000}`, false},
 	} {
-		or, err := Read(tc.key, []byte(tc.value))
+		or, err := Decode(tc.key, []byte(tc.value))
 		if (err == nil) != tc.ok || tc.ok && (or.Target != "v2" || or.Duration != 12*time.Second) {
 			t.Errorf("%s: %+v, %v", tc.name, or, err)
 		}
--- a/internal/roll/tally/tally.go
+++ b/internal/roll/tally/tally.go
@@ -10,48 +10,48 @@
 // PerDoubling is how many units of logarithm a doubling of a service time is.
 const PerDoubling = 16
 
-// Row counts the requests of one route. Only its methods and those of Counter change it.
-type Row struct {
+// Counts counts the requests of one route. Only its methods and those of Counter change it.
+type Counts struct {
 	Requests, Failures uint64
 	// Timed counts the requests whose service time is known, the time for which they held
 	// a slot. Logs adds up the logarithms of these times from a microsecond on, and
 	// Squares their squares, so that rows of several moments can be added and subtracted.
-	Timed, Logs, Squares uint64
+	Timed, LogSum, LogSquareSum uint64
 }
 
 // Add adds the counts of other.
-func (ro *Row) Add(other *Row) {
+func (ro *Counts) Add(other *Counts) {
 	ro.Requests += other.Requests
 	ro.Failures += other.Failures
 	ro.Timed += other.Timed
-	ro.Logs += other.Logs
-	ro.Squares += other.Squares
+	ro.LogSum += other.LogSum
+	ro.LogSquareSum += other.LogSquareSum
 }
 
 // Since returns what was counted after an earlier state of the row. It reports whether that
 // was an earlier state: the counts of a process that was replaced begin anew.
-func (ro *Row) Since(before *Row) (Row, bool) {
-	next := Row{
+func (ro *Counts) Since(before *Counts) (Counts, bool) {
+	next := Counts{
 		Requests: ro.Requests - before.Requests, Failures: ro.Failures - before.Failures,
-		Timed: ro.Timed - before.Timed, Logs: ro.Logs - before.Logs, Squares: ro.Squares - before.Squares,
+		Timed: ro.Timed - before.Timed, LogSum: ro.LogSum - before.LogSum, LogSquareSum: ro.LogSquareSum - before.LogSquareSum,
 	}
 	ok := ro.Requests >= before.Requests && ro.Failures >= before.Failures &&
-		ro.Timed >= before.Timed && ro.Logs >= before.Logs && ro.Squares >= before.Squares
+		ro.Timed >= before.Timed && ro.LogSum >= before.LogSum && ro.LogSquareSum >= before.LogSquareSum
 	return next, ok
 }
 
 // Scaled returns the row as if it had so many requests, if it has more.
-func (ro *Row) Scaled(requests uint64) Row {
+func (ro *Counts) Scaled(requests uint64) Counts {
 	if ro.Requests <= requests {
 		return *ro
 	}
 	part := float64(requests) / float64(ro.Requests)
 	scale := func(n uint64) uint64 { return uint64(math.Round(part * float64(n))) }
-	next := Row{Requests: requests, Failures: scale(ro.Failures), Timed: scale(ro.Timed)}
+	next := Counts{Requests: requests, Failures: scale(ro.Failures), Timed: scale(ro.Timed)}
 	if ro.Timed > 0 {
 		// By the rounded number, so that the mean stays.
 		part = float64(next.Timed) / float64(ro.Timed)
-		next.Logs, next.Squares = scale(ro.Logs), scale(ro.Squares)
+		next.LogSum, next.LogSquareSum = scale(ro.LogSum), scale(ro.LogSquareSum)
 	}
 	return next
 }
@@ -91,14 +91,14 @@
 	}
 }
 
-// Rows returns the counts by route.
-func (co *Counter) Rows() map[string]*Row {
-	rows := map[string]*Row{}
+// Snapshot returns the counts by route.
+func (co *Counter) Snapshot() map[string]*Counts {
+	rows := map[string]*Counts{}
 	co.routes.Range(func(key, value any) bool {
 		ce := value.(*cells)
-		rows[key.(string)] = &Row{
+		rows[key.(string)] = &Counts{
 			Requests: ce.requests.Load(), Failures: ce.failures.Load(),
-			Timed: ce.timed.Load(), Logs: ce.logs.Load(), Squares: ce.squares.Load(),
+			Timed: ce.timed.Load(), LogSum: ce.logs.Load(), LogSquareSum: ce.squares.Load(),
 		}
 		return true
 	})
@@ -111,11 +111,11 @@
 	VM string
 	// Servers is how many there are, Running how many requests they run at the moment.
 	Servers, Running int
-	Routes           map[string]*Row
+	Routes           map[string]*Counts
 }
 
-// Sum is what the servers of a service in one failure domain did, by software version.
-type Sum map[string][]*Cohort
+// Cohorts is what the servers of a service in one failure domain did, by software version.
+type Cohorts map[string][]*Cohort
 
 // Add adds a cohort of a version.
-func (su Sum) Add(software string, ch *Cohort) { su[software] = append(su[software], ch) }
+func (su Cohorts) Add(software string, ch *Cohort) { su[software] = append(su[software], ch) }
--- a/internal/roll/tally/tally_test.go
+++ b/internal/roll/tally/tally_test.go
@@ -40,23 +40,23 @@
 		})
 	}
 	wg.Wait()
-	rows := co.Rows()
+	rows := co.Snapshot()
 	lg := Log(3 * time.Millisecond)
-	if a, want := *rows["a"], (Row{400, 40, 400, 400 * lg, 400 * lg * lg}); a != want {
+	if a, want := *rows["a"], (Counts{400, 40, 400, 400 * lg, 400 * lg * lg}); a != want {
 		t.Errorf("a: %+v, want %+v", a, want)
 	}
-	if b, want := *rows["b"], (Row{Requests: 400}); b != want {
+	if b, want := *rows["b"], (Counts{Requests: 400}); b != want {
 		t.Errorf("b: %+v, want %+v", b, want)
 	}
 }
 
 // TestSince guards against counts that seem to go back as a process is replaced.
 func TestSince(t *testing.T) {
-	one, two := Row{5, 1, 5, 20, 80}, Row{9, 1, 8, 32, 130}
-	if got, ok := two.Since(&one); !ok || got != (Row{4, 0, 3, 12, 50}) {
+	one, two := Counts{5, 1, 5, 20, 80}, Counts{9, 1, 8, 32, 130}
+	if got, ok := two.Since(&one); !ok || got != (Counts{4, 0, 3, 12, 50}) {
 		t.Errorf("Since = %+v, %t", got, ok)
 	}
-	for _, before := range []Row{{10, 1, 8, 32, 130}, {9, 2, 8, 32, 130}, {9, 1, 9, 32, 130}, {9, 1, 8, 33, 130}, {9, 1, 8, 32, 131}} {
+	for _, before := range []Counts{{10, 1, 8, 32, 130}, {9, 2, 8, 32, 130}, {9, 1, 9, 32, 130}, {9, 1, 8, 33, 130}, {9, 1, 8, 32, 131}} {
 		if _, ok := two.Since(&before); ok {
 			t.Errorf("%+v counts as earlier", before)
 		}
@@ -72,11 +72,11 @@
 }
 
 func TestScaled(t *testing.T) {
-	for _, tc := range []struct{ row, want Row }{
-		{Row{}, Row{}},
-		{Row{20, 3, 18, 180, 1800}, Row{20, 3, 18, 180, 1800}},
-		{Row{2000, 100, 1000, 300_000, 90_000_000}, Row{20, 1, 10, 3000, 900_000}},
-		{Row{2000, 1, 3, 900, 270_000}, Row{20, 0, 0, 0, 0}},
+	for _, tc := range []struct{ row, want Counts }{
+		{Counts{}, Counts{}},
+		{Counts{20, 3, 18, 180, 1800}, Counts{20, 3, 18, 180, 1800}},
+		{Counts{2000, 100, 1000, 300_000, 90_000_000}, Counts{20, 1, 10, 3000, 900_000}},
+		{Counts{2000, 1, 3, 900, 270_000}, Counts{20, 0, 0, 0, 0}},
 	} {
 		if got := tc.row.Scaled(20); got != tc.want {
 			t.Errorf("%+v scaled is %+v, want %+v", tc.row, got, tc.want)
--- a/internal/stat/acct/acct.go
+++ b/internal/stat/acct/acct.go
@@ -21,12 +21,12 @@
 	Routes []*Route  `json:"routes"`
 	// Windows divide the span into pieces of equal length.
 	Windows []*Window `json:"windows"`
-	// LeftOut counts lines that the daemons left out by their own bounds: with any,
+	// DroppedLines counts lines that the daemons left out by their own bounds: with any,
 	// all counts here are lower limits.
-	LeftOut int `json:"left-out-lines"`
+	DroppedLines int `json:"left-out-lines"`
 	// Fleet is what the daemons took and sent, nil where no log tells.
 	Fleet *Fleet `json:"fleet,omitempty"`
-	trail.Passed
+	trail.Skipped
 }
 
 // Route sums up the requests of one route.
@@ -34,27 +34,27 @@
 	Name    string `json:"name"`
 	Service string `json:"service"`
 	Count
-	// Back counts the further tries of callers that came back, Again the attempts
+	// CallerRetries counts the further tries of callers that came back, Again the attempts
 	// beyond the first of each request.
-	Back  int `json:"back"`
-	Again int `json:"again"`
+	CallerRetries int `json:"back"`
+	Retries       int `json:"again"`
 	// Reasons counts what was refused or failed, by outcome and reason.
 	Reasons map[string]int `json:"reasons"`
-	// BesideFree counts refusals for want of room while a server of the service had a
+	// AvoidableRefusals counts refusals for want of room while a server of the service had a
 	// free slot, as far as the answers of the logs tell.
-	BesideFree int `json:"beside-free"`
-	// NotReached counts the failures of requests that, as their inlets tell, no backend
+	AvoidableRefusals int `json:"beside-free"`
+	// NotDelivered counts the failures of requests that, as their inlets tell, no backend
 	// server got: their callers may not send again what may run only once.
-	NotReached int `json:"not-reached"`
-	// ByCall counts the requests that failed after a call made for them had failed, by
+	NotDelivered int `json:"not-reached"`
+	// FailedCalls counts the requests that failed after a call made for them had failed, by
 	// the route of the call.
-	ByCall map[string]int `json:"by-call"`
-	// Before is how long callers had been at a request before it came; Wait and Held
+	FailedCalls map[string]int `json:"by-call"`
+	// Elapsed is how long callers had been at a request before it came; Wait and Held
 	// are for a slot and in it; Took is all the time at the outlet. Of answered ones.
-	Before Times `json:"before"`
-	Wait   Times `json:"wait"`
-	Held   Times `json:"held"`
-	Took   Times `json:"took"`
+	Elapsed     Quantiles `json:"before"`
+	Wait        Quantiles `json:"wait"`
+	ServiceTime Quantiles `json:"held"`
+	Took        Quantiles `json:"took"`
 }
 
 // Count tells apart how requests ended.
@@ -71,10 +71,10 @@
 	Count
 }
 
-// Times are quantiles, in nanoseconds.
-type Times struct {
-	Middle time.Duration `json:"middle"`
-	Ninth  time.Duration `json:"nine-in-ten"`
+// Quantiles are quantiles, in nanoseconds.
+type Quantiles struct {
+	Median time.Duration `json:"middle"`
+	P90    time.Duration `json:"nine-in-ten"`
 }
 
 // windowLength is the length of a window: long enough for some hundred requests of a
@@ -90,18 +90,18 @@
 	fleet   processes
 	// notRun counts, for each request, the tries that inlets did not hand over.
 	notRun map[string]int
-	trail.Passed
+	trail.Skipped
 }
 
-// Read adds the lines of one log.
+// StoreBytesRead adds the lines of one log.
 func (rd *Reader) Read(r io.Reader) error {
-	return trail.Scan(r, &rd.Passed, func(ln *trail.Line) {
+	return trail.Scan(r, &rd.Skipped, func(ln *trail.Line) {
 		switch ln.Event {
 		case logs.Request:
 			rd.requests = append(rd.requests, ln)
 		case logs.Usage:
 			rd.fleet.add(ln)
-		case logs.Refused:
+		case logs.InletRefused:
 			if rd.notRun == nil {
 				rd.notRun = map[string]int{}
 			}
@@ -123,7 +123,7 @@
 // Account sums up what was read.
 func (rd *Reader) Account() *Account {
 	slices.SortStableFunc(rd.requests, func(a, b *trail.Line) int { return a.Time.Compare(b.Time) })
-	ac := &Account{LeftOut: rd.leftOut, Fleet: rd.fleet.sum(), Passed: rd.Passed}
+	ac := &Account{DroppedLines: rd.leftOut, Fleet: rd.fleet.sum(), Skipped: rd.Skipped}
 	if len(rd.requests) == 0 {
 		return ac
 	}
@@ -134,12 +134,12 @@
 		name := ln.Text("route")
 		ga := routes[name]
 		if ga == nil {
-			ga = &gathered{Route: &Route{Name: name, Service: ln.Text("service"), Reasons: map[string]int{}, ByCall: map[string]int{}}}
+			ga = &gathered{Route: &Route{Name: name, Service: ln.Text("service"), Reasons: map[string]int{}, FailedCalls: map[string]int{}}}
 			routes[name] = ga
 		}
 		ga.add(ln, calls, slots)
 		if rd.lostUnrun(ln) {
-			ga.NotReached++
+			ga.NotDelivered++
 		}
 		ac.window(ln.Time).add(ln)
 	}
@@ -192,36 +192,36 @@
 func (ga *gathered) add(ln *trail.Line, calls map[string]string, slots held) {
 	ga.Count.add(ln)
 	if ln.Span(logs.Elapsed) > 0 {
-		ga.Back++
+		ga.CallerRetries++
 	}
-	ga.Again += max(0, int(ln.Number("attempts"))-1)
+	ga.Retries += max(0, int(ln.Number("attempts"))-1)
 	if ln.Text(logs.Outcome) == result.Answered.String() {
 		ga.before = append(ga.before, ln.Span(logs.Elapsed))
 		ga.wait = append(ga.wait, ln.Span(logs.Wait))
-		ga.held = append(ga.held, ln.Span(logs.Held))
+		ga.held = append(ga.held, ln.Span(logs.ServiceTime))
 		ga.took = append(ga.took, ln.Span(logs.Took))
 		return
 	}
 	ga.Reasons[ln.Text(logs.Outcome)+"/"+ln.Text(logs.Reason)]++
 	if call := calls[ln.Text(logs.ID)]; call != "" {
-		ga.ByCall[call]++
+		ga.FailedCalls[call]++
 	}
-	if result.Reason(ln.Text(logs.Reason)) == result.ReasonFull && slots.free(ln.Text("service"), ln.Time) {
-		ga.BesideFree++
+	if result.Reason(ln.Text(logs.Reason)) == result.ReasonSlotsFull && slots.free(ln.Text("service"), ln.Time) {
+		ga.AvoidableRefusals++
 	}
 }
 
 func (ga *gathered) finish() *Route {
-	ga.Before, ga.Wait, ga.Held, ga.Took = times(ga.before), times(ga.wait), times(ga.held), times(ga.took)
+	ga.Elapsed, ga.Wait, ga.ServiceTime, ga.Took = times(ga.before), times(ga.wait), times(ga.held), times(ga.took)
 	return ga.Route
 }
 
-func times(list []time.Duration) Times {
+func times(list []time.Duration) Quantiles {
 	if len(list) == 0 {
-		return Times{}
+		return Quantiles{}
 	}
 	slices.Sort(list)
-	return Times{Middle: list[len(list)/2], Ninth: list[len(list)*9/10]}
+	return Quantiles{Median: list[len(list)/2], P90: list[len(list)*9/10]}
 }
 
 // failedCalls returns, by the id of a request, the route of the first call made for it
--- a/internal/stat/acct/acct_test.go
+++ b/internal/stat/acct/acct_test.go
@@ -56,23 +56,23 @@
 		}
 	}
 	ac := rd.Account()
-	if ac.LeftOut != 7 || ac.Foreign != 1 || ac.Broken != 0 || len(ac.Routes) != 2 || len(ac.Windows) != 2 {
+	if ac.DroppedLines != 7 || ac.Foreign != 1 || ac.Malformed != 0 || len(ac.Routes) != 2 || len(ac.Windows) != 2 {
 		t.Fatalf("%+v", ac)
 	}
 	rt := ac.Routes[0]
 	if diff := cmp.Diff(Count{InTime: 4, Late: 4, Refused: 1, Failed: 1}, rt.Count); diff != "" {
 		t.Errorf("route r: %s", diff)
 	}
-	if rt.Back != 1 || rt.Again != 2 || rt.BesideFree != 1 || rt.ByCall["c"] != 1 || rt.Reasons["not-run/slots-full"] != 1 {
+	if rt.CallerRetries != 1 || rt.Retries != 2 || rt.AvoidableRefusals != 1 || rt.FailedCalls["c"] != 1 || rt.Reasons["not-run/slots-full"] != 1 {
 		t.Errorf("route r: %+v", rt)
 	}
-	if ms := time.Millisecond; rt.Held.Middle != 200*ms || rt.Wait.Ninth != 50*ms || rt.Took.Middle != 210*ms {
+	if ms := time.Millisecond; rt.ServiceTime.Median != 200*ms || rt.Wait.P90 != 50*ms || rt.Took.Median != 210*ms {
 		t.Errorf("times: %+v", rt)
 	}
 	if got := ac.Windows[1].Count; got != (Count{Late: 1}) {
 		t.Errorf("the last window: %+v", got)
 	}
-	if call := ac.Routes[1]; call.Refused != 1 || call.BesideFree != 0 {
+	if call := ac.Routes[1]; call.Refused != 1 || call.AvoidableRefusals != 0 {
 		t.Errorf("route c: %+v", call)
 	}
 }
@@ -99,13 +99,13 @@
 	}
 	ac := rd.Account()
 	want := &Fleet{
-		Processes: 3, Resident: 30, ResidentMost: 40, Processor: 310 * time.Millisecond, ControlOut: 30, PathOut: 300,
-		Calls: map[string]int64{"watch/op": 10, "list/relays": 3}, Read: map[string]int64{}, Links: map[string]int64{"across/records": 21},
+		Processes: 3, Resident: 30, MaxResident: 40, CPUTime: 310 * time.Millisecond, ControlBytes: 30, PathBytes: 300,
+		StoreCalls: map[string]int64{"watch/op": 10, "list/relays": 3}, StoreBytesRead: map[string]int64{}, LinkBytes: map[string]int64{"across/records": 21},
 	}
 	if diff := cmp.Diff(want, ac.Fleet); diff != "" {
 		t.Error(diff)
 	}
-	if got := ac.Routes[0].NotReached; got != 1 {
+	if got := ac.Routes[0].NotDelivered; got != 1 {
 		t.Errorf("%d requests failed that no server got, want 1", got)
 	}
 }
@@ -116,7 +116,7 @@
 	if err := rd.Read(strings.NewReader("x\n{\"time\":\n")); err != nil {
 		t.Fatal(err)
 	}
-	if ac := rd.Account(); len(ac.Routes) != 0 || ac.Foreign != 1 || ac.Broken != 1 {
+	if ac := rd.Account(); len(ac.Routes) != 0 || ac.Foreign != 1 || ac.Malformed != 1 {
 		t.Errorf("%+v", ac)
 	}
 }
--- a/internal/stat/acct/fleet.go
+++ b/internal/stat/acct/fleet.go
@@ -11,20 +11,20 @@
 type Fleet struct {
 	// Processes have written a usage line; what came after the last one is missing.
 	Processes int `json:"processes"`
-	// Resident is the mean of a process in bytes at its last line, ResidentMost the most
+	// Resident is the mean of a process in bytes at its last line, MaxResident the most
 	// at any line.
-	Resident     int64         `json:"resident-bytes"`
-	ResidentMost int64         `json:"resident-bytes-most"`
-	Processor    time.Duration `json:"processor"`
-	// ControlOut and PathOut are bytes sent between daemons: control, and requests with
+	Resident    int64         `json:"resident-bytes"`
+	MaxResident int64         `json:"resident-bytes-most"`
+	CPUTime     time.Duration `json:"processor"`
+	// ControlBytes and PathBytes are bytes sent between daemons: control, and requests with
 	// their answers.
-	ControlOut int64 `json:"control-bytes"`
-	PathOut    int64 `json:"path-bytes"`
-	// Calls are those to the platform's store by purpose, Read the bytes that they
+	ControlBytes int64 `json:"control-bytes"`
+	PathBytes    int64 `json:"path-bytes"`
+	// StoreCalls are those to the platform's store by purpose, Read the bytes that they
 	// brought, Links the bytes that links sent by kind.
-	Calls map[string]int64 `json:"calls"`
-	Read  map[string]int64 `json:"read-bytes"`
-	Links map[string]int64 `json:"link-bytes"`
+	StoreCalls     map[string]int64 `json:"calls"`
+	StoreBytesRead map[string]int64 `json:"read-bytes"`
+	LinkBytes      map[string]int64 `json:"link-bytes"`
 }
 
 // processes gathers usage lines: the last one of each process, whose counts begin at its
@@ -58,13 +58,13 @@
 	if len(all) == 0 {
 		return nil
 	}
-	fl := &Fleet{Processes: len(all), ResidentMost: ps.most, Calls: map[string]int64{}, Read: map[string]int64{}, Links: map[string]int64{}}
+	fl := &Fleet{Processes: len(all), MaxResident: ps.most, StoreCalls: map[string]int64{}, StoreBytesRead: map[string]int64{}, LinkBytes: map[string]int64{}}
 	for _, ln := range all {
 		fl.Resident += int64(ln.Number("resident"))
-		fl.Processor += time.Duration(ln.Number("processor-ms")) * time.Millisecond
-		fl.ControlOut += int64(ln.Number("control-out"))
-		fl.PathOut += int64(ln.Number("path-out"))
-		for name, to := range map[string]map[string]int64{logs.Calls: fl.Calls, logs.Read: fl.Read, logs.Links: fl.Links} {
+		fl.CPUTime += time.Duration(ln.Number("processor-ms")) * time.Millisecond
+		fl.ControlBytes += int64(ln.Number("control-out"))
+		fl.PathBytes += int64(ln.Number("path-out"))
+		for name, to := range map[string]map[string]int64{logs.StoreCalls: fl.StoreCalls, logs.StoreBytesRead: fl.StoreBytesRead, logs.LinkBytes: fl.LinkBytes} {
 			addCounts(to, ln.Fields[name])
 		}
 	}
--- a/internal/stat/acct/slots.go
+++ b/internal/stat/acct/slots.go
@@ -30,7 +30,7 @@
 		if ln.Text(logs.Outcome) != result.Answered.String() {
 			continue
 		}
-		service, vm := ln.Text("service"), ln.Text(logs.VM)
+		service, vm := ln.Text("service"), ln.Text(logs.TargetVM)
 		if all[service] == nil {
 			all[service] = map[string]*server{}
 		}
@@ -38,7 +38,7 @@
 			all[service][vm] = &server{slots: slots[vm]}
 		}
 		se := all[service][vm]
-		se.spans = append(se.spans, span{ln.Time.Add(-ln.Span(logs.Held)), ln.Time})
+		se.spans = append(se.spans, span{ln.Time.Add(-ln.Span(logs.ServiceTime)), ln.Time})
 	}
 	for _, servers := range all {
 		for _, se := range servers {
--- a/internal/stat/logs/events.go
+++ b/internal/stat/logs/events.go
@@ -6,17 +6,17 @@
 	Request = "request"
 	// Attempt is a try at one backend server that did not end in an answer.
 	Attempt = "attempt"
-	// Refused is a request that an inlet did not hand over, Failed one that it
+	// InletRefused is a request that an inlet did not hand over, Failed one that it
 	// handed over and that was not answered.
-	Refused = "inlet-refused"
-	Failed  = "inlet-failed"
-	// DeadlineUnset is a deadline of a caller's connection that could not be set: the
+	InletRefused = "inlet-refused"
+	InletFailed  = "inlet-failed"
+	// SetDeadlineFailed is a deadline of a caller's connection that could not be set: the
 	// caller has gone, or its connection knows none.
-	DeadlineUnset = "caller-deadline-unset"
-	// ServerEnded is the end of a backend server that was running requests.
-	ServerEnded = "backend-server-ended"
-	// EndedUnder is a request that a backend server was running when it ended.
-	EndedUnder = "ended-under"
+	SetDeadlineFailed = "caller-deadline-unset"
+	// ServerCrashed is the end of a backend server that was running requests.
+	ServerCrashed = "backend-server-ended"
+	// RunningAtCrash is a request that a backend server was running when it ended.
+	RunningAtCrash = "ended-under"
 	// PoisonFound is a request that is not run any more, as servers end under it;
 	// PoisonCleared is one that was answered since.
 	PoisonFound   = "poison-found"
@@ -27,25 +27,25 @@
 	// Usage is what a daemon has taken and sent since its start; Calls groups its calls
 	// to the platform's store by purpose, Read the bytes that came back, Links what its
 	// links have sent by kind.
-	Usage = "usage"
-	Calls = "calls"
-	Read  = "read"
-	Links = "links"
+	Usage          = "usage"
+	StoreCalls     = "calls"
+	StoreBytesRead = "read"
+	LinkBytes      = "links"
 
 	// ID is the caller's id of a request.
 	ID = "id"
-	// Key is what package ident names a request by: the same for each try of its caller,
+	// RequestKey is what package ident names a request by: the same for each try of its caller,
 	// and for another caller that asks for the same.
-	Key = "request-key"
-	// Ends is how many backend servers are known to have ended under a request.
-	Ends = "ends"
+	RequestKey = "request-key"
+	// Crashes is how many backend servers are known to have ended under a request.
+	Crashes = "ends"
 	// Version is the configuration that a request was routed by.
 	Version = "version"
 	// Outcome and Reason are those of package result.
 	Outcome = "outcome"
 	Reason  = "reason"
-	// VM is the one that a request was sent to, Lifetime its backend server.
-	VM = "to-vm"
+	// TargetVM is the one that a request was sent to, Lifetime its backend server.
+	TargetVM = "to-vm"
 	// Service is the one that a line is about.
 	Service = "service"
 	// Software is the version of its software, on the lines of services that are being
@@ -67,8 +67,8 @@
 	Elapsed = "elapsed"
 	// Wait is how long a request waited for a slot, Held for how long it held it
 	// until its answer had been read, in nanoseconds, as its inlet says.
-	Wait = "wait"
-	Held = "held"
+	Wait        = "wait"
+	ServiceTime = "held"
 	// Load is running, waiting, slots and the mean time in ms that a slot is
 	// held, joined by slashes; LoadAge is its age in milliseconds.
 	Load    = "load"
--- a/internal/stat/meter/meter.go
+++ b/internal/stat/meter/meter.go
@@ -11,9 +11,9 @@
 // Meter counts bytes. The zero value is ready for use.
 type Meter struct {
 	In, Out atomic.Int64
-	// Sent, if set, is told of bytes that were written to another VM. It is set
+	// OnSent, if set, is told of bytes that were written to another VM. It is set
 	// before use.
-	Sent func(n int)
+	OnSent func(n int)
 }
 
 type conn struct {
@@ -27,7 +27,7 @@
 	here, _, herr := net.SplitHostPort(nc.LocalAddr().String())
 	there, _, terr := net.SplitHostPort(nc.RemoteAddr().String())
 	same := herr == nil && terr == nil && here == there
-	return &conn{Conn: nc, mt: mt, leaves: !same && mt.Sent != nil}
+	return &conn{Conn: nc, mt: mt, leaves: !same && mt.OnSent != nil}
 }
 
 // Read counts what comes in.
@@ -42,7 +42,7 @@
 	n, err := cn.Conn.Write(p)
 	cn.mt.Out.Add(int64(n))
 	if cn.leaves && n > 0 {
-		cn.mt.Sent(n)
+		cn.mt.OnSent(n)
 	}
 	return n, err
 }
--- a/internal/stat/trail/cause.go
+++ b/internal/stat/trail/cause.go
@@ -14,25 +14,25 @@
 	ID string `json:"id"`
 	// Lines are those of the request and of calls made for it, in order.
 	Lines []*Line `json:"lines"`
-	// Beliefs are what the daemons that took part went by: the last line of each
+	// State are what the daemons that took part went by: the last line of each
 	// kind before the request ended.
-	Beliefs []*Line `json:"beliefs"`
+	State []*Line `json:"beliefs"`
 	// Causes are sentences, the nearest cause first.
 	Causes []string `json:"causes"`
-	Passed
+	Skipped
 }
 
 // Explain puts the lines in order and names the cause.
 func (lo *Log) Explain() *Report {
 	sortLines(lo.request)
 	sortLines(lo.beliefs)
-	rp := &Report{ID: lo.id, Lines: lo.request, Passed: lo.Passed}
+	rp := &Report{ID: lo.id, Lines: lo.request, Skipped: lo.Skipped}
 	if len(lo.request) == 0 {
 		rp.Causes = []string{"no line bears this id: the request reached no daemon of these logs, or its lines were left out" + lo.leftOut("", time.Time{})}
 		return rp
 	}
 	end := lo.end()
-	rp.Beliefs = lo.inForce(rp.Lines[len(rp.Lines)-1].Time)
+	rp.State = lo.inForce(rp.Lines[len(rp.Lines)-1].Time)
 	if end == nil {
 		first := lo.request[0]
 		rp.Causes = append(rp.Causes, "no line tells its end: the outlet was ended before it, or the line was left out"+lo.leftOut(first.VM, first.Time))
@@ -60,7 +60,7 @@
 	part := map[string]bool{}
 	for _, ln := range lo.request {
 		part[ln.VM] = true
-		if to := ln.Text(logs.VM); to != "" {
+		if to := ln.Text(logs.TargetVM); to != "" {
 			part[to] = true
 		}
 	}
@@ -88,11 +88,11 @@
 	say := func(format string, args ...any) { list = append(list, fmt.Sprintf(format, args...)) }
 	switch {
 	case end.Text(logs.Outcome) == result.Answered.String():
-		say("answered by the server beside %s after %v", end.Text(logs.VM), end.Span(logs.Took).Round(time.Millisecond))
+		say("answered by the server beside %s after %v", end.Text(logs.TargetVM), end.Span(logs.Took).Round(time.Millisecond))
 		list = append(list, lo.slow(end)...)
-	case reason.NoRoom() && tries == 0:
+	case reason.NoCapacity() && tries == 0:
 		say("refused without being sent: most requests of its kind were refused lately, so the outlet of %s held this one back", end.VM)
-	case reason.NoRoom():
+	case reason.NoCapacity():
 		say("refused after %d servers had no room (%s)", tries, reason)
 		list = append(list, lo.refusals()...)
 	case reason == result.ReasonPoison:
@@ -100,7 +100,7 @@
 		list = append(list, lo.poison()...)
 	case reason == result.ReasonNoServer:
 		say("no server of %s was known to the outlet of %s", end.Text("service"), end.VM)
-	case reason == result.ReasonDeadline:
+	case reason == result.ReasonDeadlinePassed:
 		say("given up on by the outlet of %s %v after it had been read, at a limit of %v; it had been read for %v when the outlet began to handle it",
 			end.VM, end.Span(logs.Took).Round(time.Millisecond), end.Span(logs.Limit).Round(time.Millisecond), end.Span(logs.Queued).Round(time.Millisecond))
 		list = append(list, lo.slow(end)...)
@@ -120,7 +120,7 @@
 	if d := end.Span(logs.Elapsed); d > 0 {
 		list = append(list, fmt.Sprintf("the caller had been at it for %v before, as it came back after a refusal or called late", d.Round(time.Millisecond)))
 	}
-	wait, held := end.Span(logs.Wait), end.Span(logs.Held)
+	wait, held := end.Span(logs.Wait), end.Span(logs.ServiceTime)
 	if wait+held > 0 {
 		rest := end.Span(logs.Took) - wait - held
 		list = append(list, fmt.Sprintf("%v of it waiting for a slot at the inlet, %v at the backend server, %v on the way and in attempts before",
@@ -140,8 +140,8 @@
 		switch ln.Event {
 		case logs.Attempt:
 			list = append(list, fmt.Sprintf("%s did not take it (%s); the outlet believed %.0f requests there, %v old",
-				ln.Text(logs.VM), ln.Text(logs.Reason), ln.Number(logs.Load), ln.Span(logs.LoadAge).Round(time.Millisecond)))
-		case logs.Refused:
+				ln.Text(logs.TargetVM), ln.Text(logs.Reason), ln.Number(logs.Load), ln.Span(logs.LoadAge).Round(time.Millisecond)))
+		case logs.InletRefused:
 			list = append(list, fmt.Sprintf("the inlet of %s says %s with load %s (running/waiting/slots/ms a slot is held/ms of backlog on its link)",
 				ln.VM, ln.Text(logs.Reason), ln.Text(logs.Load)))
 		}
@@ -151,13 +151,13 @@
 
 // mayHaveRun tells what was lost of a request that was sent and not answered.
 func (lo *Log) mayHaveRun(end *Line) []string {
-	to := end.Text(logs.VM)
+	to := end.Text(logs.TargetVM)
 	list := []string{fmt.Sprintf("it was sent to %s and no answer says that it has not run (%s)", to, end.Text(logs.Reason))}
 	for _, ln := range lo.request {
-		if ln.Event == logs.EndedUnder && ln.Text(logs.ID) == lo.id {
-			return append(list, fmt.Sprintf("the backend server %s beside %s ended while it ran it, and maybe others; its %s is %s", ln.Text(logs.Lifetime), ln.VM, logs.Key, ln.Text(logs.Key)))
+		if ln.Event == logs.RunningAtCrash && ln.Text(logs.ID) == lo.id {
+			return append(list, fmt.Sprintf("the backend server %s beside %s ended while it ran it, and maybe others; its %s is %s", ln.Text(logs.Lifetime), ln.VM, logs.RequestKey, ln.Text(logs.RequestKey)))
 		}
-		if ln.Event == logs.Failed && ln.Text(logs.ID) == lo.id {
+		if ln.Event == logs.InletFailed && ln.Text(logs.ID) == lo.id {
 			return append(list, fmt.Sprintf("the inlet of %s had handed it to its backend server, which did not answer it (%s)", ln.VM, ln.Text(logs.Reason)))
 		}
 	}
@@ -200,7 +200,7 @@
 func (lo *Log) poison() []string {
 	for _, ln := range lo.request {
 		if ln.Event == logs.PoisonRefused && ln.Text(logs.ID) == lo.id {
-			return []string{fmt.Sprintf("%.0f ends were known there; the lines %s with %s %s tell of each", ln.Number(logs.Ends), logs.EndedUnder, logs.Key, ln.Text(logs.Key))}
+			return []string{fmt.Sprintf("%.0f ends were known there; the lines %s with %s %s tell of each", ln.Number(logs.Crashes), logs.RunningAtCrash, logs.RequestKey, ln.Text(logs.RequestKey))}
 		}
 	}
 	return nil
--- a/internal/stat/trail/read.go
+++ b/internal/stat/trail/read.go
@@ -43,7 +43,7 @@
 	"version-held": true, "version-refused": true, "version-unreadable": true, "platform-state": true,
 	"backend-server": true, "server-leaves": true, "server-withdrawn": true, "backend-server-unreachable": true,
 	"member-unheard": true, "failure-domain-reach": true, "daemon-start": true, "daemon-end": true, "stopping": true, "drain": true,
-	logs.ServerEnded: true, logs.PoisonFound: true, logs.PoisonCleared: true, logs.LeftOut: true,
+	logs.ServerCrashed: true, logs.PoisonFound: true, logs.PoisonCleared: true, logs.LeftOut: true,
 }
 
 // Log holds the lines that matter for one request.
@@ -52,30 +52,30 @@
 	// request are the lines that bear its id, or that of a call made for it.
 	request []*Line
 	beliefs []*Line
-	Passed
+	Skipped
 }
 
-// Passed counts lines that were passed over.
-type Passed struct {
+// Skipped counts lines that were passed over.
+type Skipped struct {
 	// Foreign are none of a daemon's, Broken begin as one and cannot be read, such
 	// as the last one of a log that was cut.
-	Foreign int `json:"foreign-lines"`
-	Broken  int `json:"broken-lines"`
+	Foreign   int `json:"foreign-lines"`
+	Malformed int `json:"broken-lines"`
 }
 
 // New returns a log without lines for the request with an id.
 func New(id string) *Log { return &Log{id: id} }
 
 // Read adds the lines of one log.
-func (lo *Log) Read(r io.Reader) error { return Scan(r, &lo.Passed, lo.add) }
+func (lo *Log) Read(r io.Reader) error { return Scan(r, &lo.Skipped, lo.add) }
 
 // Scan hands the lines of one log to take, and counts those that are none of a daemon's.
 // Text before the first brace of a line, which collectors put there, is passed over.
-func Scan(r io.Reader, pa *Passed, take func(*Line)) error {
+func Scan(r io.Reader, sk *Skipped, take func(*Line)) error {
 	br := bufio.NewReader(r)
 	for {
 		raw, err := br.ReadBytes('\n')
-		if ln := pa.parse(raw); ln != nil {
+		if ln := sk.parse(raw); ln != nil {
 			take(ln)
 		}
 		if errors.Is(err, io.EOF) {
@@ -88,26 +88,26 @@
 }
 
 // parse returns a line, nil for one that is passed over.
-func (pa *Passed) parse(raw []byte) *Line {
+func (sk *Skipped) parse(raw []byte) *Line {
 	raw = bytes.TrimSpace(raw)
 	if len(raw) == 0 {
 		return nil
 	}
 	start := bytes.IndexByte(raw, '{')
 	if start < 0 {
-		pa.Foreign++
+		sk.Foreign++
 		return nil
 	}
 	var fields map[string]any
 	if err := json.Unmarshal(raw[start:], &fields); err != nil {
-		pa.Broken++
+		sk.Malformed++
 		return nil
 	}
 	ln := &Line{Fields: fields}
 	ln.VM, ln.Event = ln.Text("vm"), ln.Text("msg")
 	at, err := time.Parse(time.RFC3339Nano, ln.Text("time"))
 	if err != nil || ln.Event == "" {
-		pa.Foreign++
+		sk.Foreign++
 		return nil
 	}
 	ln.Time = at
--- a/internal/stat/trail/trail_test.go
+++ b/internal/stat/trail/trail_test.go
@@ -89,8 +89,8 @@
 					t.Errorf("cause %d is %q, want %q in it", i, rp.Causes[i], want)
 				}
 			}
-			if lo.Foreign+lo.Broken != 0 {
-				t.Errorf("%d foreign and %d broken lines", lo.Foreign, lo.Broken)
+			if lo.Foreign+lo.Malformed != 0 {
+				t.Errorf("%d foreign and %d broken lines", lo.Foreign, lo.Malformed)
 			}
 		})
 	}
@@ -106,8 +106,8 @@
 		t.Fatal(err)
 	}
 	rp := lo.Explain()
-	if rp.Foreign != 2 || rp.Broken != 1 || len(rp.Lines) != 2 || rp.Lines[0].VM != "b" {
-		t.Errorf("%d foreign, %d broken, %d lines: %+v", rp.Foreign, rp.Broken, len(rp.Lines), rp.Lines)
+	if rp.Foreign != 2 || rp.Malformed != 1 || len(rp.Lines) != 2 || rp.Lines[0].VM != "b" {
+		t.Errorf("%d foreign, %d broken, %d lines: %+v", rp.Foreign, rp.Malformed, len(rp.Lines), rp.Lines)
 	}
 }
 
--- a/internal/stat/usage/usage.go
+++ b/internal/stat/usage/usage.go
@@ -13,8 +13,8 @@
 type Usage struct {
 	// Resident is its resident set in bytes.
 	Resident int64
-	// Processor is the time that its threads have run.
-	Processor time.Duration
+	// CPUTime is the time that its threads have run.
+	CPUTime time.Duration
 }
 
 // tick is the unit of processor time in /proc (USER_HZ, proc(5)).
@@ -41,7 +41,7 @@
 	if err != nil {
 		return Usage{}, err
 	}
-	return Usage{Resident: resident, Processor: processor}, nil
+	return Usage{Resident: resident, CPUTime: processor}, nil
 }
 
 func resident(file string) (int64, error) {
