--- a/internal/node/soak/proc.go
+++ b/internal/node/soak/proc.go
@@ -12,29 +12,29 @@
 	"syscall"
 )
 
-// proc is a process that the soak started.
+// proc is a process that a launcher started.
 type proc struct {
 	cmd  *exec.Cmd
 	done chan struct{}
 }
 
-// launcher starts processes of one binary, with their output in files of a directory.
+// launcher starts processes of one executable and logs their output to files in a directory.
 type launcher struct {
 	ctx    context.Context
 	binary string
 	dir    string
 
-	mu     sync.Mutex
-	starts int
-	procs  []*proc
+	mu      sync.Mutex
+	started int
+	procs   []*proc
 }
 
-// start starts a process. Each line that it prints is given to lines, if that is set.
-func (la *launcher) start(name string, lines func(string), args ...string) (*proc, error) {
+// start starts a process and calls onLine, if set, for each line of its standard output.
+func (la *launcher) start(name string, onLine func(string), args ...string) (*proc, error) {
 	la.mu.Lock()
 	defer la.mu.Unlock()
-	la.starts++
-	log, err := os.Create(filepath.Join(la.dir, fmt.Sprintf("%03d-%s.log", la.starts, name)))
+	la.started++
+	log, err := os.Create(filepath.Join(la.dir, fmt.Sprintf("%03d-%s.log", la.started, name)))
 	if err != nil {
 		return nil, err
 	}
@@ -52,28 +52,28 @@
 		defer log.Close()
 		sc := bufio.NewScanner(io.TeeReader(out, log))
 		for sc.Scan() {
-			if lines != nil {
-				lines(sc.Text())
+			if onLine != nil {
+				onLine(sc.Text())
 			}
 		}
-		// How it ended stands in its log; being killed is part of the plan.
+		// The process's own log shows why it exited; an exit by a signal is part of the plan.
 		_ = pr.cmd.Wait()
 	}()
 	la.procs = append(la.procs, pr)
 	return pr, nil
 }
 
-// signal sends a signal; a process that has ended takes none.
+// signal sends a signal. It has no effect on a process that has exited.
 func (pr *proc) signal(sig syscall.Signal) { _ = pr.cmd.Process.Signal(sig) }
 
-// end sends a signal and waits for the end of the process.
-func (pr *proc) end(sig syscall.Signal) {
+// terminate sends a signal and waits until the process has exited.
+func (pr *proc) terminate(sig syscall.Signal) {
 	pr.signal(sig)
 	<-pr.done
 }
 
-// ended reports whether the process has ended.
-func (pr *proc) ended() bool {
+// exited reports whether the process has exited.
+func (pr *proc) exited() bool {
 	select {
 	case <-pr.done:
 		return true
@@ -82,11 +82,11 @@
 	}
 }
 
-// endAll kills all processes that are left.
-func (la *launcher) endAll() {
+// killAll kills all processes that still run.
+func (la *launcher) killAll() {
 	la.mu.Lock()
 	defer la.mu.Unlock()
 	for _, pr := range la.procs {
-		pr.end(syscall.SIGKILL)
+		pr.terminate(syscall.SIGKILL)
 	}
 }
