--- a/internal/node/demo/demo.go
+++ b/internal/node/demo/demo.go
@@ -26,9 +26,9 @@
 // Options configures a demonstration.
 type Options struct {
 	// Dir is the directory of the declarations, Duration how long requests are sent.
-	Dir string
-	For time.Duration
-	Log *slog.Logger
+	Dir      string
+	Duration time.Duration
+	Log      *slog.Logger
 }
 
 // Summary is the outcome of a demonstration.
@@ -62,7 +62,7 @@
 	ms           *decl.Mesh
 	st           *stand.Service
 	platformAddr string
-	runs         Ledger
+	runs         RunCounter
 
 	mu  sync.Mutex
 	vms map[string]*runningVM // by name
@@ -87,7 +87,7 @@
 	if len(ms.VMs) == 0 {
 		return nil, fmt.Errorf("%s declares no VMs", op.Dir)
 	}
-	op.For = max(op.For, minDuration)
+	op.Duration = max(op.Duration, minDuration)
 	ctx, cancel := context.WithCancel(ctx)
 	fl := &fleet{op: op, ms: ms, st: stand.New(), vms: map[string]*runningVM{}}
 	// Wait has to run after cancel, since the goroutines end only when ctx does.
@@ -148,7 +148,7 @@
 			fl.op.Log.Error("daemon-failed", slog.String("vm", vm.Name), slog.Any("error", err))
 		}
 	})
-	sr := &Server{VM: vm.Name, Service: vm.Service, Listen: "127.0.0.1:0", Admin: se.Admin, Work: serviceTime, Ledger: &fl.runs}
+	sr := &Server{VM: vm.Name, Service: vm.Service, Listen: "127.0.0.1:0", Admin: se.Admin, ServiceTime: serviceTime, RunCounter: &fl.runs}
 	fl.wg.Go(func() {
 		if err := sr.Run(sctx); err != nil {
 			fl.op.Log.Error("backend-server-failed", slog.String("vm", vm.Name), slog.Any("error", err))
@@ -253,7 +253,7 @@
 	callers.Go(func() { cl.run(cctx) })
 	fl.logEvent("requests-start", slog.Int("vms", len(fl.ms.VMs)))
 
-	step := fl.op.For / 4
+	step := fl.op.Duration / 4
 	err := sleep(ctx, step)
 	if err == nil {
 		err = fl.changeRule(ctx, sm)
@@ -265,7 +265,7 @@
 		err = fl.replaceVM(ctx, cl)
 	}
 	if err == nil {
-		err = sleep(ctx, fl.op.For-2*step)
+		err = sleep(ctx, fl.op.Duration-2*step)
 	}
 	stopCallers()
 	callers.Wait()
--- a/internal/node/demo/load.go
+++ b/internal/node/demo/load.go
@@ -23,7 +23,7 @@
 	// Requests is the number of requests to each target, Workers the number of
 	// concurrent requests, MaxPause the longest pause between two requests of a worker.
 	Requests, Workers int
-	Pause             time.Duration
+	MaxPause          time.Duration
 }
 
 // LoadTarget is a named address.
@@ -87,8 +87,8 @@
 		case n >= targets*int64(ld.op.Requests)/warmUpDivisor:
 			ld.times[i].Record(took)
 		}
-		if ld.op.Pause > 0 {
-			_ = sleep(ctx, rand.N(ld.op.Pause))
+		if ld.op.MaxPause > 0 {
+			_ = sleep(ctx, rand.N(ld.op.MaxPause))
 		}
 	}
 }
--- a/internal/node/demo/server.go
+++ b/internal/node/demo/server.go
@@ -20,14 +20,14 @@
 // IDHeader is the header that identifies a request, by which a server counts how often it ran.
 const IDHeader = "Request-Id"
 
-// Ledger counts how often each request ran on any of the servers that share it.
-type Ledger struct {
+// RunCounter counts how often each request ran on any of the servers that share it.
+type RunCounter struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
 // CountRun counts a run of a request.
-func (rc *Ledger) CountRun(id string) {
+func (rc *RunCounter) CountRun(id string) {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	if rc.runs == nil {
@@ -37,7 +37,7 @@
 }
 
 // Duplicates returns how many requests ran more than once.
-func (rc *Ledger) Duplicates() int {
+func (rc *RunCounter) Duplicates() int {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	n := 0
@@ -49,8 +49,8 @@
 	return n
 }
 
-// Ran is the output line for a request that a server began to run.
-type Ran struct {
+// RunEvent is the output line for a request that a server began to run.
+type RunEvent struct {
 	ID string `json:"ran"`
 }
 
@@ -64,40 +64,40 @@
 	// Listen is the address to serve, Admin the admin address of the VM's daemon.
 	Listen, Admin string
 	// ServiceTime is the mean time that a request takes.
-	Work   time.Duration
-	Ledger *Ledger
+	ServiceTime time.Duration
+	RunCounter  *RunCounter
 	// Software is the software version that it announces, empty for none.
 	Software string
 	// FailureRate is the share, 0 to 1, of the requests that it answers with 500, among those
 	// whose path begins with FailurePath, once it has run for FailureDelay.
-	Failing      float64
-	FailingPath  string
-	FailingAfter time.Duration
+	FailureRate  float64
+	FailurePath  string
+	FailureDelay time.Duration
 	started      time.Time
 	// Calls is the service that it calls once for each request, through the outlet at Outlet.
 	// It answers a request whose call fails with 500.
 	Calls, Outlet string
 	// OnRun, if set, is called for each request that it begins to run.
-	Began func(Ran)
+	OnRun func(RunEvent)
 	// Fault, if set, is the faulty behavior that replaces its responses.
 	Fault faulty.Handler
 }
 
 // ServeHTTP answers one request.
 func (sr *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if id := r.Header.Get(IDHeader); id != "" && sr.Ledger != nil {
-		sr.Ledger.CountRun(id)
-		if sr.Began != nil {
-			sr.Began(Ran{ID: id})
+	if id := r.Header.Get(IDHeader); id != "" && sr.RunCounter != nil {
+		sr.RunCounter.CountRun(id)
+		if sr.OnRun != nil {
+			sr.OnRun(RunEvent{ID: id})
 		}
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 1<<20))
 	if err != nil {
 		return
 	}
-	if sr.Work > 0 {
+	if sr.ServiceTime > 0 {
 		select {
-		case <-time.After(sr.Work/2 + rand.N(sr.Work)):
+		case <-time.After(sr.ServiceTime/2 + rand.N(sr.ServiceTime)):
 		case <-r.Context().Done():
 			return
 		}
@@ -140,7 +140,7 @@
 
 // shouldFail decides at random, by FailureRate, whether to fail a request for a path.
 func (sr *Server) shouldFail(path string) bool {
-	return sr.Failing > 0 && time.Since(sr.started) >= sr.FailingAfter && strings.HasPrefix(path, sr.FailingPath) && rand.Float64() < sr.Failing
+	return sr.FailureRate > 0 && time.Since(sr.started) >= sr.FailureDelay && strings.HasPrefix(path, sr.FailurePath) && rand.Float64() < sr.FailureRate
 }
 
 // announceInterval is how often a server renews its announcement.
--- a/internal/node/soak/fleet.go
+++ b/internal/node/soak/fleet.go
@@ -236,7 +236,7 @@
 }
 
 func (fl *fleet) recordRunLine(line string, target bool) {
-	var ran demo.Ran
+	var ran demo.RunEvent
 	if json.Unmarshal([]byte(line), &ran) == nil && ran.ID != "" {
 		fl.requests.recordRun(ran.ID, target)
 	}
--- a/internal/node/soak/soak.go
+++ b/internal/node/soak/soak.go
@@ -19,7 +19,7 @@
 	// processes.
 	Binary, Dir string
 	Seed        uint64
-	For         time.Duration
+	Duration    time.Duration
 	VMs         int
 	// Planned generates only operator actions, without faults.
 	Planned bool
@@ -63,9 +63,9 @@
 	switch {
 	case op.Plan != nil:
 	case op.Planned:
-		op.Plan = GeneratePlanned(op.Seed, op.VMs, op.For)
+		op.Plan = GeneratePlanned(op.Seed, op.VMs, op.Duration)
 	default:
-		op.Plan = GeneratePlan(op.Seed, op.VMs, op.For)
+		op.Plan = GeneratePlan(op.Seed, op.VMs, op.Duration)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -131,7 +131,7 @@
 			return fmt.Errorf("%s: %w", st, err)
 		}
 	}
-	for time.Since(began) < fl.op.For && ctx.Err() == nil {
+	for time.Since(began) < fl.op.Duration && ctx.Err() == nil {
 		time.Sleep(pollInterval)
 		fl.checkVersions(ctx)
 	}
