--- a/cmd/flamingomast/measure_test.go
+++ b/cmd/flamingomast/measure_test.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return float64(us.Resident) / (1 << 20), us.Processor
+	return float64(us.Resident) / (1 << 20), us.CPUTime
 }
 
 // targetInventory declares a mesh of the target size: 790 VMs and 73 services in 5
@@ -307,7 +307,7 @@
 			return
 		}
 		defer at.Response.Body.Close()
-		proxy.CopyHead(w, at.Response, nil)
+		proxy.CopyHeader(w, at.Response, nil)
 		_ = proxy.Copy(w, at, proxy.Pace{})
 	})
 }
