--- a/internal/node/cmds/account.go
+++ b/internal/node/cmds/account.go
@@ -107,8 +107,8 @@
 }
 
 // formatQuantiles formats the median and the 90th percentile in milliseconds.
-func formatQuantiles(ti acct.Quantiles) string {
-	return fmt.Sprintf("%d/%d ms", ti.Median.Round(time.Millisecond).Milliseconds(), ti.P90.Round(time.Millisecond).Milliseconds())
+func formatQuantiles(qu acct.Quantiles) string {
+	return fmt.Sprintf("%d/%d ms", qu.Median.Round(time.Millisecond).Milliseconds(), qu.P90.Round(time.Millisecond).Milliseconds())
 }
 
 func formatCounts[N int | int64](by map[string]N) string {
--- a/internal/node/cmds/explain.go
+++ b/internal/node/cmds/explain.go
@@ -57,9 +57,9 @@
 	ap.printSkipped(rp.Skipped)
 }
 
-func (ap *app) printSkipped(pa trail.Skipped) {
-	if pa.Foreign+pa.Malformed > 0 {
-		fmt.Fprintf(ap.out, "\npassed over: %d lines of others, %d that cannot be read\n", pa.Foreign, pa.Malformed)
+func (ap *app) printSkipped(sk trail.Skipped) {
+	if sk.Foreign+sk.Malformed > 0 {
+		fmt.Fprintf(ap.out, "\npassed over: %d lines of others, %d that cannot be read\n", sk.Foreign, sk.Malformed)
 	}
 }
 
--- a/internal/node/cmds/route.go
+++ b/internal/node/cmds/route.go
@@ -115,7 +115,7 @@
 		return nil, fmt.Errorf("no route takes %s %s%s: callers get 404, not-run, no-route", method, u.Host, path)
 	}
 	rr := &routeResult{Route: rt.Name, Class: rt.Class.Name, Deadline: rt.Deadline.String(), Repeat: rt.Repeat}
-	prevUpTo := 0
+	prevWeight := 0
 	for _, tg := range rt.Targets {
 		n := 0
 		for _, vm := range sn.VMs {
@@ -124,10 +124,10 @@
 			}
 		}
 		rr.Targets = append(rr.Targets, routeTarget{
-			Service: tg.Service.Name, Percent: 100 * float64(tg.CumulativeWeight-prevUpTo) / float64(rt.TotalWeight()),
+			Service: tg.Service.Name, Percent: 100 * float64(tg.CumulativeWeight-prevWeight) / float64(rt.TotalWeight()),
 			Tiers: tg.Service.Tiers, Spill: tg.Service.Spill, VMs: n,
 		})
-		prevUpTo = tg.CumulativeWeight
+		prevWeight = tg.CumulativeWeight
 	}
 	return rr, nil
 }
--- a/internal/stat/acct/slots.go
+++ b/internal/stat/acct/slots.go
@@ -48,12 +48,12 @@
 	return all
 }
 
-// maxHold is the longest time that a slot is assumed to be in use. It bounds the spans to search.
-const maxHold = 5 * time.Second
+// maxServiceTime is the longest time that a slot is assumed to be in use. It bounds the spans to search.
+const maxServiceTime = 5 * time.Second
 
-// heldAt returns how many slots were in use at a given time.
-func (se *server) heldAt(now time.Time) int {
-	first, _ := slices.BinarySearchFunc(se.spans, now.Add(-maxHold), func(sp span, at time.Time) int { return sp.from.Compare(at) })
+// inUseAt returns how many slots were in use at a given time.
+func (se *server) inUseAt(now time.Time) int {
+	first, _ := slices.BinarySearchFunc(se.spans, now.Add(-maxServiceTime), func(sp span, at time.Time) int { return sp.from.Compare(at) })
 	n := 0
 	for _, sp := range se.spans[first:] {
 		if sp.from.After(now) {
@@ -73,7 +73,7 @@
 // hasFree reports whether an active server of a service had a free slot at a given time.
 func (su slotUse) hasFree(service string, now time.Time) bool {
 	for _, se := range su[service] {
-		if se.active(now) && se.heldAt(now)+inTransit < se.slots {
+		if se.active(now) && se.inUseAt(now)+inTransit < se.slots {
 			return true
 		}
 	}
--- a/internal/stat/trail/cause.go
+++ b/internal/stat/trail/cause.go
@@ -120,11 +120,11 @@
 	if d := end.Duration(logs.Elapsed); d > 0 {
 		list = append(list, fmt.Sprintf("the caller had spent %v on it before, because it retried after a refusal or called late", d.Round(time.Millisecond)))
 	}
-	wait, held := end.Duration(logs.Wait), end.Duration(logs.ServiceTime)
-	if wait+held > 0 {
-		rest := end.Duration(logs.Took) - wait - held
+	wait, serviceTime := end.Duration(logs.Wait), end.Duration(logs.ServiceTime)
+	if wait+serviceTime > 0 {
+		rest := end.Duration(logs.Took) - wait - serviceTime
 		list = append(list, fmt.Sprintf("%v of it waiting for a slot at the inlet, %v at the backend server, %v in transit and in earlier attempts",
-			wait, held, rest.Round(time.Millisecond)))
+			wait, serviceTime, rest.Round(time.Millisecond)))
 	}
 	return append(list, co.refusals()...)
 }
