--- a/internal/conf/accept/head.go
+++ b/internal/conf/accept/head.go
@@ -139,8 +139,8 @@
 	return decodeContent(nil, body, en)
 }
 
-// ContentFrom reads the content of an entry as a delta from base if the store holds one, and in full
-// otherwise.
+// ContentFrom reads the content of an entry as a delta from base if the store holds one, and in
+// full otherwise.
 func ContentFrom(ctx context.Context, kv store.Store, base *pack.Content, en Entry) (*pack.Content, error) {
 	if base == nil {
 		return Content(ctx, kv, en)
--- a/internal/conf/accept/submit.go
+++ b/internal/conf/accept/submit.go
@@ -270,8 +270,8 @@
 }
 
 // writeContent stores the content, in full and as a delta, before the commit. It also stores the
-// entry that the commit replaces in the head record, so that no entry is lost if the process dies
-// at any point.
+// entry that the commit replaces in the head record, so that no entry is lost if the process is
+// killed at any point.
 func (sm *submitter) writeContent(ctx context.Context, en *Entry, last Entry, old, co *pack.Content) error {
 	if last.Version > 0 {
 		value, err := json.Marshal(last)
@@ -327,8 +327,8 @@
 	return Result{Status: Accepted, Entry: en, Rebased: en.Base != en.Parent}, true, nil
 }
 
-// prune removes the content of the version that is no longer retained. If the process dies before
-// that, the content left behind only takes up space.
+// prune removes the content of the version that is no longer retained. If the process is killed
+// before that, the remaining content only takes up space.
 func (sm *submitter) prune(ctx context.Context, en Entry) {
 	if en.Version <= RetainedContents {
 		return
--- a/internal/conf/decl/check.go
+++ b/internal/conf/decl/check.go
@@ -22,8 +22,8 @@
 	maxAttempts    = 100
 )
 
-// Maximum lengths in bytes. Names have the limit of a label in RFC 1035, hosts that of a full domain
-// name.
+// Maximum lengths in bytes. Names have the limit of a label in RFC 1035, hosts that of a full
+// domain name.
 const (
 	maxNameLen   = 63
 	maxHostLen   = 253
@@ -60,8 +60,8 @@
 	return true
 }
 
-// Check returns all problems of ms. A mesh without problems has no dangling reference, no impossible
-// shares or weights and no route that can never match.
+// Check returns all problems of ms. A mesh without problems has no dangling reference, no
+// impossible shares or weights and no route that can never match.
 func Check(ms *Mesh) strict.Problems {
 	ck := &checker{ms: ms}
 	ck.regions = indexNames(ck, "region", ms.Regions, func(rg *Region) (string, strict.Pos) { return rg.Name, rg.Pos })
--- a/internal/conf/pack/delta.go
+++ b/internal/conf/pack/delta.go
@@ -95,9 +95,9 @@
 	return next, nil
 }
 
-// ApplyEncoded decodes a delta, applies it to base and returns the result, whose digest must be want. A
-// corrupted delta, one for another base or one with another result is an error. base is not
-// modified.
+// ApplyEncoded decodes a delta, applies it to base and returns the result, whose digest must be
+// want. A corrupted delta, one for another base or one with another result is an error. base is
+// not modified.
 func ApplyEncoded(base *Content, body []byte, want Digest) (*Content, error) {
 	dt, err := Unmarshal(body)
 	if err != nil {
--- a/internal/conf/pack/history.go
+++ b/internal/conf/pack/history.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// EncodedDelta returns the encoded delta from the content base to the content next, if base is kept and
-// next is the newest content.
+// EncodedDelta returns the encoded delta from the content base to the content next, if base is kept
+// and next is the newest content.
 func (hi *History) EncodedDelta(base, next Digest) ([]byte, bool) {
 	hi.mu.Lock()
 	defer hi.mu.Unlock()
--- a/internal/conf/pack/pack_test.go
+++ b/internal/conf/pack/pack_test.go
@@ -130,8 +130,8 @@
 	// vm/b
 }
 
-// TestSizes limits the encoded size of a full content, and of a delta that changes one route, at the
-// target scale of 790 VMs in 5 failure domains with 73 services.
+// TestSizes limits the encoded size of a full content, and of a delta that changes one route, at
+// the target scale of 790 VMs in 5 failure domains with 73 services.
 func TestSizes(t *testing.T) {
 	ms := sample.Mesh(790, 5, 73)
 	a, err := Encode(ms)
--- a/internal/node/admin/admin.go
+++ b/internal/node/admin/admin.go
@@ -117,8 +117,8 @@
 	SetLogSample func(share float64)
 	// Vars are the daemon's metrics.
 	Vars *expvar.Map
-	// OnWriteError, if set, is called when an answer could not be sent, for example because the client
-	// has gone.
+	// OnWriteError, if set, is called when a response could not be sent, for example because the
+	// client has disconnected.
 	OnWriteError func(err error)
 }
 
@@ -225,7 +225,7 @@
 	hs.reportWrite(err)
 }
 
-// reportWrite reports an error of writing an answer, if any.
+// reportWrite reports an error of writing a response, if any.
 func (hs *Handlers) reportWrite(err error) {
 	if err != nil && hs.OnWriteError != nil {
 		hs.OnWriteError(err)
--- a/internal/node/cmds/account.go
+++ b/internal/node/cmds/account.go
@@ -23,7 +23,7 @@
 		Name: "account", ShortUsage: "flamingomast account LOG...", FlagSet: fs, Options: envOption(),
 		ShortHelp: "Summarize the outcomes of the requests in daemons' logs.",
 		LongHelp: "The daemons' logs are given as files, in any order. Daemons leave out lines under load;\n" +
-			"their number is printed, and the counts are then lower limits.",
+			"their number is printed, and the counts are then lower bounds.",
 		Exec: func(_ context.Context, files []string) error {
 			if len(files) == 0 {
 				return usageError("flamingomast account: name the logs")
@@ -82,19 +82,19 @@
 	}
 	ap.printFleet(ac.Fleet)
 	if ac.DroppedLines > 0 {
-		fmt.Fprintf(ap.out, "\nthe daemons left out %d lines, so all counts are lower limits\n", ac.DroppedLines)
+		fmt.Fprintf(ap.out, "\nthe daemons left out %d lines, so all counts are lower bounds\n", ac.DroppedLines)
 	}
 	ap.printSkipped(ac.Skipped)
 	return nil
 }
 
-// printFleet prints the memory, processor time and traffic of the daemons.
+// printFleet prints the memory, CPU time and traffic of the daemons.
 func (ap *app) printFleet(fl *acct.Fleet) {
 	if fl == nil {
 		return
 	}
 	const mega = 1e6
-	fmt.Fprintf(ap.out, "\n%d processes: %.1f MB resident on average, %.1f at most; %.1f s of processor time; %.1f MB of control traffic and %.1f MB of requests sent\n",
+	fmt.Fprintf(ap.out, "\n%d processes: %.1f MB resident on average, %.1f at most; %.1f s of CPU time; %.1f MB of control traffic and %.1f MB of requests sent\n",
 		fl.Processes, float64(fl.Resident)/mega, float64(fl.MaxResident)/mega, fl.CPUTime.Seconds(), float64(fl.ControlBytes)/mega, float64(fl.PathBytes)/mega)
 	for _, row := range []struct {
 		name string
--- a/internal/node/cmds/cmds.go
+++ b/internal/node/cmds/cmds.go
@@ -39,8 +39,8 @@
 	ExitPlatform = 6 // the platform does not answer or was set back
 )
 
-// minMemoryLimit is the lowest soft memory limit set for the Go runtime. It lies below the 32 MB that
-// the whole process may use, which include the program text.
+// minMemoryLimit is the lowest soft memory limit set for the Go runtime. It lies below the 32 MB
+// that the whole process may use, which include the program text.
 const minMemoryLimit = 22 << 20
 
 // memoryFraction is the fraction of a larger memory setting that the runtime may use. With a limit
--- a/internal/node/cmds/dev.go
+++ b/internal/node/cmds/dev.go
@@ -109,7 +109,7 @@
 	fs.StringVar(&sr.Calls, "calls", "", "service to call once for each request")
 	fs.StringVar(&sr.Outlet, "outlet", "", "outlet of the VM's daemon for these calls, IP:PORT")
 	printRuns := fs.Bool("print-runs", false, "print a line for each request that starts")
-	fault := fs.String("fault", "", "fault to produce instead of an answer: "+faultNames())
+	fault := fs.String("fault", "", "fault to produce instead of a response: "+faultNames())
 	return &ffcli.Command{
 		Name: "dev-server", ShortUsage: "flamingomast dev-server --vm VM --service SERVICE --daemon ADDR", FlagSet: fs, Options: envOption(),
 		ShortHelp: "Run a small backend server that announces itself, for tests.",
@@ -129,7 +129,7 @@
 			}
 			if *printRuns {
 				sr.Began = func(run demo.Ran) {
-					// A failed write means that the reader of the lines is gone.
+					// A write fails only if the reader of the output has closed it.
 					_ = ap.printJSON(run)
 				}
 			}
--- a/internal/node/cmds/explain.go
+++ b/internal/node/cmds/explain.go
@@ -59,7 +59,7 @@
 
 func (ap *app) printSkipped(sk trail.Skipped) {
 	if sk.Foreign+sk.Malformed > 0 {
-		fmt.Fprintf(ap.out, "\npassed over: %d lines of others, %d that cannot be read\n", sk.Foreign, sk.Malformed)
+		fmt.Fprintf(ap.out, "\nskipped: %d lines of other programs, %d malformed lines\n", sk.Foreign, sk.Malformed)
 	}
 }
 
--- a/internal/node/cmds/fleet.go
+++ b/internal/node/cmds/fleet.go
@@ -18,7 +18,7 @@
 // daemonTimeout is the time limit of a request to a daemon.
 const daemonTimeout = 5 * time.Second
 
-// callDaemon sends a request to the daemon's admin address and decodes the answer into result.
+// callDaemon sends a request to the daemon's admin address and decodes the response into result.
 func (ap *app) callDaemon(ctx context.Context, method, path string, result any) error {
 	if ap.daemon == "" {
 		return usageError("--daemon is not set; give the admin address of any daemon")
--- a/internal/node/setup/doc.go
+++ b/internal/node/setup/doc.go
@@ -1,3 +1,3 @@
-// Package setup reads the settings of a daemon from flags, environment variables and a YAML file, and
-// validates all of them before anything starts.
+// Package setup reads the settings of a daemon from flags, environment variables and a YAML file,
+// and validates all of them before anything starts.
 package setup
--- a/internal/node/setup/setup.go
+++ b/internal/node/setup/setup.go
@@ -110,7 +110,7 @@
 	fs.StringVar(&rw.logSample, "access-log-sample", "1", "share of answered requests that are logged, 0 to 1; their number is bounded in any case")
 	fs.StringVar(&rw.drainTimeout, "drain-timeout", "30s", "how long a shutdown waits for running requests")
 	fs.StringVar(&rw.memoryMB, "memory-mb", "32", "memory limit of the whole process in megabytes")
-	fs.StringVar(&rw.linkMbps, "link-mbps", "0", "rate of the VM's network link in Mbit/s, used to pace large answers; 0 for no pacing")
+	fs.StringVar(&rw.linkMbps, "link-mbps", "0", "rate of the VM's network link in Mbit/s, used to pace large responses; 0 for no pacing")
 	fs.StringVar(&rw.retryRatio, "retry-ratio", "", "retries allowed per request of a service, over all daemons; 0.2 unless set, 0 for none")
 	fs.StringVar(&rw.retrySpare, "retry-spare", "", "additional retries of a service that all daemons together may send within a few seconds; 50 unless set")
 	fs.StringVar(&rw.firstStart, "first-start", "false", "true while the whole mesh starts for the first time, so that nothing has to be read from the platform; false at every later start")
@@ -334,8 +334,8 @@
 // maxLinkMbps is the highest accepted link rate in Mbit/s.
 const maxLinkMbps = 1_000_000
 
-// minMemoryMB is the lowest accepted memory limit in megabytes: the memory of an idle daemon and some
-// room for requests.
+// minMemoryMB is the lowest accepted memory limit in megabytes: the memory of an idle daemon and
+// some room for requests.
 const minMemoryMB = 24
 
 func (rd *Reader) name(setting, value string) string {
--- a/internal/node/setup/setup_test.go
+++ b/internal/node/setup/setup_test.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestPrecedence checks that flags take precedence over the environment, and the environment over the
-// file.
+// TestPrecedence checks that flags take precedence over the environment, and the environment over
+// the file.
 func TestPrecedence(t *testing.T) {
 	t.Setenv("FLAMINGOMAST_FAILURE_DOMAIN", "from-environment")
 	t.Setenv("FLAMINGOMAST_VM", "from-environment")
--- a/internal/plat/guard/guard.go
+++ b/internal/plat/guard/guard.go
@@ -45,7 +45,7 @@
 	return gd
 }
 
-// ResetBreaker closes the breaker. It is called when the store is known to answer other
+// ResetBreaker closes the breaker. It is called when the store is known to respond to other
 // daemons again.
 func (gd *Guard) ResetBreaker() {
 	gd.breaker.Store(gobreaker.NewCircuitBreaker[any](gobreaker.Settings{
--- a/internal/plat/guard/guard_test.go
+++ b/internal/plat/guard/guard_test.go
@@ -11,7 +11,7 @@
 
 // TestOutage guards against a daemon that keeps calling the platform during an outage of a
 // minute, and against a breaker that stays half-open after it: a long watch as the first call
-// must not block the calls beside it.
+// must not block concurrent calls.
 func TestOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := stand.New()
@@ -33,7 +33,7 @@
 		}()
 		synctest.Wait()
 		if _, err := kv.Get(t.Context(), "a"); err != nil {
-			t.Errorf("Get beside the first watch after the outage: %v", err)
+			t.Errorf("Get during the first watch after the outage: %v", err)
 		}
 		if err := <-watchErr; err != nil {
 			t.Errorf("first watch after the outage: %v", err)
--- a/internal/plat/memnet/memnet.go
+++ b/internal/plat/memnet/memnet.go
@@ -93,7 +93,7 @@
 	return nw.hosts[addr]
 }
 
-// CloseConns closes all connections of a host, as when its process dies.
+// CloseConns closes all connections of a host, as when its process is killed.
 func (nw *Network) CloseConns(ho *Host) {
 	nw.mu.Lock()
 	var pipes []*pipe
--- a/internal/stat/acct/acct.go
+++ b/internal/stat/acct/acct.go
@@ -34,21 +34,21 @@
 	Name    string `json:"name"`
 	Service string `json:"service"`
 	Counts
-	// CallerRetries counts the requests that callers had sent before, Retries the outlets' attempts
+	// CallerRetries counts the requests that are retries of callers, Retries the outlets' attempts
 	// beyond the first at each request.
 	CallerRetries int `json:"back"`
 	Retries       int `json:"again"`
 	// Reasons counts the refused and failed requests by outcome and reason.
 	Reasons map[string]int `json:"reasons"`
 	// AvoidableRefusals counts refusals for lack of slots while a server of the service had a free
-	// slot, as far as the logged answers show.
+	// slot, as far as the logged requests show.
 	AvoidableRefusals int `json:"beside-free"`
 	// NotDelivered counts the failed requests that, according to the inlets, no backend server
-	// received. Their callers cannot know this, so they may not repeat a request that must not
+	// received. Their callers cannot know this, so they may not retry a request that must not
 	// run twice.
 	NotDelivered int `json:"not-reached"`
-	// FailedCalls counts the refused and failed requests for which a call made on their behalf was
-	// not answered, by the route of the call.
+	// FailedCalls counts the refused and failed requests for which a call made on their behalf got
+	// no response, by the route of the call.
 	FailedCalls map[string]int `json:"by-call"`
 	// Elapsed is the time that callers had spent on a request before it arrived, Wait the wait for
 	// a slot, ServiceTime the time in the slot, and Took the total time at the outlet. They cover
@@ -228,7 +228,7 @@
 }
 
 // failedCalls returns, by request ID, the route of the first call made on behalf of the request
-// that was not answered. The ID of a call is that of its request, a dot and a name.
+// that got no response. The ID of a call is that of its request, a dot and a name.
 func failedCalls(requests []*trail.Line) map[string]string {
 	calls := map[string]string{}
 	for _, ln := range requests {
--- a/internal/stat/acct/fleet.go
+++ b/internal/stat/acct/fleet.go
@@ -18,7 +18,7 @@
 	MaxResident int64         `json:"resident-bytes-most"`
 	CPUTime     time.Duration `json:"processor"`
 	// ControlBytes and PathBytes are the bytes that daemons sent to each other: control messages,
-	// and requests with their answers.
+	// and requests with their responses.
 	ControlBytes int64 `json:"control-bytes"`
 	PathBytes    int64 `json:"path-bytes"`
 	// StoreCalls counts calls to the platform's store and StoreBytesRead the bytes that they
@@ -31,15 +31,15 @@
 // processes keeps the last usage line of each process. The counts in a line start from zero with
 // the process. The zero value is ready for use.
 type processes struct {
-	// last holds the last line of each VM's present process, replaced those of its earlier
-	// processes.
+	// last holds the last line of each VM's current process, replaced those of its
+	// predecessors.
 	last        map[string]*trail.Line
 	replaced    []*trail.Line
 	maxResident int64
 }
 
-// add records a usage line. The lines of a VM must be added in order of time. A processor time
-// below that of the line before means that a new process has started.
+// add records a usage line. The lines of a VM must be added in order of time. A CPU time below
+// that of the line before means that a new process has started.
 func (ps *processes) add(ln *trail.Line) {
 	if ps.last == nil {
 		ps.last = map[string]*trail.Line{}
--- a/internal/stat/acct/slots.go
+++ b/internal/stat/acct/slots.go
@@ -22,7 +22,7 @@
 
 type span struct{ from, until time.Time }
 
-// slotUseOf derives the use of slots from answered requests: a slot was in use until the answer
+// slotUseOf derives the use of slots from answered requests: a slot was in use until the response
 // arrived, for the service time that the inlet reported. slots holds the number of slots by VM.
 func slotUseOf(requests []*trail.Line, slots map[string]int) slotUse {
 	all := slotUse{}
--- a/internal/stat/logs/events.go
+++ b/internal/stat/logs/events.go
@@ -4,10 +4,10 @@
 const (
 	// Request records the outcome of a request at the outlet that received it.
 	Request = "request"
-	// Attempt is an attempt at one backend server that did not yield an answer.
+	// Attempt is an attempt at one backend server that did not yield a response.
 	Attempt = "attempt"
 	// InletRefused is a request that an inlet did not forward to its backend server, InletFailed
-	// one that it forwarded and that was not answered.
+	// one that it forwarded and that got no response.
 	InletRefused = "inlet-refused"
 	InletFailed  = "inlet-failed"
 	// SetDeadlineFailed is a failure to set the deadline of a caller's connection: the caller has
@@ -17,8 +17,8 @@
 	ServerCrashed = "backend-server-ended"
 	// RunningAtCrash is a request that a backend server was running when it crashed.
 	RunningAtCrash = "ended-under"
-	// PoisonFound is a request that is not run any more because servers crash on it,
-	// PoisonCleared one that has since been answered.
+	// PoisonFound is a request that is no longer sent because it is a poison request: backend
+	// servers crash when they run it. PoisonCleared is one that has since been answered.
 	PoisonFound   = "poison-found"
 	PoisonCleared = "poison-cleared"
 	// PoisonRefused is a request that an outlet did not send because it is a poison request.
@@ -66,7 +66,7 @@
 	// nanoseconds.
 	Elapsed = "elapsed"
 	// Wait is the time that a request waited for a slot, ServiceTime the time from then until its
-	// answer had been read, in nanoseconds, as reported by the inlet.
+	// response had been read, in nanoseconds, as reported by the inlet.
 	Wait        = "wait"
 	ServiceTime = "held"
 	// Load is, on lines of an inlet, a result.Load as text: running requests, waiting requests,
--- a/internal/stat/trail/cause.go
+++ b/internal/stat/trail/cause.go
@@ -149,8 +149,8 @@
 	return list
 }
 
-// mayHaveRun explains why a request that was sent got no answer: the backend server, the daemon
-// beside it or the connection failed.
+// mayHaveRun explains why a request that was sent got no response: the backend server, the daemon
+// on its VM or the connection failed.
 func (co *Collector) mayHaveRun(end *Line) []string {
 	to := end.Text(logs.TargetVM)
 	list := []string{fmt.Sprintf("it was sent to %s and no answer says that it has not run (%s)", to, end.Text(logs.Reason))}
