--- a/internal/conf/accept/submit.go
+++ b/internal/conf/accept/submit.go
@@ -77,7 +77,7 @@
 	for i, ky := range er.Keys {
 		names[i] = ky.String()
 	}
-	return fmt.Sprintf("conflict: %s changed since version %d, by version %d (author %q, commit %q); take that version's changes in and submit again with --base %d",
+	return fmt.Sprintf("conflict: %s changed since version %d, by version %d (author %q, commit %q); merge that version's changes and submit again with --base %d",
 		strings.Join(names, ", "), er.Base, er.Theirs.Version, er.Theirs.Author, er.Theirs.Commit, er.Theirs.Version)
 }
 
--- a/internal/conf/decl/decl_test.go
+++ b/internal/conf/decl/decl_test.go
@@ -27,7 +27,7 @@
 		name, text string
 		want       []string
 	}{
-		{"invalid YAML", "regions: [", []string{`m.yaml:1: not YAML: did not find expected node content; mend the syntax on that line`}},
+		{"invalid YAML", "regions: [", []string{`m.yaml:1: not YAML: did not find expected node content; fix the syntax on that line`}},
 		{"unknown key", "servics: []", []string{`m.yaml:1:1: unknown key "servics"; did you mean "services"?`}},
 		{"unknown inner key", "regions: [{name: a, zone: b}]", []string{`m.yaml:1:21: unknown key "zone"; known are name`}},
 		{"repeated key", "regions: []\nregions: []", []string{`m.yaml:2:1: key "regions" is already on line 1; remove one of the two`}},
--- a/internal/conf/strict/strict.go
+++ b/internal/conf/strict/strict.go
@@ -28,7 +28,7 @@
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
-		de.prs.Add(syntaxPos(file, err), "not YAML: "+syntaxMessage(err), "mend the syntax on that line")
+		de.prs.Add(syntaxPos(file, err), "not YAML: "+syntaxMessage(err), "fix the syntax on that line")
 		return de.prs
 	}
 	de.decodeValue(doc.Content[0], reflect.ValueOf(dst).Elem(), "the file")
--- a/internal/node/admin/admin_test.go
+++ b/internal/node/admin/admin_test.go
@@ -71,7 +71,7 @@
 		"the platform shows version 4, the fleet knows version 9: the platform was set back",
 		"failure domain e: refused by y: no",
 		"failure domain b has 3 daemons and no backend server that serves",
-		"failure domain c is cut off from v",
+		"failure domain c is unreachable from v",
 		"failure domain d has reported nothing",
 		"failure domain e: no contact with z",
 		"the platform does not answer: down",
@@ -93,7 +93,7 @@
 		{Name: "e", Unknown: true},
 		{Name: "f"},
 	}}
-	if diff := cmp.Diff([]string{"VM b1", "failure domain c", "failure domain d (cut off)"}, st.Missing(5)); diff != "" {
+	if diff := cmp.Diff([]string{"VM b1", "failure domain c", "failure domain d (unreachable)"}, st.Missing(5)); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 }
--- a/internal/node/admin/alarm.go
+++ b/internal/node/admin/alarm.go
@@ -31,7 +31,7 @@
 	for _, ds := range st.Domains {
 		switch {
 		case ds.Unreachable:
-			add("check the network between the failure domains", "failure domain %s is cut off from %s", ds.Name, st.VM)
+			add("check the network between the failure domains", "failure domain %s is unreachable from %s", ds.Name, st.VM)
 		case ds.Unknown:
 			add("start daemons there, or check the network", "failure domain %s has reported nothing", ds.Name)
 		case ds.Members > 0 && ds.Serving == 0:
--- a/internal/node/admin/status.go
+++ b/internal/node/admin/status.go
@@ -95,7 +95,7 @@
 	for _, ds := range st.Domains {
 		switch {
 		case ds.Unreachable:
-			list = append(list, "failure domain "+ds.Name+" (cut off)")
+			list = append(list, "failure domain "+ds.Name+" (unreachable)")
 		case ds.Unknown || ds.Members == 0 || ds.Lowest >= version:
 		case ds.Highest < version:
 			list = append(list, "failure domain "+ds.Name)
--- a/internal/node/cmds/fleet.go
+++ b/internal/node/cmds/fleet.go
@@ -164,7 +164,7 @@
 			}
 		}
 		if ds.Unreachable {
-			remarks = append(remarks, "cut off")
+			remarks = append(remarks, "unreachable")
 		}
 		if ds.Unknown {
 			versions = "?"
--- a/internal/node/setup/setup_test.go
+++ b/internal/node/setup/setup_test.go
@@ -74,7 +74,7 @@
 			`daemon.yaml:1:1: the settings must be a mapping; write each as "name: value"`,
 		}},
 		{"not YAML", settings("", "seeds: [\n"), nil, []string{
-			`daemon.yaml:6: not YAML: did not find expected node content; mend the syntax on that line`,
+			`daemon.yaml:6: not YAML: did not find expected node content; fix the syntax on that line`,
 		}},
 		{"host name", settings("inlet", "inlet: localhost:7001\n"), nil, []string{
 			`daemon.yaml:5:8: inlet is "localhost:7001"; set it to an IP address and port such as 10.0.0.1:7000`,
--- a/internal/stat/acct/acct.go
+++ b/internal/stat/acct/acct.go
@@ -47,8 +47,8 @@
 	// received. Their callers cannot know this, so they may not retry a request that must not
 	// run twice.
 	NotDelivered int `json:"not-reached"`
-	// FailedCalls counts the refused and failed requests for which a call made on their behalf got
-	// no response, by the route of the call.
+	// FailedCalls counts the refused and failed requests for which a call made on their behalf was
+	// not answered, by the route of the call.
 	FailedCalls map[string]int `json:"by-call"`
 	// Elapsed is the time that callers had spent on a request before it arrived, Wait the wait for
 	// a slot, ServiceTime the time in the slot, and Took the total time at the outlet. They cover
@@ -228,7 +228,7 @@
 }
 
 // failedCalls returns, by request ID, the route of the first call made on behalf of the request
-// that got no response. The ID of a call is that of its request, a dot and a name.
+// that was not answered. The ID of a call is that of its request, a dot and a name.
 func failedCalls(requests []*trail.Line) map[string]string {
 	calls := map[string]string{}
 	for _, ln := range requests {
--- a/internal/stat/logs/events.go
+++ b/internal/stat/logs/events.go
@@ -4,10 +4,10 @@
 const (
 	// Request records the outcome of a request at the outlet that received it.
 	Request = "request"
-	// Attempt is an attempt at one backend server that did not yield a response.
+	// Attempt is an attempt at one backend server that did not yield an answer from it.
 	Attempt = "attempt"
 	// InletRefused is a request that an inlet did not forward to its backend server, InletFailed
-	// one that it forwarded and that got no response.
+	// one that it forwarded and that was not answered.
 	InletRefused = "inlet-refused"
 	InletFailed  = "inlet-failed"
 	// SetDeadlineFailed is a failure to set the deadline of a caller's connection: the caller has
--- a/internal/stat/trail/cause.go
+++ b/internal/stat/trail/cause.go
@@ -149,7 +149,7 @@
 	return list
 }
 
-// mayHaveRun explains why a request that was sent got no response: the backend server, the daemon
+// mayHaveRun explains why a request that was sent was not answered: the backend server, the daemon
 // on its VM or the connection failed.
 func (co *Collector) mayHaveRun(end *Line) []string {
 	to := end.Text(logs.TargetVM)
