--- a/internal/stat/acct/slots.go
+++ b/internal/stat/acct/slots.go
@@ -48,7 +48,8 @@
 	return all
 }
 
-// maxServiceTime is the longest time that a slot is assumed to be in use. It bounds the spans to search.
+// maxServiceTime is the longest time that a slot is assumed to be in use. It bounds the spans to
+// search.
 const maxServiceTime = 5 * time.Second
 
 // inUseAt returns how many slots were in use at a given time.
