--- a/cmd/flamingomast/soak_test.go
+++ b/cmd/flamingomast/soak_test.go
@@ -22,12 +22,12 @@
 		{At: 6 * time.Second, Kind: soak.PauseDaemon, VM: 3, For: time.Second},
 		{At: 7 * time.Second, Kind: soak.DrainServer, VM: 4, For: 300 * time.Millisecond},
 	}
-	runSoak(t, soak.Options{For: 14 * time.Second, Plan: plan})
+	runSoak(t, soak.Options{Duration: 14 * time.Second, Plan: plan})
 }
 
 // TestSoakPlanned guards against requests that are lost around stops of daemons in series.
 func TestSoakPlanned(t *testing.T) {
-	runSoak(t, soak.Options{Seed: 1, For: 15 * time.Second, Planned: true})
+	runSoak(t, soak.Options{Seed: 1, Duration: 15 * time.Second, Planned: true})
 }
 
 // runSoak runs a small mesh of processes and fails with what its checks found.
--- a/internal/node/cmds/dev.go
+++ b/internal/node/cmds/dev.go
@@ -37,7 +37,7 @@
 				dir = args[0]
 			}
 			log := slog.New(slog.NewJSONHandler(ap.out, nil))
-			summary, err := demo.Run(ctx, demo.Options{Dir: dir, For: *dur, Log: log})
+			summary, err := demo.Run(ctx, demo.Options{Dir: dir, Duration: *dur, Log: log})
 			if summary != nil {
 				if perr := ap.printJSON(summary); perr != nil {
 					return perr
@@ -96,16 +96,16 @@
 
 func (ap *app) devServerCmd() *ffcli.Command {
 	fs := ap.newFlagSet("dev-server")
-	sr := &demo.Server{Ledger: &demo.Ledger{}}
+	sr := &demo.Server{RunCounter: &demo.RunCounter{}}
 	fs.StringVar(&sr.VM, "vm", "", "name of the VM")
 	fs.StringVar(&sr.Service, "service", "", "service to announce")
 	fs.StringVar(&sr.Listen, "listen", "127.0.0.1:0", "address to serve, IP:PORT")
 	fs.StringVar(&sr.Admin, "daemon", "", "admin address of the VM's daemon, IP:PORT")
-	fs.DurationVar(&sr.Work, "work", 0, "mean processing time of a request")
+	fs.DurationVar(&sr.ServiceTime, "work", 0, "mean processing time of a request")
 	fs.StringVar(&sr.Software, "software", "", "software version to announce")
-	fs.Float64Var(&sr.Failing, "failing", 0, "share of the requests, 0 to 1, that are answered with 500")
-	fs.StringVar(&sr.FailingPath, "failing-path", "/", "path prefix of the requests that --failing applies to")
-	fs.DurationVar(&sr.FailingAfter, "failing-after", 0, "time after the start before --failing applies")
+	fs.Float64Var(&sr.FailureRate, "failing", 0, "share of the requests, 0 to 1, that are answered with 500")
+	fs.StringVar(&sr.FailurePath, "failing-path", "/", "path prefix of the requests that --failing applies to")
+	fs.DurationVar(&sr.FailureDelay, "failing-after", 0, "time after the start before --failing applies")
 	fs.StringVar(&sr.Calls, "calls", "", "service to call once for each request")
 	fs.StringVar(&sr.Outlet, "outlet", "", "outlet of the VM's daemon for these calls, IP:PORT")
 	printRuns := fs.Bool("print-runs", false, "print a line for each request that starts")
@@ -128,7 +128,7 @@
 				sr.Fault = fa.Handler
 			}
 			if *printRuns {
-				sr.Began = func(run demo.Ran) {
+				sr.OnRun = func(run demo.RunEvent) {
 					// A write fails only if the reader of the output has closed it.
 					_ = ap.printJSON(run)
 				}
@@ -185,7 +185,7 @@
 	fs.StringVar(&op.Path, "path", "/", "path of each request")
 	fs.IntVar(&op.Requests, "requests", 5000, "number of requests to each target")
 	fs.IntVar(&op.Workers, "workers", 1, "number of concurrent requests")
-	fs.DurationVar(&op.Pause, "pause", 400*time.Microsecond, "longest pause between two requests of a worker")
+	fs.DurationVar(&op.MaxPause, "pause", 400*time.Microsecond, "longest pause between two requests of a worker")
 	return &ffcli.Command{
 		Name: "dev-load", ShortUsage: "flamingomast dev-load [flags] NAME=ADDR...", FlagSet: fs, Options: envOption(),
 		ShortHelp: "Send requests to the addresses in turn, and compare their latencies with those of the first.",
--- a/internal/node/cmds/soak.go
+++ b/internal/node/cmds/soak.go
@@ -37,7 +37,7 @@
 			}
 			failed := 0
 			for i := range uint64(*seeds) {
-				op := soak.Options{Binary: binary, Seed: *seed + i, For: *duration, VMs: *vms, Planned: *planned, Log: slog.New(slog.NewJSONHandler(ap.err, nil))}
+				op := soak.Options{Binary: binary, Seed: *seed + i, Duration: *duration, VMs: *vms, Planned: *planned, Log: slog.New(slog.NewJSONHandler(ap.err, nil))}
 				op.Dir = filepath.Join(*dir, fmt.Sprint("seed-", op.Seed))
 				if err := os.MkdirAll(op.Dir, 0o755); err != nil {
 					return err
--- a/internal/node/demo/demo.go
+++ b/internal/node/demo/demo.go
@@ -26,9 +26,9 @@
 // Options sets a demonstration.
 type Options struct {
 	// Dir holds the declarations, For is how long requests are sent.
-	Dir string
-	For time.Duration
-	Log *slog.Logger
+	Dir      string
+	Duration time.Duration
+	Log      *slog.Logger
 }
 
 // Summary is what a demonstration ends with.
@@ -62,7 +62,7 @@
 	ms       *decl.Mesh
 	st       *stand.Service
 	platform string
-	ledger   Ledger
+	ledger   RunCounter
 
 	mu    sync.Mutex
 	units map[string]*unit // by VM
@@ -87,7 +87,7 @@
 	if len(ms.VMs) == 0 {
 		return nil, fmt.Errorf("%s declares no VMs", op.Dir)
 	}
-	op.For = max(op.For, minFor)
+	op.Duration = max(op.Duration, minFor)
 	ctx, cancel := context.WithCancel(ctx)
 	fl := &fleet{op: op, ms: ms, st: stand.New(), units: map[string]*unit{}}
 	// The order of the deferred calls matters: cancel, then wait.
@@ -148,7 +148,7 @@
 			fl.op.Log.Error("daemon-failed", slog.String("vm", vm.Name), slog.Any("error", err))
 		}
 	})
-	sr := &Server{VM: vm.Name, Service: vm.Service, Listen: "127.0.0.1:0", Admin: se.Admin, Work: workTime, Ledger: &fl.ledger}
+	sr := &Server{VM: vm.Name, Service: vm.Service, Listen: "127.0.0.1:0", Admin: se.Admin, ServiceTime: workTime, RunCounter: &fl.ledger}
 	fl.wg.Go(func() {
 		if err := sr.Run(sctx); err != nil {
 			fl.op.Log.Error("backend-server-failed", slog.String("vm", vm.Name), slog.Any("error", err))
@@ -252,7 +252,7 @@
 	callers.Go(func() { cl.run(cctx) })
 	fl.event("requests-start", slog.Int("vms", len(fl.ms.VMs)))
 
-	step := fl.op.For / 4
+	step := fl.op.Duration / 4
 	err := wait(ctx, step)
 	if err == nil {
 		err = fl.changeRule(ctx, sm)
@@ -264,7 +264,7 @@
 		err = fl.replaceVM(ctx, cl)
 	}
 	if err == nil {
-		err = wait(ctx, fl.op.For-2*step)
+		err = wait(ctx, fl.op.Duration-2*step)
 	}
 	stopCallers()
 	callers.Wait()
--- a/internal/node/demo/load.go
+++ b/internal/node/demo/load.go
@@ -23,7 +23,7 @@
 	// Requests is how many each target gets, Workers how many are under way at
 	// once, Pause the most time between two of a worker.
 	Requests, Workers int
-	Pause             time.Duration
+	MaxPause          time.Duration
 }
 
 // LoadTarget is an address with a name for it.
@@ -86,8 +86,8 @@
 		case n >= targets*int64(ld.op.Requests)/warmUp:
 			ld.times[i].Record(took)
 		}
-		if ld.op.Pause > 0 {
-			_ = wait(ctx, rand.N(ld.op.Pause))
+		if ld.op.MaxPause > 0 {
+			_ = wait(ctx, rand.N(ld.op.MaxPause))
 		}
 	}
 }
--- a/internal/node/demo/server.go
+++ b/internal/node/demo/server.go
@@ -20,14 +20,14 @@
 // IDHeader names a request, so that a server counts how often it ran.
 const IDHeader = "Request-Id"
 
-// Ledger counts how often each request ran, over all servers that share it.
-type Ledger struct {
+// RunCounter counts how often each request ran, over all servers that share it.
+type RunCounter struct {
 	mu  sync.Mutex
 	ran map[string]int
 }
 
 // Run notes that a request runs.
-func (le *Ledger) Run(id string) {
+func (le *RunCounter) Run(id string) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	if le.ran == nil {
@@ -37,7 +37,7 @@
 }
 
 // Doubled returns how many requests ran more than once.
-func (le *Ledger) Doubled() int {
+func (le *RunCounter) Doubled() int {
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	n := 0
@@ -49,8 +49,8 @@
 	return n
 }
 
-// Ran is a line that says that a request began.
-type Ran struct {
+// RunEvent is a line that says that a request began.
+type RunEvent struct {
 	ID string `json:"ran"`
 }
 
@@ -63,41 +63,41 @@
 	VM, Service string
 	// Listen is where it serves, Admin the admin address of its daemon.
 	Listen, Admin string
-	// Work is the mean time that a request takes.
-	Work   time.Duration
-	Ledger *Ledger
+	// ServiceTime is the mean time that a request takes.
+	ServiceTime time.Duration
+	RunCounter  *RunCounter
 	// Software is the version that it announces, empty for none.
 	Software string
-	// Failing is the share of the requests, 0 to 1, that it answers with 500: those whose
-	// path begins with FailingPath, once it has run for FailingAfter.
-	Failing      float64
-	FailingPath  string
-	FailingAfter time.Duration
+	// FailureRate is the share of the requests, 0 to 1, that it answers with 500: those whose
+	// path begins with FailurePath, once it has run for FailureDelay.
+	FailureRate  float64
+	FailurePath  string
+	FailureDelay time.Duration
 	started      time.Time
 	// Calls is the service that it calls once for each request, by the outlet at Outlet;
 	// a request whose call fails is answered with 500.
 	Calls, Outlet string
-	// Began, if set, is called for each request that it begins.
-	Began func(Ran)
+	// OnRun, if set, is called for each request that it begins.
+	OnRun func(RunEvent)
 	// Fault, when set, is how it fails in place of answering.
 	Fault faulty.Handler
 }
 
 // ServeHTTP answers one request.
 func (sr *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if id := r.Header.Get(IDHeader); id != "" && sr.Ledger != nil {
-		sr.Ledger.Run(id)
-		if sr.Began != nil {
-			sr.Began(Ran{ID: id})
+	if id := r.Header.Get(IDHeader); id != "" && sr.RunCounter != nil {
+		sr.RunCounter.Run(id)
+		if sr.OnRun != nil {
+			sr.OnRun(RunEvent{ID: id})
 		}
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 1<<20))
 	if err != nil {
 		return
 	}
-	if sr.Work > 0 {
+	if sr.ServiceTime > 0 {
 		select {
-		case <-time.After(sr.Work/2 + rand.N(sr.Work)):
+		case <-time.After(sr.ServiceTime/2 + rand.N(sr.ServiceTime)):
 		case <-r.Context().Done():
 			return
 		}
@@ -140,7 +140,7 @@
 
 // fails reports whether it fails a request for a path.
 func (sr *Server) fails(path string) bool {
-	return sr.Failing > 0 && time.Since(sr.started) >= sr.FailingAfter && strings.HasPrefix(path, sr.FailingPath) && rand.Float64() < sr.Failing
+	return sr.FailureRate > 0 && time.Since(sr.started) >= sr.FailureDelay && strings.HasPrefix(path, sr.FailurePath) && rand.Float64() < sr.FailureRate
 }
 
 // announceEvery is how often a server renews its announcement.
--- a/internal/node/soak/soak.go
+++ b/internal/node/soak/soak.go
@@ -18,7 +18,7 @@
 	// Binary is the command whose processes run, Dir where their output goes.
 	Binary, Dir string
 	Seed        uint64
-	For         time.Duration
+	Duration    time.Duration
 	VMs         int
 	// Planned draws only what operators do, in place of faults.
 	Planned bool
@@ -61,9 +61,9 @@
 	switch {
 	case op.Plan != nil:
 	case op.Planned:
-		op.Plan = DrawPlanned(op.Seed, op.VMs, op.For)
+		op.Plan = DrawPlanned(op.Seed, op.VMs, op.Duration)
 	default:
-		op.Plan = Draw(op.Seed, op.VMs, op.For)
+		op.Plan = Draw(op.Seed, op.VMs, op.Duration)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -128,7 +128,7 @@
 			return fmt.Errorf("%s: %w", st, err)
 		}
 	}
-	for time.Since(began) < wo.op.For && ctx.Err() == nil {
+	for time.Since(began) < wo.op.Duration && ctx.Err() == nil {
 		time.Sleep(lookInterval)
 		wo.look(ctx)
 	}
--- a/internal/node/soak/world.go
+++ b/internal/node/soak/world.go
@@ -228,7 +228,7 @@
 }
 
 func (wo *world) readRun(line string, target bool) {
-	var ran demo.Ran
+	var ran demo.RunEvent
 	if json.Unmarshal([]byte(line), &ran) == nil && ran.ID != "" {
 		wo.ledger.ran(ran.ID, target)
 	}
