--- a/internal/stat/acct/acct.go
+++ b/internal/stat/acct/acct.go
@@ -34,17 +34,17 @@
 	Name    string `json:"name"`
 	Service string `json:"service"`
 	Counts
-	// CallerRetries counts the requests that callers had sent before, Retries the outlets' attempts
+	// CallerRetries counts the requests that are retries of callers, Retries the outlets' attempts
 	// beyond the first at each request.
 	CallerRetries int `json:"back"`
 	Retries       int `json:"again"`
 	// Reasons counts the refused and failed requests by outcome and reason.
 	Reasons map[string]int `json:"reasons"`
 	// AvoidableRefusals counts refusals for lack of slots while a server of the service had a free
-	// slot, as far as the logged answers show.
+	// slot, as far as the logged requests show.
 	AvoidableRefusals int `json:"beside-free"`
 	// NotDelivered counts the failed requests that, according to the inlets, no backend server
-	// received. Their callers cannot know this, so they may not repeat a request that must not
+	// received. Their callers cannot know this, so they may not retry a request that must not
 	// run twice.
 	NotDelivered int `json:"not-reached"`
 	// FailedCalls counts the refused and failed requests for which a call made on their behalf was
