--- a/internal/mesh/board/board.go
+++ b/internal/mesh/board/board.go
@@ -99,15 +99,15 @@
 // It is the only writer of Latest, so Latest never decreases, in whatever order configurations
 // arrive.
 func (bd *Board) Offer(cfg *Config) bool {
-	taken := false
+	accepted := false
 	bd.Latest.Update(func(cur *Config) *Config {
 		if cur != nil && cfg.Version <= cur.Version {
 			return cur
 		}
-		taken = true
+		accepted = true
 		return cfg
 	})
-	return taken
+	return accepted
 }
 
 // RaiseFloor raises the floor to at least version. settle means that no peer is left to ask that
--- a/internal/mesh/ctrl/holds.go
+++ b/internal/mesh/ctrl/holds.go
@@ -194,7 +194,7 @@
 		return
 	}
 	if !nd.isRelay() {
-		nd.setCut(re.Domain, re.Cut)
+		nd.setUnreachable(re.Domain, re.Cut)
 		return
 	}
 	nd.mu.Lock()
@@ -204,9 +204,9 @@
 	}
 }
 
-func (nd *Node) setCut(domain string, cut bool) {
+func (nd *Node) setUnreachable(domain string, unreachable bool) {
 	nd.Board.Unreachable.Update(func(cur *board.DomainSet) *board.DomainSet {
-		if cur != nil && (*cur)[domain] == cut || cur == nil && !cut {
+		if cur != nil && (*cur)[domain] == unreachable || cur == nil && !unreachable {
 			return cur
 		}
 		next := board.DomainSet{}
@@ -216,7 +216,7 @@
 			}
 		}
 		delete(next, domain)
-		if cut {
+		if unreachable {
 			next[domain] = true
 		}
 		return &next
@@ -226,18 +226,18 @@
 // runHousekeeping runs the periodic tasks. A daemon that is no relay only sends the VMs that it
 // hears: the timers of a relay would wake it eight times a second for nothing.
 func (nd *Node) runHousekeeping(ctx context.Context) {
-	hrd := time.NewTicker(heardInterval)
-	defer hrd.Stop()
+	heardTick := time.NewTicker(heardInterval)
+	defer heardTick.Stop()
 	for ctx.Err() == nil {
 		links, changed := nd.Board.Links.Watch()
 		if links.Relay {
-			nd.runMaintenance(ctx, hrd.C)
+			nd.runMaintenance(ctx, heardTick.C)
 			continue
 		}
 		select {
 		case <-ctx.Done():
 		case <-changed:
-		case <-hrd.C:
+		case <-heardTick.C:
 			nd.sendHeard()
 		}
 	}
@@ -245,24 +245,24 @@
 
 // runMaintenance runs the periodic tasks of a relay until the daemon is no longer one.
 func (nd *Node) runMaintenance(ctx context.Context, heard <-chan time.Time) {
-	sum := time.NewTicker(summaryInterval)
-	defer sum.Stop()
-	tick := time.NewTicker(expire.CheckInterval)
-	defer tick.Stop()
-	rep := time.NewTicker(hashInterval)
-	defer rep.Stop()
+	summaryTick := time.NewTicker(summaryInterval)
+	defer summaryTick.Stop()
+	checkTick := time.NewTicker(expire.CheckInterval)
+	defer checkTick.Stop()
+	hashTick := time.NewTicker(hashInterval)
+	defer hashTick.Stop()
 	for nd.isRelay() {
 		select {
 		case <-ctx.Done():
 			return
-		case <-sum.C:
+		case <-summaryTick.C:
 			nd.sendSummary()
-		case <-tick.C:
+		case <-checkTick.C:
 			nd.expireMembers()
 			nd.checkReachability()
 		case <-heard:
 			nd.sendHeard()
-		case <-rep.C:
+		case <-hashTick.C:
 			nd.sendHashes()
 		}
 	}
@@ -353,15 +353,15 @@
 		if nd.lastReached[dm].IsZero() {
 			nd.lastReached[dm] = now
 		}
-		cut := now.Sub(nd.lastReached[dm]) > unreachableAfter
-		if cs := nd.Board.Unreachable.Get(); cut == (cs != nil && (*cs)[dm]) {
+		unreachable := now.Sub(nd.lastReached[dm]) > unreachableAfter
+		if cs := nd.Board.Unreachable.Get(); unreachable == (cs != nil && (*cs)[dm]) {
 			continue
 		}
-		nd.log.Warn("failure-domain-reach", slog.String("failure-domain", dm), slog.Bool("cut", cut))
-		nd.setCut(dm, cut)
+		nd.log.Warn("failure-domain-reach", slog.String("failure-domain", dm), slog.Bool("cut", unreachable))
+		nd.setUnreachable(dm, unreachable)
 		for pr := range nd.peers {
 			if pr.Record.Domain == nd.cf.Domain && !pr.Relay {
-				pr.SendReach(&wirepb.Reach{Domain: dm, Cut: cut})
+				pr.SendReach(&wirepb.Reach{Domain: dm, Cut: unreachable})
 			}
 		}
 	}
--- a/internal/mesh/ctrl/peers.go
+++ b/internal/mesh/ctrl/peers.go
@@ -196,9 +196,9 @@
 			pr.SendHeld(hd.toWire(vm))
 		}
 	}
-	cut := nd.Board.Unreachable.Get()
+	unreachable := nd.Board.Unreachable.Get()
 	for _, dm := range nd.otherDomains() {
-		pr.SendReach(&wirepb.Reach{Domain: dm, Cut: cut != nil && (*cut)[dm]})
+		pr.SendReach(&wirepb.Reach{Domain: dm, Cut: unreachable != nil && (*unreachable)[dm]})
 	}
 }
 
--- a/internal/mesh/ctrl/serve.go
+++ b/internal/mesh/ctrl/serve.go
@@ -238,8 +238,8 @@
 	for rc := range nd.Board.Members.Get().All {
 		res.Records = append(res.Records, rc.ToWire())
 	}
-	if cut := nd.Board.Unreachable.Get(); cut != nil {
-		for dm := range *cut {
+	if unreachable := nd.Board.Unreachable.Get(); unreachable != nil {
+		for dm := range *unreachable {
 			res.Cut = append(res.Cut, dm)
 		}
 	}
