--- a/internal/mesh/ctrl/epoch_test.go
+++ b/internal/mesh/ctrl/epoch_test.go
@@ -146,8 +146,8 @@
 	v := fl.apply(sample.Change(fl.ms, 1), 1)
 	fl.waitHeld(v, convergeLimit)
 	var reports []poison.Report
-	for end := range poison.RefuseThreshold {
-		reports = append(reports, poison.Report{Head: 1, Key: 7, Crash: poison.CrashID(end + 1), At: time.Now()})
+	for i := range poison.RefuseThreshold {
+		reports = append(reports, poison.Report{Head: 1, Key: 7, Crash: poison.CrashID(i + 1), At: time.Now()})
 	}
 	fl.nodes[fl.relays()[0]].ReportCrashes(reports)
 	time.Sleep(2 * time.Second)
--- a/internal/mesh/ctrl/follow_test.go
+++ b/internal/mesh/ctrl/follow_test.go
@@ -158,7 +158,7 @@
 				}, nd.offer)
 				go func() { _ = pr.Run(nd.ctx, nd.handlePacket) }()
 				hello := &wirepb.Hello{Protocol: Protocol, AgeMs: uint64(tc.processAge.Milliseconds()), Record: (&member.Record{VM: "vm-x", Domain: "d0", Incarnation: 1}).ToWire()}
-				told := 0
+				timesSent := 0
 				for range 2 {
 					nd.handlePacket(pr, &wirepb.Packet{Hello: hello})
 					nd.recordFreshRead(time.Now().Add(-tc.readAge), 7)
@@ -166,11 +166,11 @@
 				}
 				for len(sent) > 0 {
 					if pk := <-sent; pk.Newest == 7 {
-						told++
+						timesSent++
 					}
 				}
-				if (told == 1) != tc.want || told > 1 {
-					t.Errorf("newest version sent %d times", told)
+				if (timesSent == 1) != tc.want || timesSent > 1 {
+					t.Errorf("newest version sent %d times", timesSent)
 				}
 			})
 		})
--- a/internal/roll/judge/sim_test.go
+++ b/internal/roll/judge/sim_test.go
@@ -15,10 +15,10 @@
 
 // The limits that operators require of a rollout.
 const (
-	exposureShare  = 0.1
-	exposureSlack  = 50
-	rollbackLimit  = 5 * time.Second
-	badAnswerLimit = 50
+	exposureShare    = 0.1
+	exposureSlack    = 50
+	rollbackLimit    = 5 * time.Second
+	badResponseLimit = 50
 )
 
 // The timing of a simulated rollout.
@@ -78,7 +78,7 @@
 	state                         canary.State
 	endedAt                       time.Duration
 	targetRequests, totalRequests int
-	badLimitAt, lastTargetAt      time.Duration
+	limitReachedAt, lastTargetAt  time.Duration
 	evidence                      float64
 }
 
@@ -90,9 +90,9 @@
 		share         float64
 		targetServers int
 		// pending are decisions that have not taken effect yet.
-		pending    []pendingDecision
-		history    []snapshot
-		badAnswers int
+		pending      []pendingDecision
+		history      []snapshot
+		badResponses int
 	)
 	rs.state = canary.InProgress
 	nextTally := time.Duration(0)
@@ -105,7 +105,7 @@
 		if now >= si.burstAt && now < si.burstAt+si.burstFor {
 			rate *= si.burst
 		}
-		badAnswers += si.serve(&rs, now, rate, share, targetServers, badAnswers)
+		badResponses += si.serve(&rs, now, rate, share, targetServers, badResponses)
 		if si.countsLostAt > 0 && now >= si.countsLostAt {
 			si.countsLostAt = 0
 			for i, sr := range si.servers {
@@ -156,8 +156,8 @@
 	sums map[string]tally.Cohorts
 }
 
-// serve simulates the requests of one step and returns how many of the target's answers were bad.
-func (si *simulation) serve(rs *simResult, now time.Duration, rate, share float64, targetServers, badBefore int) (badAnswers int) {
+// serve simulates the requests of one step and returns how many of the target's responses were bad.
+func (si *simulation) serve(rs *simResult, now time.Duration, rate, share float64, targetServers, badBefore int) (badResponses int) {
 	var baseline, targets []*simServer
 	for _, sr := range si.servers {
 		switch {
@@ -205,13 +205,13 @@
 		rs.targetRequests++
 		rs.lastTargetAt = now
 		if affected && (si.defect.slowdown > 1 || failed) {
-			badAnswers++
-			if badBefore+badAnswers == badAnswerLimit {
-				rs.badLimitAt = now
+			badResponses++
+			if badBefore+badResponses == badResponseLimit {
+				rs.limitReachedAt = now
 			}
 		}
 	}
-	return badAnswers
+	return badResponses
 }
 
 func poisson(rnd *rand.Rand, mean float64) int {
@@ -388,7 +388,7 @@
 	if limit := int(exposureShare*float64(rs.totalRequests)) + exposureSlack; rs.targetRequests > limit {
 		t.Errorf("seed %d: %d of %d requests reached the bad version, limit %d (%s at %s)", seed, rs.targetRequests, rs.totalRequests, limit, rs.state, rs.endedAt)
 	}
-	if rs.badLimitAt > 0 && rs.lastTargetAt > rs.badLimitAt+rollbackLimit {
-		t.Errorf("seed %d: last request to the bad version at %s, 50th bad answer at %s", seed, rs.lastTargetAt, rs.badLimitAt)
+	if rs.limitReachedAt > 0 && rs.lastTargetAt > rs.limitReachedAt+rollbackLimit {
+		t.Errorf("seed %d: last request to the bad version at %s, 50th bad response at %s", seed, rs.lastTargetAt, rs.limitReachedAt)
 	}
 }
