--- a/internal/mesh/board/board.go
+++ b/internal/mesh/board/board.go
@@ -26,8 +26,8 @@
 	Members Cell[member.View]
 	// Self is the daemon's own record.
 	Self Cell[member.Record]
-	// Predecessor is what peers know of the VM's previous daemon process, nil until a peer has
-	// answered.
+	// Predecessor is what peers know of the predecessor of this daemon process, nil until a peer
+	// has answered.
 	Predecessor Cell[Predecessor]
 	// Links lists the peers that the daemon is connected to, and whether it is a relay.
 	Links Cell[Links]
@@ -47,7 +47,7 @@
 	Replaced Cell[member.Record]
 }
 
-// Predecessor is what peers know of a VM's previous daemon process.
+// Predecessor is what peers know of the daemon process of the VM that ran before this one.
 type Predecessor struct {
 	// Departure is the zero value as long as no peer knows of a departure.
 	member.Departure
--- a/internal/mesh/ctrl/crashes.go
+++ b/internal/mesh/ctrl/crashes.go
@@ -15,10 +15,10 @@
 // first.
 const maxInitialReports = 128
 
-// singleCrashRate and singleCrashBurst bound how many reports of requests that only one server
-// crashed under a daemon forwards per second. When all servers crash repeatedly, as with a faulty
-// version, each crash involves requests not seen before, and their reports would fill the links of
-// the relays. A request that more than one server crashed under is always reported.
+// singleCrashRate and singleCrashBurst bound how many reports a daemon forwards per second of
+// requests that were running during a single crash only. When all servers crash repeatedly, as with
+// a faulty version, each crash involves requests not seen before, and their reports would fill the
+// links of the relays. A request that was running during more than one crash is always reported.
 const (
 	singleCrashRate  = 10
 	singleCrashBurst = 200
@@ -57,8 +57,8 @@
 }
 
 // reportsToForward selects the reports to forward from those added between two views. Of a request
-// that more than one server crashed under it returns all known reports, since the first one may not
-// have been forwarded; reports of a single crash are subject to singleCrashLimiter.
+// that was running during more than one crash it returns all known reports, since the first one may
+// not have been forwarded; reports of a single crash are subject to singleCrashLimiter.
 func (nd *Node) reportsToForward(added []poison.Report, before, after *poison.View) (forward []poison.Report) {
 	dropped := 0
 	for _, re := range added {
--- a/internal/mesh/ctrl/crashes_test.go
+++ b/internal/mesh/ctrl/crashes_test.go
@@ -94,8 +94,8 @@
 }
 
 // TestCrashReportsSurviveRestart: three servers crash under a request, and then all daemons are
-// killed at once. When the reports were kept only in the daemons, the new processes knew nothing of
-// them and three more servers crashed. The daemons that follow the store must write the reports to
+// killed at once. If only the daemons kept the reports, the new processes would know nothing of them
+// and three more servers would crash. The daemons that follow the store must write the reports to
 // it, and read them first when they start.
 func TestCrashReportsSurviveRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -120,7 +120,7 @@
 
 // TestCrashReportsAcrossPartition: a failure domain is cut off from the others, but not from the
 // store. Three servers crash under a request on one side of the partition. No link carries the
-// reports to the other side, so when the caller retried there, three more servers crashed. The
+// reports to the other side, so if the caller retried there, three more servers would crash. The
 // daemons that follow the store on the other side must find the reports in the store.
 func TestCrashReportsAcrossPartition(t *testing.T) {
 	for _, inside := range []bool{false, true} {
@@ -151,8 +151,8 @@
 }
 
 // TestCrashReportsBounded: a faulty version makes all servers crash every five seconds, each time with
-// eight requests not seen before. While daemons only bounded the reports of their own servers, the
-// busiest relay sent 44.6 KB/s of reports. Each daemon must bound the reports that it forwards, and a
+// eight requests not seen before. If daemons bound only the reports of their own servers, the busiest
+// relay sends 44.6 KB/s of reports. Each daemon must bound the reports that it forwards, and a
 // request that crashes three servers meanwhile must still become known to all.
 func TestCrashReportsBounded(t *testing.T) {
 	const (
--- a/internal/mesh/ctrl/directory.go
+++ b/internal/mesh/ctrl/directory.go
@@ -212,8 +212,8 @@
 }
 
 // renew renews the lease and reports whether there is one. The lease may have expired while this
-// process was paused; this is harmless, since the key is only a hint and the error Gone leads to a
-// new registration. If the platform does not answer, the next round tries again.
+// process was paused; this is harmless, since the key is only a hint and the error LeaseNotFound
+// leads to a new registration. If the platform does not answer, the next round tries again.
 func (rg *registration) renew(ctx context.Context) bool {
 	if rg.lease == (store.LeaseID{}) {
 		return false
--- a/internal/mesh/ctrl/directory_test.go
+++ b/internal/mesh/ctrl/directory_test.go
@@ -6,8 +6,8 @@
 )
 
 // TestReadEntry: something other than a daemon has written keys under the directory's prefix. A
-// daemon that accepted their values as addresses waited for answers that never came, and started
-// without the peers that exist.
+// daemon that accepted their values as addresses would wait for responses that never come, and
+// start without the peers that exist.
 func TestReadEntry(t *testing.T) {
 	for _, tc := range []struct{ key, value, domain, addr string }{
 		{"relays/north/vm-1", "10.0.0.1:7600", "north", "10.0.0.1:7600"},
--- a/internal/mesh/ctrl/doc.go
+++ b/internal/mesh/ctrl/doc.go
@@ -5,6 +5,6 @@
 // A few terms are used throughout the package. A relay is a daemon that forwards messages for its
 // failure domain. A VM holds a version once its daemon has compiled and installed it. The version
 // floor is the lowest version that a new process may install, so that it never serves with an older
-// one than the previous process of its VM did. A daemon follows the store while it keeps a watch on
-// the store's keys on behalf of the whole mesh.
+// one than its predecessor, the process of the VM that ran before it. A daemon follows the store
+// while it keeps a watch on the store's keys on behalf of the whole mesh.
 package ctrl
--- a/internal/mesh/ctrl/follow.go
+++ b/internal/mesh/ctrl/follow.go
@@ -76,7 +76,7 @@
 	nd.mu.Unlock()
 	switch {
 	case st == startReader:
-		// It has read the store for the others. Which daemons follow it from now on is soon known.
+		// It has read the store for the others. The relays that follow it from now on are known soon.
 		return linked && nd.Board.Held.Get() != nil && age < startConfigWait
 	case st == startUndecided && !linked:
 		return age < startDirectoryWait
@@ -216,7 +216,7 @@
 
 // recordFreshRead records that a read of the store which began at the given time returned the
 // newest version, and tells the peers whose processes were running by then. They may install that
-// version, since no previous process of their VM can have held a newer one.
+// version, since no predecessor can have held a newer one.
 func (nd *Node) recordFreshRead(began time.Time, version uint64) {
 	if !nd.cf.Source.Linearizable || version == 0 || version < nd.Board.LatestVersion() || !nd.storeComplete() {
 		return
--- a/internal/mesh/ctrl/follow_test.go
+++ b/internal/mesh/ctrl/follow_test.go
@@ -130,9 +130,9 @@
 }
 
 // TestFreshRead: a new process is told the newest version by a peer that read the store. A read from
-// before the process started does not settle the version floor, since the previous process of its VM
-// may have held a newer version since. A read from after the start does, and the peer must send its
-// version exactly once per link.
+// before the process started does not settle the version floor, since its predecessor may have held
+// a newer version since. A read from after the start does, and the peer must send its version
+// exactly once per link.
 func TestFreshRead(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
--- a/internal/mesh/ctrl/holds.go
+++ b/internal/mesh/ctrl/holds.go
@@ -47,7 +47,7 @@
 
 // handleHeld records the version held by a VM of the local failure domain. What a VM reports about
 // itself is forwarded to the other relays, so that each of them can tell a new process of the VM
-// what the previous one held.
+// what its predecessor held.
 func (nd *Node) handleHeld(pr *link.Peer, hd *wirepb.Held) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
@@ -188,7 +188,7 @@
 }
 
 // handleReach records which failure domains a relay of the local one reaches. A member adopts its
-// relay's statement; relays combine those of all relays.
+// relay's report; relays combine those of all relays.
 func (nd *Node) handleReach(pr *link.Peer, re *wirepb.Reach) {
 	if pr.Record.Domain != nd.cf.Domain {
 		return
@@ -224,7 +224,7 @@
 }
 
 // runHousekeeping runs the periodic tasks. A daemon that is no relay only sends the VMs that it
-// hears: the timers of a relay would wake it eight times a second for nothing.
+// hears: the timers of a relay would wake it eight times a second needlessly.
 func (nd *Node) runHousekeeping(ctx context.Context) {
 	heardTick := time.NewTicker(heardInterval)
 	defer heardTick.Stop()
--- a/internal/mesh/ctrl/linker.go
+++ b/internal/mesh/ctrl/linker.go
@@ -61,7 +61,7 @@
 	cancel        context.CancelFunc
 	since         time.Time
 	unwantedSince time.Time
-	// failed is set when a link ends that never came up or whose peer fell silent.
+	// failed is set when a link ends that was never established or whose peer timed out.
 	failed bool
 }
 
@@ -173,8 +173,8 @@
 }
 
 // relaysOf returns the relays of a failure domain among the members that this daemon can reach.
-// Only relays mark members as gone: if all relays of a failure domain die together, nobody marks
-// them, and other daemons would try to reach them for ever. So each daemon leaves out those that it
+// Only relays mark members as gone: if all relays of a failure domain fail together, nobody marks
+// them, and other daemons would try to reach them forever. So each daemon leaves out those that it
 // fails to reach.
 func (lk *linker) relaysOf(domain string) []*member.Record {
 	live := lk.nd.Board.Members.Get().Live(domain)
@@ -187,8 +187,8 @@
 
 // ownRelays returns the relays of the local failure domain. While no address has failed the choice
 // depends on the members alone, and is cached. A choice that leaves out a failed address must not
-// be cached: with it, a daemon that started before its relays stayed linked to a member that was no
-// relay, heard no relay, and followed the store by itself for good.
+// be cached: with it, a daemon that starts before its relays would stay linked to a member that is
+// no relay, hear no relay, and follow the store itself permanently.
 func (lk *linker) ownRelays() []*member.Record {
 	vw := lk.nd.Board.Members.Get()
 	if len(lk.backoff) > 0 {
@@ -385,7 +385,7 @@
 }
 
 // runLink opens a link and keeps it until it ends. It reports whether the peer failed: the link
-// never came up, or the peer fell silent.
+// was never established, or the peer timed out.
 func (nd *Node) runLink(ctx context.Context, addr string) (failed bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -395,7 +395,7 @@
 		Receive: bs.Receive,
 		Abort: func() {
 			cancel()
-			// Closing waits for the peer's answer, and cancelling the context ends that wait.
+			// Closing waits for the peer's response, and cancelling the context ends that wait.
 			if err := errors.Join(bs.CloseRequest(), bs.CloseResponse()); err != nil {
 				nd.log.Debug("link-closed", slog.String("address", addr), slog.Any("error", err))
 			}
--- a/internal/mesh/ctrl/node.go
+++ b/internal/mesh/ctrl/node.go
@@ -118,8 +118,8 @@
 	fullLimiter *rate.Limiter
 	fullSlots   chan struct{}
 	fetchLock   chan struct{}
-	// singleCrashLimiter bounds the forwarded reports of requests that only one server has crashed
-	// under.
+	// singleCrashLimiter bounds the forwarded reports of requests that were running during a
+	// single crash only.
 	singleCrashLimiter *rate.Limiter
 	poison             *poisonSyncer
 	// linkerWake makes the linker reconcile its links.
@@ -139,8 +139,7 @@
 	expiry  *expire.Detector
 	// heardIndirectly has the VMs that are heard through daemons which are not relays.
 	heardIndirectly map[string]time.Time
-	// incarnationRaises counts how often the incarnation was raised above that of a previous
-	// process.
+	// incarnationRaises counts how often the incarnation was raised above that of a predecessor.
 	incarnationRaises int
 	// followers are the daemons that follow the store. startRole is derived from the first
 	// directory look-up of this process, observed is what the store last showed, and freshRead the
@@ -242,8 +241,8 @@
 	nd.http = newHTTPClient(cf)
 	nd.linker = newLinker(nd)
 	nd.poison = &poisonSyncer{nd: nd}
-	// The wall clock usually gives a higher incarnation than the previous process had. If it does
-	// not, the first contact with a peer corrects it.
+	// The wall clock usually gives a higher incarnation than the predecessor had. If it does not,
+	// the first contact with a peer corrects it.
 	self := &member.Record{
 		VM: cf.VM, Domain: cf.Domain, Incarnation: uint64(time.Now().UnixMilli()), Sequence: 1,
 		Nonce: rand.Uint64(), State: member.StateAbsent, Inlet: cf.Inlet, Control: cf.Control, Capacity: cf.Capacity,
--- a/internal/mesh/ctrl/peers.go
+++ b/internal/mesh/ctrl/peers.go
@@ -237,8 +237,8 @@
 	}
 }
 
-// handleWelcome learns from a peer the identity of the VM's previous process and the version that
-// it held. Only relays record what members hold, so only their answer settles the version floor.
+// handleWelcome learns from a peer the identity of the predecessor and the version that it held.
+// Only relays record what members hold, so only their Welcome settles the version floor.
 func (nd *Node) handleWelcome(pr *link.Peer, wc *wirepb.Welcome) {
 	self := nd.Board.Self.Get()
 	nd.recordPredecessor(pr.Record.VM, member.Departure{Lifetime: wc.Leaving, StartedMs: wc.LeavingStartedMs, Number: wc.LeftAt})
@@ -248,8 +248,8 @@
 	nd.Board.RaiseFloor(wc.Floor, pr.Relay)
 }
 
-// recordPredecessor records what a peer knows of the VM's previous process. A peer that knows
-// nothing of one is recorded as well.
+// recordPredecessor records what a peer knows of the predecessor. A peer that knows nothing of one
+// is recorded as well.
 func (nd *Node) recordPredecessor(peer string, lv member.Departure) {
 	nd.Board.Predecessor.Update(func(cur *board.Predecessor) *board.Predecessor {
 		next := &board.Predecessor{Departure: lv, Peers: []string{peer}}
@@ -268,9 +268,9 @@
 }
 
 // recordLeaving keeps departing lifetimes separately from the member records. The record of a new
-// process replaces the one with the departure as soon as its first Hello is read. If the answer to
-// that Hello were lost, the next one would find nothing, and the new process could accept a late
-// announcement of the departed lifetime.
+// process replaces the one with the departure as soon as its first Hello is read. If the Welcome
+// that answers it were lost, the next one would name no departure, and the new process could accept
+// a late announcement of the departed lifetime.
 func (nd *Node) recordLeaving(recs []*member.Record) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
@@ -288,17 +288,17 @@
 // lifetime is only needed for some seconds, and the largest planned mesh replaces 230 VMs a day.
 const maxLeaving = 4096
 
-// Within startupPeriod and up to maxIncarnationRaises, a conflicting record is taken for one of a
-// previous process.
+// Within startupPeriod and up to maxIncarnationRaises, a conflicting record is taken for one
+// of a predecessor.
 const (
 	startupPeriod        = 20 * time.Second
 	maxIncarnationRaises = 3
 )
 
 // handleConflict handles a record of another process under this VM's name with a higher
-// incarnation. For a new process it is usually one left by the previous process, whose clock was
-// ahead, so the new process raises its incarnation above it. If this process has run for a while,
-// or was outbid several times, the other one is newer, and only one of the two may serve.
+// incarnation. For a new process it is usually one left by the predecessor, whose clock was ahead,
+// so the new process raises its incarnation above it. If this process has run for a while, or has
+// raised its incarnation several times, the other one is newer, and only one of the two may serve.
 func (nd *Node) handleConflict(rc *member.Record) {
 	nd.mu.Lock()
 	recent := time.Since(nd.started) < startupPeriod && nd.incarnationRaises < maxIncarnationRaises
@@ -362,7 +362,7 @@
 	return added
 }
 
-// mergeRecords adds this daemon's own statements to the board and sends them to all peers.
+// mergeRecords adds this daemon's own records and marks to the board and sends them to all peers.
 func (nd *Node) mergeRecords(recs []*member.Record) {
 	added := nd.merge(recs)
 	if len(added) == 0 {
@@ -373,7 +373,7 @@
 }
 
 // sendDifferingRecords sends all records of the failure domains whose hashes differ from the
-// peer's. The peer's own record is included, as it may bear a mark that the peer must answer.
+// peer's. The peer's own record is included, as it may bear a mark that the peer must clear.
 func (nd *Node) sendDifferingRecords(pr *link.Peer, hashes []*wirepb.DomainHash) {
 	vw := nd.Board.Members.Get()
 	theirs := make(map[string]uint64, len(hashes))
@@ -423,7 +423,7 @@
 
 // Timing of fetches.
 const (
-	// fetchTimeout bounds the time during which no data of an answer arrives.
+	// fetchTimeout bounds the time during which no data of a response arrives.
 	fetchTimeout = 3 * time.Second
 	fetchRetry   = 500 * time.Millisecond
 )
--- a/internal/mesh/ctrl/poison.go
+++ b/internal/mesh/ctrl/poison.go
@@ -23,21 +23,21 @@
 	partitionedReadInterval = time.Second
 )
 
-// poisonSyncer synchronises the requests refused as poison with the platform's store, for daemons
-// that start after all were killed and for those on the other side of a partition. Without it each
-// of these crashed as many servers again. It runs on the daemons that follow the store, since the
-// store answers them.
+// poisonSyncer synchronizes the requests refused as poison with the platform's store, for daemons
+// that start after all were killed and for those on the other side of a partition. Without it, a
+// poison request that reached them would crash as many servers again. It runs on the daemons that
+// follow the store, since the store answers them.
 type poisonSyncer struct {
 	nd *Node
 	// due is set when the contents of poisonKey may have to change.
 	due atomic.Bool
-	// running is set while a synchronisation runs, which owns lastRead meanwhile.
+	// running is set while a synchronization runs, which owns lastRead meanwhile.
 	running atomic.Bool
 	// lastRead is when the key was last read, zero if it has not been.
 	lastRead time.Time
 }
 
-// syncIfDue synchronises with the store in the background if that is due: the caller must not wait
+// syncIfDue synchronizes with the store in the background if that is due: the caller must not wait
 // for the store while it could receive a new version.
 func (ps *poisonSyncer) syncIfDue(ctx context.Context) {
 	if !ps.running.CompareAndSwap(false, true) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// runSync runs one synchronisation, and schedules another if it fails.
+// runSync runs one synchronization, and schedules another if it fails.
 func (ps *poisonSyncer) runSync(ctx context.Context) {
 	defer ps.running.Store(false)
 	if err := ps.sync(ctx); err != nil {
--- a/internal/mesh/ctrl/replace_test.go
+++ b/internal/mesh/ctrl/replace_test.go
@@ -163,7 +163,7 @@
 	})
 }
 
-// TestFloorOfNewProcess: the previous process of a VM held version 2. The new process must not
+// TestFloorOfNewProcess: the predecessor of a VM's process held version 2. The new process must not
 // install version 1, which another daemon may still offer, but the first one that is not below 2.
 func TestFloorOfNewProcess(t *testing.T) {
 	bd := &board.Board{}
--- a/internal/mesh/ctrl/serve.go
+++ b/internal/mesh/ctrl/serve.go
@@ -30,8 +30,8 @@
 // Handler returns the handler for requests of other daemons. It requires HTTP/2, see Protocols.
 func (nd *Node) Handler() http.Handler {
 	// Message bodies are compressed where it pays off, with one encoder per process. The
-	// compression of the connect library keeps an encoder for each stream, which took up most of
-	// the heap of a relay, and compresses every keep-alive packet.
+	// compression of the connect library keeps an encoder for each stream, which would take up
+	// most of the heap of a relay, and compresses every heartbeat.
 	path, h := wirepb.NewControlHandler(&server{nd: nd}, connect.WithReadMaxBytes(maxMessage), connect.WithCompression("gzip", nil, nil))
 	mux := http.NewServeMux()
 	mux.Handle(path, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/mesh/ctrl/watcher.go
+++ b/internal/mesh/ctrl/watcher.go
@@ -29,8 +29,8 @@
 	turnPollFast = 50 * time.Millisecond
 	turnPollSlow = 500 * time.Millisecond
 	// relaySilence is how long a daemon may hear no relay before it follows the store itself: one
-	// and a half times link.HeartbeatInterval, so that a version accepted while all its relays are frozen is
-	// still in force within two seconds.
+	// and a half times link.HeartbeatInterval, so that a version accepted while all its relays are
+	// suspended is still in force within two seconds.
 	relaySilence = link.HeartbeatInterval + link.HeartbeatInterval/2
 )
 
@@ -166,7 +166,7 @@
 	return nd.handleRead(ctx, began, version)
 }
 
-// handleRead processes that a read of the store which began at the given time returned a version.
+// handleRead handles the version returned by a read of the store that began at the given time.
 func (nd *Node) handleRead(ctx context.Context, began time.Time, version uint64) error {
 	if err := nd.checkEpoch(ctx, version); err != nil {
 		return err
@@ -196,8 +196,8 @@
 }
 
 // recordPlatformVersion compares the platform's version with the newest known one. A platform that
-// was restored from a backup shows an older version; daemons do not adopt it, and the operators are
-// notified.
+// was restored from a backup shows an older version; daemons do not adopt it, log an error, and
+// report the platform as behind in their status.
 func (nd *Node) recordPlatformVersion(version uint64) {
 	latest := nd.Board.LatestVersion()
 	behind := version < latest
@@ -266,7 +266,7 @@
 	nd.wakeLinker()
 }
 
-// pruneMembers drops the records of VMs that have gone and are no longer declared, so that the
+// pruneMembers drops the records of VMs that are not live and no longer declared, so that the
 // inventory bounds the number of records. If no inventory lists the VMs, the number of live members
 // bounds that of dead ones.
 func (nd *Node) pruneMembers(vw *member.View) *member.View {
--- a/internal/mesh/expire/expire.go
+++ b/internal/mesh/expire/expire.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// Heard records that a sign of life of a member was received.
+// Heard records that a message of a member, or one that reports it as heard, was received.
 func (dt *Detector) Heard(vm string, now time.Time) {
 	dt.lastHeard[vm] = now
 	delete(dt.silent, vm)
@@ -70,7 +70,7 @@
 
 // Check returns the members that have timed out.
 //
-// Two faults of the observer look like the death of members. If the process was suspended, or
+// Two faults of the observer look like failures of members. If the process was suspended, or
 // its clock jumped, members time out while their messages are still unread. This shows as a
 // gap between two calls, and the timeouts of all members start again. If the observer was
 // disconnected, many members go silent at once. They are reported as silent rather than gone,
--- a/internal/mesh/expire/expire_test.go
+++ b/internal/mesh/expire/expire_test.go
@@ -96,7 +96,7 @@
 }
 
 // TestHeardMembersStay checks that a member that is heard from at least every half of Timeout
-// is never marked, whichever other members die and whenever the observer is suspended.
+// is never marked, whichever other members fail and whenever the observer is suspended.
 func TestHeardMembersStay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(1, 8).Draw(t, "members")
--- a/internal/mesh/link/link.go
+++ b/internal/mesh/link/link.go
@@ -22,7 +22,7 @@
 	// HeartbeatInterval is the longest time between two packets from a live peer.
 	HeartbeatInterval = time.Second
 	// PeerTimeout is how long a peer may send nothing before the link is closed. A suspended
-	// process keeps its connections open, so it can be detected only by its silence.
+	// process keeps its connections open, so it can be detected only by the lack of packets.
 	//
 	// It is below the 3 s within which a daemon whose connections went silent without a reset
 	// has to follow new versions again.
@@ -57,15 +57,15 @@
 	Outgoing bool
 	// Addr is the address of the peer, for an outgoing link.
 	Addr string
-	// RunningSince is a time at which the peer's process was already running. ToldNewest is set
-	// once the peer was told which version in the store is the newest. The owner of the Peer
+	// RunningSince is a time at which the peer's process was already running. SentNewest is set
+	// once the peer was sent the number of the newest version in the store. The owner of the Peer
 	// synchronizes access to them.
 	RunningSince time.Time
 	SentNewest   bool
 	// OnSent, if set, is called after each packet that was sent. It is set before Run.
 	OnSent func(pr *Peer, pk *wirepb.Packet)
 
-	lastHeard atomic.Pointer[time.Time] // time of the last sign of life
+	lastHeard atomic.Pointer[time.Time] // when data was last received
 	idleTimer atomic.Pointer[time.Timer]
 	makeOffer func(pr *Peer, base pack.Digest) *wirepb.Version
 	stream    Stream
@@ -133,8 +133,8 @@
 	return context.Cause(ctx)
 }
 
-// MarkAlive records a sign of life of the peer and restarts its timeout. It is also called for
-// data on other streams, since a large response on the same connection delays the packets.
+// MarkAlive records that data of the peer was received and restarts its timeout. It is also called
+// for data on other streams, since a large response on the same connection delays the packets.
 func (pr *Peer) MarkAlive() {
 	if timer := pr.idleTimer.Load(); timer != nil {
 		timer.Reset(PeerTimeout)
@@ -143,7 +143,7 @@
 	pr.lastHeard.Store(&now)
 }
 
-// LastHeard returns the time of the peer's last sign of life, or the zero time if there was none.
+// LastHeard returns when data of the peer was last received, or the zero time if none was.
 func (pr *Peer) LastHeard() time.Time {
 	if at := pr.lastHeard.Load(); at != nil {
 		return *at
--- a/internal/mesh/relay/relay.go
+++ b/internal/mesh/relay/relay.go
@@ -9,7 +9,7 @@
 	"github.com/flamingomast/flamingomast/internal/mesh/member"
 )
 
-// Count is the number of relays of a failure domain: two may die at once and one remains. It
+// Count is the number of relays of a failure domain: two may fail at once and one remains. It
 // does not grow with the number of members, so neither does the load on the platform.
 const Count = 3
 
@@ -22,7 +22,7 @@
 }
 
 // Order returns relays in the order in which the member vm should use them. Each member has its
-// own order, so that the members spread over the relays and, when a relay dies, over the
+// own order, so that the members spread over the relays and, when a relay fails, over the
 // remaining ones.
 func Order(relays []*member.Record, vm string) []*member.Record {
 	return rank(relays, vm, len(relays))
--- a/internal/mesh/relay/relay_test.go
+++ b/internal/mesh/relay/relay_test.go
@@ -58,7 +58,7 @@
 }
 
 // TestFastLinks checks that the few VMs with fast links become the relays of a failure domain.
-// On the other VMs, reading versions as a relay delayed requests.
+// On the other VMs, reading versions as a relay delays requests.
 func TestFastLinks(t *testing.T) {
 	live := fleet(29)
 	for i, rc := range live {
--- a/internal/node/daemon/crash_test.go
+++ b/internal/node/daemon/crash_test.go
@@ -282,7 +282,7 @@
 	for i := range fl.servers {
 		status, retry := sendPoison(i)
 		if status != http.StatusServiceUnavailable || retry != "" {
-			t.Errorf("vm-%d answers %d, Retry-After %q; want 503 without one: the request has not run, and a retry is of no use", i, status, retry)
+			t.Errorf("vm-%d answers %d, Retry-After %q; want 503 without one: the request has not run, and a retry is useless", i, status, retry)
 		}
 		for _, path := range []string{normalPath + "/same", normalPath + "/new"} {
 			if status, _ := fl.send(i, "GET", path, nil); status != http.StatusOK {
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -40,7 +40,7 @@
 const (
 	// callerLeaveTime is how long callers need to leave: they poll readiness once a second and
 	// leave after two failures. Until then the backend server, which may outlive the daemon, serves
-	// as before. It is of no use to anyone while the daemon restarts, so the time is kept short.
+	// as before. It gets no requests while the daemon restarts, so the time is kept short.
 	callerLeaveTime = 2 * time.Second
 	// inletGrace is how long the inlet then still accepts requests. The record that says this
 	// daemon is draining reaches the outlets within tens of milliseconds; until then a refusal
--- a/internal/node/daemon/keepalive_test.go
+++ b/internal/node/daemon/keepalive_test.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestServerCallsWhileStopping guards against a request that fails because the daemon beside its
-// server is stopping and no longer accepts calls of that server.
+// TestServerCallsWhileStopping guards against a request that fails because the daemon of its
+// server's VM is stopping and no longer accepts calls of that server.
 func TestServerCallsWhileStopping(t *testing.T) {
 	t.Parallel()
 	var ss *singleServer
--- a/internal/node/daemon/recovery.go
+++ b/internal/node/daemon/recovery.go
@@ -24,9 +24,9 @@
 	// secondPeerTimeout is how long it waits for a second peer after the first knew of no
 	// departure. A member that is not a relay has one link only, so there may be no second peer.
 	secondPeerTimeout = 400 * time.Millisecond
-	// requiredEmptyAnswers is how many peers have to know of no departure to be believed. Updates
-	// reach peers some milliseconds apart, or later under load, so the first peer to answer may not
-	// have heard of a drain that was acknowledged.
+	// requiredEmptyAnswers is how many peers have to report no departure before there is taken to be
+	// none. Updates reach peers some milliseconds apart, or later under load, so the first peer to
+	// answer may not have heard of a drain that was acknowledged.
 	requiredEmptyAnswers = 2
 	// departureTTL is how long the store keeps a departure. A server ends within some tens of
 	// seconds after it has announced that it is leaving.
@@ -137,7 +137,7 @@
 		ok, _, err = kv.Swap(ctx, ch)
 	}
 	if err == nil && !ok {
-		// Delayed writes of a former process came in between, twice.
+		// Delayed writes of a predecessor came in between, twice.
 		err = errOverwritten
 	}
 	return id.Epoch, err
@@ -145,8 +145,8 @@
 
 var errOverwritten = errors.New("the key was written by another process")
 
-// runRecovery recovers what a former process of the VM acknowledged, from the store and from peers,
-// and then lets the backend server receive requests. It continues to listen to peers, as one may be
+// runRecovery recovers what the predecessor acknowledged, from the store and from peers, and then
+// lets the backend server receive requests. It continues to apply what peers report, as one may be
 // linked late.
 func (dm *Daemon) runRecovery(ctx context.Context) {
 	began := time.Now()
--- a/internal/node/daemon/recovery_test.go
+++ b/internal/node/daemon/recovery_test.go
@@ -89,9 +89,9 @@
 }
 
 // TestFirstStart guards against needless waiting when hundreds of daemons start for the first time:
-// each read from the store what a predecessor had acknowledged, and kept its backend server waiting
-// for peers that could not know. At the first start the store is not read, and the server serves at
-// once.
+// each would read from the store what a predecessor acknowledged, and keep its backend server
+// waiting for peers that cannot know. At the first start the store is not read, and the server
+// serves at once.
 func TestFirstStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := stand.New()
@@ -160,9 +160,9 @@
 	}
 }
 
-// TestLeavingOverwritten guards against a departure that is lost to writes of the VM's former
-// process, which the store executes late. The write that found another revision was treated as
-// done, and the next process sent requests to the server.
+// TestLeavingOverwritten guards against a departure that is lost to writes of the predecessor,
+// which the store executes late. If a write that finds another revision counted as done, the next
+// process would send requests to the server.
 func TestLeavingOverwritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := stand.New().Store()
--- a/internal/node/heap/heap.go
+++ b/internal/node/heap/heap.go
@@ -13,8 +13,8 @@
 	MinPercent = 25
 	// maxPercent bounds the GC percentage of a busy daemon.
 	maxPercent = 100
-	// targetInterval is the time that should pass between two collections in a busy daemon. A
-	// collection keeps a VM with a small share of a core from its requests for a tenth of a second.
+	// targetInterval is the time that should pass between two collections in a busy daemon. On
+	// a VM with a small share of a core, a collection delays requests by a tenth of a second.
 	targetInterval = 15 * time.Second
 	// highUtilization and lowUtilization are fractions of the processor time. Above the first,
 	// memory is spent to save processor time; below the second, it is given back. At a utilization
--- a/internal/node/heap/heap_test.go
+++ b/internal/node/heap/heap_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestPercentFollowsLoad guards against frequent collections in a busy daemon: callers of a VM with
-// a sixth of a core waited a tenth of a second more every four seconds, as often as the heap was
-// collected. A busy daemon must collect seldom, an idle one keep its heap small, and one whose load
+// a sixth of a core wait a tenth of a second more at each collection, which may be every four
+// seconds. A busy daemon must collect seldom, an idle one keep its heap small, and one whose load
 // has passed return to that.
 func TestPercentFollowsLoad(t *testing.T) {
 	const live = 10.0 // MB
--- a/internal/node/server/server.go
+++ b/internal/node/server/server.go
@@ -16,7 +16,7 @@
 	// announcement intervals and a margin.
 	freshTime = 3500 * time.Millisecond
 	// maxFirstNumber is the highest announcement number by which an unknown lifetime is accepted as
-	// a new instance. A higher number may be from a delayed announcement of a former instance.
+	// a new instance. A higher number may be from a delayed announcement of an earlier instance.
 	maxFirstNumber = 2
 	// maxDelay is how long after the last announcement of an instance one of an earlier instance
 	// may still be in transit. One that arrives later is from a running server whose clock was set
@@ -33,7 +33,7 @@
 	lastLeft string
 }
 
-// instance is one run of the server, identified by its lifetime and start time.
+// instance is one process of the server, identified by its lifetime and start time.
 type instance struct {
 	an admin.Announcement
 	// startedMs is the start as Unix time in milliseconds, 0 if unknown.
@@ -43,7 +43,7 @@
 	// since is when it was first heard of, lastHeard when it was last heard of, and expiresAt when
 	// its last announcement expires.
 	since, lastHeard, expiresAt time.Time
-	// leaving is set for good once the instance has announced that it drains or leaves, removed
+	// leaving is set permanently once the instance has announced that it drains or leaves, removed
 	// once it is withdrawn.
 	leaving, removed bool
 	// assumed is set while the instance was only found by a probe and has not announced itself.
@@ -87,13 +87,13 @@
 // of its instance was overtaken. One of an earlier instance of the same lifetime is from a server
 // that has ended. One of a withdrawn instance would bring back a server that accepts no requests.
 // And one of another lifetime than the current one, which is not among the first of its instance,
-// was sent by a former instance that has ended: accepting it would send requests to a server that
+// was sent by an earlier instance that has ended: accepting it would send requests to a server that
 // is gone, until the current one announces itself again. It is accepted once the current one has
 // been silent for freshTime.
 func (tr *Tracker) Announce(an admin.Announcement, now time.Time) bool {
 	ins := tr.instances[an.Lifetime]
 	if ins != nil && ins.precedes(&an, now) {
-		// Nothing of the former instance applies to this one, neither its number nor that it left.
+		// Nothing of the earlier instance applies to this one, neither its number nor that it left.
 		ins = nil
 	}
 	switch {
@@ -146,8 +146,8 @@
 }
 
 // keepsCurrent reports whether an announcement of another lifetime must not displace the current
-// instance: that was heard of within freshTime, and the other one started earlier or, where a start
-// time is unknown, is not known to be new.
+// instance: the current one was last heard of within freshTime, and the other one started earlier
+// or, where a start time is unknown, is not known to be new.
 func (tr *Tracker) keepsCurrent(ins *instance, an *admin.Announcement, now time.Time) bool {
 	if tr.cur == nil || tr.cur == ins || tr.cur.removed || now.Sub(tr.cur.lastHeard) > freshTime {
 		return false
@@ -190,7 +190,7 @@
 	return true
 }
 
-// Withdraw removes an instance of the server for good. An unknown one is remembered, so that a
+// Withdraw removes an instance of the server permanently. An unknown one is remembered, so that a
 // delayed announcement does not bring it back. A withdrawal of an instance before the newest is
 // late and changes nothing.
 func (tr *Tracker) Withdraw(wd admin.Withdrawal, now time.Time) {
@@ -238,8 +238,8 @@
 	}
 }
 
-// RecoverDeparture applies a departure that a former process of the VM acknowledged: the instance
-// is leaving, and its announcements up to the number are late.
+// RecoverDeparture applies a departure that the predecessor acknowledged: the instance is leaving,
+// and its announcements up to the number are late.
 func (tr *Tracker) RecoverDeparture(de member.Departure, now time.Time) {
 	if de.Lifetime != "" {
 		tr.markLeaving(de, now)
--- a/internal/node/server/server_test.go
+++ b/internal/node/server/server_test.go
@@ -32,8 +32,8 @@
 		"a serving announcement with a higher number does not end a drain": {
 			{0, "announce", "a", 1, "a", 0}, {s, "drain", "a", 2, "-a", 0}, {2 * s, "announce", "a", 3, "-a", 0},
 		},
-		// A request was sent to a server that had left: its daemon was killed after the drain, and
-		// the first announcement that the next daemon received was from before the drain.
+		// No request may be sent to a server that has left: its daemon is killed after the drain, and
+		// the first announcement that the next daemon receives is from before the drain.
 		"a late serving announcement after the daemon was replaced": {
 			{0, "recall", "a", 5, "", 0}, {s, "announce", "a", 4, "", 0}, {2 * s, "drain", "a", 6, "-a", 0},
 		},
@@ -220,7 +220,7 @@
 }
 
 // TestStatusIsCopy guards against a status that changes while the daemon uses it and the next
-// announcement arrives on another connection. The race detector found that it did.
+// announcement arrives on another connection. The race detector reports it.
 func TestStatusIsCopy(t *testing.T) {
 	var tr Tracker
 	now := time.Unix(1000, 0)
