--- a/internal/path/inlet/broken.go
+++ b/internal/path/inlet/broken.go
@@ -191,5 +191,5 @@
 		return
 	}
 	in.logCrash(tg, len(ids))
-	in.report(ids, endIDOf(tg))
+	in.report(ids, crashIDOf(tg))
 }
--- a/internal/path/inlet/crash.go
+++ b/internal/path/inlet/crash.go
@@ -35,12 +35,12 @@
 // crashDetector detects crashes of the backend server and records which requests it was running.
 type crashDetector struct {
 	mu sync.Mutex
-	// probed is the target of the last probe, down its result and probedAt its time. endID
+	// probed is the target of the last probe, down its result and probedAt its time. crashID
 	// identifies the crash if the server is down.
 	probed    Target
 	down      bool
 	probedAt  time.Time
-	endID     poison.CrashID
+	crashID   poison.CrashID
 	abandoned []abandonedRequest
 	// running holds the requests that the server is running, broken those whose connection broke
 	// although the server accepts others.
@@ -66,7 +66,7 @@
 // crashed reports whether the target's server crashed, and returns the ID of the crash. It calls
 // probe if the last result has expired, so requests that fail together share one probe. first is
 // set for the call that detected the crash.
-func (cd *crashDetector) crashed(tg *Target, probe func() bool) (endID poison.CrashID, crashed, first bool) {
+func (cd *crashDetector) crashed(tg *Target, probe func() bool) (crashID poison.CrashID, crashed, first bool) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
 	now := time.Now()
@@ -76,19 +76,19 @@
 			valid = tg.Lifetime != "" || now.Sub(cd.probedAt) < unnamedCrashTTL
 		}
 		if valid {
-			return cd.endID, cd.down, false
+			return cd.crashID, cd.down, false
 		}
 	}
 	cd.probed, cd.down, cd.probedAt = *tg, probe(), now
 	if cd.down {
-		cd.endID = endIDOf(tg)
+		cd.crashID = crashIDOf(tg)
 	}
-	return cd.endID, cd.down, cd.down
+	return cd.crashID, cd.down, cd.down
 }
 
-// endIDOf returns the ID of the crash of a target's instance. It is random for a server that
+// crashIDOf returns the ID of the crash of a target's instance. It is random for a server that
 // reports no lifetime.
-func endIDOf(tg *Target) poison.CrashID {
+func crashIDOf(tg *Target) poison.CrashID {
 	if tg.Lifetime == "" {
 		return poison.CrashID(rand.Uint64())
 	}
@@ -142,7 +142,7 @@
 	case rf.Outcome == result.MayHaveRun && rf.Reason != result.ReasonConnectionBroken, rf.Outcome == result.NotRun && rf.Reason != result.ReasonNoConnection:
 		return
 	}
-	endID, crashed, first := in.crashes.crashed(tg, func() bool { return in.isDown(tg) })
+	crashID, crashed, first := in.crashes.crashed(tg, func() bool { return in.isDown(tg) })
 	if !crashed {
 		if id, ok := requestIDOf(r, pr); ok && rf.Outcome == result.MayHaveRun && !in.Gate.Draining() {
 			in.recordBroken(id, rr)
@@ -166,8 +166,8 @@
 	if in.Gate.Draining() {
 		return
 	}
-	in.report(ids, endID)
-	rf.Crashes = in.endsOf(r, pr)
+	in.report(ids, crashID)
+	rf.Crashes = in.knownCrashes(r, pr)
 }
 
 // logCrash logs that an instance of the server crashed, and how many requests it was running.
@@ -177,13 +177,13 @@
 }
 
 // report sends reports that a server crashed while it ran the given requests.
-func (in *Inlet) report(ids []requestID, endID poison.CrashID) {
+func (in *Inlet) report(ids []requestID, crashID poison.CrashID) {
 	if len(ids) == 0 {
 		return
 	}
 	var list []poison.Report
 	for _, id := range ids {
-		list = append(list, poison.Report{Head: id.headerHash, Key: id.key, Crash: endID, At: time.Now()})
+		list = append(list, poison.Report{Head: id.headerHash, Key: id.key, Crash: crashID, At: time.Now()})
 	}
 	in.Report(list)
 }
@@ -197,8 +197,8 @@
 	return requestID{headerHash: ident.HeaderHash(r), key: ident.KeyOf(r, prefix)}, true
 }
 
-// endsOf returns the number of known server crashes during a request.
-func (in *Inlet) endsOf(r *http.Request, pr *ident.PrefixReader) int {
+// knownCrashes returns the number of known server crashes during a request.
+func (in *Inlet) knownCrashes(r *http.Request, pr *ident.PrefixReader) int {
 	vw := in.Poison()
 	if !vw.Suspects(r) {
 		return 0
@@ -233,8 +233,8 @@
 // isolate admits one suspect request at a time, so that another crash shows which of them caused
 // it.
 func (in *Inlet) isolate(r *http.Request) (release func(), rf *result.Refusal) {
-	ends, err := strconv.Atoi(r.Header.Get(result.CrashesHeader))
-	if err != nil || ends < poison.IsolateThreshold {
+	crashCount, err := strconv.Atoi(r.Header.Get(result.CrashesHeader))
+	if err != nil || crashCount < poison.IsolateThreshold {
 		// The outlet knows of too few crashes, or is an older release that sends no count.
 		return func() {}, nil
 	}
--- a/internal/path/outlet/attempt.go
+++ b/internal/path/outlet/attempt.go
@@ -21,8 +21,8 @@
 	rq.vm = ep.VM
 	ep.Begin(time.Now())
 	if pick.Large(rq.rs.expectedSize()) {
-		rq.ou.largeAnswers.Add(1)
-		defer rq.ou.largeAnswers.Add(-1)
+		rq.ou.largeResponses.Add(1)
+		defer rq.ou.largeResponses.Add(-1)
 	}
 	at := rq.ou.fw.Do(rq.outgoing(ep))
 	if at.Response == nil {
@@ -50,7 +50,7 @@
 	if vd == pick.Success {
 		ep.RecordServiceTime(rq.spent.ServiceTime, rq.rs.recordHeld(rq.spent.ServiceTime))
 	}
-	if rf := rq.bufferAnswer(at); rf != nil {
+	if rf := rq.bufferResponse(at); rf != nil {
 		ep.End(time.Now(), verdictOf(rf), rq.gp)
 		return rf
 	}
@@ -109,15 +109,15 @@
 	}
 }
 
-// maxBufferedAnswer is the size in bytes up to which an answer is read completely before its head
+// maxBufferedResponse is the size in bytes up to which an answer is read completely before its head
 // is forwarded. Most answers are a few kilobytes.
-const maxBufferedAnswer = 32 << 10
+const maxBufferedResponse = 32 << 10
 
-// bufferAnswer reads a small answer completely. If the backend server breaks the connection in the
+// bufferResponse reads a small answer completely. If the backend server breaks the connection in the
 // middle of an answer, a request that may be retried can still be sent again, as long as nothing
 // was forwarded; otherwise the caller would lose its connection.
-func (rq *request) bufferAnswer(at *proxy.Attempt) *result.Refusal {
-	if err := at.Buffer(maxBufferedAnswer); err != nil {
+func (rq *request) bufferResponse(at *proxy.Attempt) *result.Refusal {
+	if err := at.Buffer(maxBufferedResponse); err != nil {
 		rf := rq.failure(at, result.MayHaveRun, result.ReasonConnectionBroken)
 		rf.Cause = err
 		return rf
@@ -186,16 +186,16 @@
 	out.Header[result.ClassHeader] = []string{rq.route.Class.Name}
 	out.Header[result.UrgencyHeader] = []string{urgency(rq.route, rq.priority, rq.elapsed, time.Since(rq.start), rq.final)}
 	out.Header[result.RouteHeader] = []string{rq.route.Name}
-	if rq.serverExits > 0 {
-		out.Header[result.CrashesHeader] = []string{strconv.Itoa(rq.serverExits)}
+	if rq.serverCrashes > 0 {
+		out.Header[result.CrashesHeader] = []string{strconv.Itoa(rq.serverCrashes)}
 	}
 	if share := rq.retryProbability(); share > 0 {
 		out.Header[result.RepeatHeader] = []string{result.FormatProbability(share)}
 	}
 	if size := rq.rs.expectedSize(); pick.Large(size) {
 		out.Header[result.SizeHeader] = []string{strconv.FormatInt(size, 10)}
-		// largeAnswers includes this request.
-		others := int(rq.ou.largeAnswers.Load()) - 1
+		// largeResponses includes this request.
+		others := int(rq.ou.largeResponses.Load()) - 1
 		if rate := pacer.ReceiverRate(rq.ou.linkRate, others); rate > 0 {
 			out.Header[result.RateHeader] = []string{strconv.Itoa(rate)}
 		}
--- a/internal/path/outlet/outlet.go
+++ b/internal/path/outlet/outlet.go
@@ -48,10 +48,10 @@
 	// ctx is cancelled by Close.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// linkRate is the rate of the VM's link in bits per second, 0 if unknown. largeAnswers is the
+	// linkRate is the rate of the VM's link in bits per second, 0 if unknown. largeResponses is the
 	// number of large answers that are being received over it.
-	linkRate     float64
-	largeAnswers atomic.Int32
+	linkRate       float64
+	largeResponses atomic.Int32
 	// activeRequests and bufferedBytes bound the memory that callers can make the outlet use.
 	activeRequests, bufferedBytes proxy.Budget
 	// callerTries remembers failed requests, so that a caller's retry of one is recognised.
--- a/internal/path/outlet/poison.go
+++ b/internal/path/outlet/poison.go
@@ -25,12 +25,12 @@
 		return nil
 	}
 	key := ident.KeyOf(rq.r, prefix)
-	rq.serverExits = vw.CrashCount(key)
+	rq.serverCrashes = vw.CrashCount(key)
 	if !vw.Refuses(key, time.Now(), rq.ou.poisonJitter) {
 		return nil
 	}
 	rq.ou.log.LogAttrs(context.Background(), slog.LevelInfo, logs.PoisonRefused,
-		slog.String(logs.ID, rq.id()), slog.String(logs.RequestKey, key.String()), slog.Int(logs.Crashes, rq.serverExits))
+		slog.String(logs.ID, rq.id()), slog.String(logs.RequestKey, key.String()), slog.Int(logs.Crashes, rq.serverCrashes))
 	return &result.Refusal{
 		Outcome: result.NotRun, Reason: result.ReasonPoison,
 		Detail: "backend servers exited while running this request; it is refused for now",
--- a/internal/path/outlet/request.go
+++ b/internal/path/outlet/request.go
@@ -63,8 +63,8 @@
 	// attempts counts all attempts, rejections those rejected for lack of capacity or shed,
 	// delivered those that may have reached a backend server.
 	attempts, rejections, delivered int
-	// serverExits counts the backend servers that exited while they ran the request.
-	serverExits int
+	// serverCrashes counts the backend servers that exited while they ran the request.
+	serverCrashes int
 	// lastRefusal is the refusal of the last attempt, nil if it was answered.
 	lastRefusal *result.Refusal
 }
@@ -115,7 +115,7 @@
 		rq.lastRefusal = rf
 		rq.logAttempt(ep, rf)
 		if rf.Reason == result.ReasonServerCrashed {
-			rq.serverExits = max(rq.serverExits+1, rf.Crashes)
+			rq.serverCrashes = max(rq.serverCrashes+1, rf.Crashes)
 		}
 		if !staleConn(rf) {
 			rq.tried.Add(ep)
@@ -178,7 +178,7 @@
 	if rq.ctx.Err() != nil || rq.attempts >= retry.MaxAttempts || !rq.body.replayable() {
 		return false
 	}
-	if rq.serverExits >= poison.RefuseThreshold {
+	if rq.serverCrashes >= poison.RefuseThreshold {
 		return false
 	}
 	if mayHaveReached(rf) {
@@ -251,7 +251,7 @@
 // expected to be free, with a jitter of up to the same length, so that callers refused together do
 // not retry together.
 func (rq *request) setRetryAfter(rf *result.Refusal) {
-	if rf.Reason == result.ReasonPoison || rq.serverExits >= poison.RefuseThreshold {
+	if rf.Reason == result.ReasonPoison || rq.serverCrashes >= poison.RefuseThreshold {
 		// A retry would be refused as well.
 		rf.RetryAfter = 0
 		return
