--- a/internal/path/again/again_test.go
+++ b/internal/path/again/again_test.go
@@ -12,8 +12,8 @@
 
 // TestElapsed checks how retries are detected. Callers of one route use timeouts between 2.1 and
 // 2.5 s. The caller with the shorter timeout was taken to be retrying, so seven in ten new requests
-// were given less time than their objective, and were refused or answered late for it. A retry is
-// detected by the request itself and its deadline.
+// were given less time than their objective, and were therefore refused or answered late. A retry
+// is detected by the request itself and its deadline.
 func TestElapsed(t *testing.T) {
 	type arrival struct {
 		at   time.Duration
--- a/internal/path/ident/doc.go
+++ b/internal/path/ident/doc.go
@@ -1,3 +1,3 @@
-// Package ident identifies requests by their content, so that a request that is repeated, by a retry of
-// its caller or at another VM, is recognized.
+// Package ident identifies requests by their content, so that a request is recognized when its
+// caller retries it or when another VM receives it.
 package ident
--- a/internal/path/idle/idle_test.go
+++ b/internal/path/idle/idle_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestRequestArriving guards against cutting off a request that arrives on a kept connection just
-// as the server closes its idle ones. The first bytes of the request have arrived, but not its
+// TestRequestArriving guards against cutting off a request that arrives on a keep-alive connection
+// just as the server closes its idle ones. The first bytes of the request have arrived, but not its
 // whole header. Without a response, the caller of a request that must not be repeated would lose
 // it.
 func TestRequestArriving(t *testing.T) {
--- a/internal/path/inlet/attribution_test.go
+++ b/internal/path/inlet/attribution_test.go
@@ -195,8 +195,8 @@
 	}
 }
 
-// TestCrashBeforeRequest guards against blaming a request that was sent on a kept connection just
-// after its server crashed.
+// TestCrashBeforeRequest guards against blaming a request that was sent on a keep-alive connection
+// just after its server crashed.
 func TestCrashBeforeRequest(t *testing.T) {
 	rg := newRig(t, nil)
 	close(rg.proceed)
@@ -252,9 +252,9 @@
 	}
 }
 
-// TestCrashPerInstance checks that a server which comes back at the same address as a new instance
-// and crashes under the same request counts as two crashes, and that one instance counts once
-// however often its crash is detected.
+// TestCrashPerInstance checks that a server that is restarted at the same address as a new instance
+// and crashes on the same request counts as two crashes, and that one instance counts once however
+// often its crash is detected.
 func TestCrashPerInstance(t *testing.T) {
 	rg := newRig(t, crashServer)
 	close(rg.proceed)
@@ -271,8 +271,8 @@
 	}
 }
 
-// TestTransientRefusal guards against a server that refused connections for a moment being taken
-// for crashed for good. After it announces itself again, a response that it breaks off is no crash.
+// TestTransientRefusal guards against a server that refused connections for a moment counting as
+// crashed from then on. After it announces itself again, a response that it breaks off is no crash.
 func TestTransientRefusal(t *testing.T) {
 	rg := newRig(t, crashServer)
 	close(rg.proceed)
--- a/internal/path/inlet/inlet.go
+++ b/internal/path/inlet/inlet.go
@@ -42,8 +42,8 @@
 	Gate  *limit.Limiter
 	// Unreachable is called when the backend server accepts no connection.
 	Unreachable func(Target)
-	// Poison returns the known requests that crashed servers; Report sends new reports to all
-	// daemons. Both are set before use.
+	// Poison returns the requests that are known to have crashed servers; Report sends new reports
+	// to all daemons. Both are set before use.
 	Poison func() *poison.View
 	Report func([]poison.Report)
 	// Token is the mesh token that outlets must present; empty for none. It is set before use.
@@ -96,9 +96,9 @@
 // Close closes the idle connections to the backend server.
 func (in *Inlet) Close() { in.fw.Load().Close() }
 
-// SetTarget replaces the target. Running requests continue on the old one. Kept connections to
-// another instance of the backend server are closed: a request that may run only once would be lost
-// if written to a connection that nobody reads.
+// SetTarget replaces the target. Running requests continue on the old one. Keep-alive connections
+// to another instance of the backend server are closed: a request that may run only once would be
+// lost if written to a connection that nobody reads.
 func (in *Inlet) SetTarget(tg Target) {
 	old := in.target.Swap(&tg)
 	if old != nil && old.Addr == "" && tg.Addr != "" {
@@ -228,7 +228,7 @@
 
 // withDeadline returns the request's context. The timeout in the header counts from when the
 // request was sent. A request that stayed unread for longer than that is not run: its caller has
-// gone, even if the inlet has not noticed yet.
+// disconnected, even if the inlet has not noticed yet.
 func (in *Inlet) withDeadline(r *http.Request, now time.Time) (context.Context, context.CancelFunc) {
 	ms, err := strconv.ParseInt(r.Header.Get(result.TimeoutHeader), 10, 32)
 	if err != nil || ms <= 0 {
--- a/internal/path/inlet/tally.go
+++ b/internal/path/inlet/tally.go
@@ -21,7 +21,8 @@
 }
 
 // countFailure counts a request that the backend server did not answer. If its deadline passed, it
-// counts with the time that it took, not as a failure; if its caller has gone, it does not count.
+// counts with the time that it took, not as a failure; if its caller has disconnected, it does not
+// count.
 func (in *Inlet) countFailure(r *http.Request, expired bool, ar *admittedRequest) {
 	if r.Context().Err() != nil {
 		return
--- a/internal/path/outlet/answer_test.go
+++ b/internal/path/outlet/answer_test.go
@@ -15,12 +15,12 @@
 	"github.com/flamingomast/flamingomast/internal/path/result"
 )
 
-// documentSize is the size of a large answer. It exceeds all the buffers between backend server and
-// caller.
+// documentSize is the size of a large response. It exceeds all the buffers between backend server
+// and caller.
 const documentSize = 1 << 20
 
 // TestSlowReaderHoldsNoSlot guards against a slot being held until a slow caller has read the last
-// byte of its answer. Callers download documents slowly or over a narrow link; the backend server
+// byte of its response. Callers download documents slowly or over a narrow link; the backend server
 // finished each document at once, but lookups at that server were refused while it was idle.
 func TestSlowReaderHoldsNoSlot(t *testing.T) {
 	var documents atomic.Int32
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestBrokenDocument guards against an answer that is cut off at the backend server breaking the
-// caller's connection although the request may be retried. Nothing of the answer has to be
+// TestBrokenDocument guards against a response truncated at the backend server breaking the
+// caller's connection although the request may be retried. Nothing of the response has to be
 // forwarded by then, and another server has the document.
 func TestBrokenDocument(t *testing.T) {
 	broken := newFaultyServer(t, func(cn net.Conn, _ int, _ *http.Request) bool {
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestHead guards against waiting for a body after HEAD: the answer gives a length, but no body
+// TestHead guards against waiting for a body after HEAD: the response gives a length, but no body
 // follows, and the request failed.
 func TestHead(t *testing.T) {
 	addr := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/path/outlet/attempt.go
+++ b/internal/path/outlet/attempt.go
@@ -14,8 +14,8 @@
 	"github.com/flamingomast/flamingomast/internal/path/result"
 )
 
-// attempt sends the request to one server. It returns nil once an answer was forwarded completely;
-// an answer that is cut off while it is forwarded aborts the caller's connection.
+// attempt sends the request to one server. It returns nil once a response was forwarded completely;
+// a response that is truncated while it is forwarded aborts the caller's connection.
 func (rq *request) attempt(ep *pick.Endpoint) *result.Refusal {
 	rq.attempts++
 	rq.vm = ep.VM
@@ -109,13 +109,13 @@
 	}
 }
 
-// maxBufferedResponse is the size in bytes up to which an answer is read completely before its head
-// is forwarded. Most answers are a few kilobytes.
+// maxBufferedResponse is the size in bytes up to which a response is read completely before its
+// head is forwarded. Most responses are a few kilobytes.
 const maxBufferedResponse = 32 << 10
 
-// bufferResponse reads a small answer completely. If the backend server breaks the connection in the
-// middle of an answer, a request that may be retried can still be sent again, as long as nothing
-// was forwarded; otherwise the caller would lose its connection.
+// bufferResponse reads a small response completely. If the backend server breaks the connection in
+// the middle of a response, a request that may be retried can still be sent again, as long as
+// nothing was forwarded; otherwise the caller would lose its connection.
 func (rq *request) bufferResponse(at *proxy.Attempt) *result.Refusal {
 	if err := at.Buffer(maxBufferedResponse); err != nil {
 		rf := rq.failure(at, result.MayHaveRun, result.ReasonConnectionBroken)
@@ -150,7 +150,7 @@
 	return pick.Failure
 }
 
-// failure describes an attempt that got no answer.
+// failure describes an attempt that got no response.
 func (rq *request) failure(at *proxy.Attempt, oc result.Outcome, re result.Reason) *result.Refusal {
 	rf := &result.Refusal{Outcome: oc, Reason: re, RetryAfter: time.Second, Cause: at.Err}
 	switch {
--- a/internal/path/outlet/faults_test.go
+++ b/internal/path/outlet/faults_test.go
@@ -42,8 +42,8 @@
 
 // TestServerFails: the only backend server fails in each way, for each kind of request. It must
 // receive the request exactly once, without a retry by the transport or the outlet. The caller must
-// be told that the request may have run, or must see its connection break; a truncated answer must
-// never look complete.
+// be told that the request may have run, or must see its connection break; a truncated response
+// must never look complete.
 func TestServerFails(t *testing.T) {
 	for _, fa := range faulty.Faults {
 		t.Run(fa.Name, func(t *testing.T) {
@@ -58,7 +58,7 @@
 					}
 					switch {
 					case fa.HeadSent && an.err == nil && an.outcome != "may-have-run":
-						t.Errorf("a truncated answer looked complete: %+v", an)
+						t.Errorf("a truncated response looked complete: %+v", an)
 					case !fa.HeadSent && (an.outcome != "may-have-run" || an.status != http.StatusBadGateway || an.err != nil):
 						t.Errorf("the caller got %+v, want may-have-run", an)
 					}
@@ -142,7 +142,7 @@
 				an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
 				runs := [2]int{bad.RequestCount(), good.RequestCount()}
 				if kd.repeatable && (an.status != http.StatusOK || runs != [2]int{1, 1}) {
-					t.Errorf("got %+v, runs %v; want an answer of the other server", an, runs)
+					t.Errorf("got %+v, runs %v; want a response of the other server", an, runs)
 				}
 				if !kd.repeatable && (an.outcome != "may-have-run" || runs != [2]int{1, 0}) {
 					t.Errorf("got %+v, runs %v; want one run", an, runs)
@@ -154,8 +154,8 @@
 
 // TestNotRunSentElsewhere: one of two servers does not run the request: nothing listens there, the
 // server sheds with the agreed header, its slots are full, it drains, its inlet belongs to another
-// VM or process, or its VM is gone. Every kind of request is then answered by the other server and
-// runs once.
+// VM or process, or its VM no longer exists. Every kind of request is then answered by the other
+// server and runs once.
 func TestNotRunSentElsewhere(t *testing.T) {
 	// Nothing listens on port 1 of the loopback address, and no other test is given it.
 	const unusedAddr = "127.0.0.1:1"
@@ -251,9 +251,9 @@
 	}
 }
 
-// TestSurplusBytes: a server sends bytes after its answer in the same write, with each form of
-// body. These bytes are a complete answer themselves and could be taken for the answer to the next
-// caller's request on the connection.
+// TestSurplusBytes: a server sends bytes after its response in the same write, with each form of
+// body. These bytes are a complete response themselves and could be taken for the response to the
+// next caller's request on the connection.
 func TestSurplusBytes(t *testing.T) {
 	const injected = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen"
 	for _, tc := range []struct{ name, answer string }{
@@ -276,7 +276,7 @@
 			rg := newRig(t, rs.Addr)
 			for i := range 50 {
 				if an := rg.do(rg.request("GET", "/bad", "")); an.err != nil || strings.Contains(an.body, "stolen") {
-					t.Fatalf("round %d: the bad answer: %+v", i, an)
+					t.Fatalf("round %d: the bad response: %+v", i, an)
 				}
 				path := fmt.Sprint("/good/", i)
 				if an := rg.do(rg.request("GET", path, "")); an.body != "ok "+path {
@@ -287,8 +287,9 @@
 	}
 }
 
-// TestAnswersNotMixed: hundreds of concurrent callers have an individual answer each. Some callers
-// cancel, and some answers are cut off. Each caller must get its own answer completely or an error.
+// TestAnswersNotMixed: hundreds of concurrent callers have an individual response each. Some
+// callers cancel, and some responses are truncated. Each caller must get its own response
+// completely or an error.
 func TestAnswersNotMixed(t *testing.T) {
 	size := func(id int) int { return (id * 7919) % 70_000 }
 	text := func(id int) string { return strings.Repeat(fmt.Sprintf("%08d", id), size(id)/8+1) }
@@ -302,7 +303,7 @@
 		case 1:
 			_ = http.NewResponseController(w).Flush()
 		case 2:
-			// Cut off in the middle.
+			// The response is truncated in the middle.
 			_, _ = io.WriteString(w, body[:len(body)/2])
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
@@ -334,11 +335,11 @@
 				if an.err == nil && an.status == http.StatusOK {
 					want := sha256.Sum256([]byte(text(id)))
 					if got := sha256.Sum256([]byte(an.body)); got != want {
-						t.Errorf("request %d: an answer of %d bytes, digest %s, want %d bytes", id, len(an.body), hex.EncodeToString(got[:4]), len(text(id)))
+						t.Errorf("request %d: a response of %d bytes, digest %s, want %d bytes", id, len(an.body), hex.EncodeToString(got[:4]), len(text(id)))
 					}
 				}
 				if id%5 == 2 && an.err == nil && an.status == http.StatusOK {
-					t.Errorf("request %d: a truncated answer looked complete", id)
+					t.Errorf("request %d: a truncated response looked complete", id)
 				}
 			}
 		})
--- a/internal/path/outlet/gone_test.go
+++ b/internal/path/outlet/gone_test.go
@@ -17,8 +17,8 @@
 )
 
 // TestNoSilentSuccess guards against a caller receiving an empty 200 that no backend server sent. A
-// failed background read cancels the request's context as if the caller had gone. The outlet then
-// returned without writing an answer, for which net/http sends 200.
+// failed background read cancels the request's context as if the caller had disconnected. The
+// outlet then returned without writing a response, for which net/http sends 200.
 func TestNoSilentSuccess(t *testing.T) {
 	var cancel context.CancelFunc
 	be, err := faulty.New(func(cn net.Conn, _ int, req *http.Request) bool {
@@ -79,8 +79,8 @@
 }
 
 // TestCallerGoneBefore: requests wait in the accept queue until their callers have given up and
-// closed their connections. None of them may reach a backend server: the answer would be discarded,
-// and the slots are needed.
+// closed their connections. None of them may reach a backend server: the response would be
+// discarded, and the slots are needed.
 func TestCallerGoneBefore(t *testing.T) {
 	// With one processor, the background read that detects the close is certain to run.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
--- a/internal/path/outlet/load_test.go
+++ b/internal/path/outlet/load_test.go
@@ -61,7 +61,7 @@
 	workers chan struct{}
 	// fail, if set, may answer the request without doing the work.
 	fail func(w http.ResponseWriter, r *http.Request) bool
-	// call, if set, calls another service and returns the status of its answer.
+	// call, if set, calls another service and returns the status of its response.
 	call func(r *http.Request) int
 
 	mu  sync.Mutex
--- a/internal/path/outlet/notrun_test.go
+++ b/internal/path/outlet/notrun_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestUndeliveredIsNotRun: the caller of a request that no backend server received must be told 503
-// with a Retry-After before its own timeout. In a fleet under load, one answer in thirty to such
+// with a Retry-After before its own timeout. In a fleet under load, one response in thirty to such
 // requests was 502 or 504: the request waited in an inlet's queue until its deadline, at which the
 // outlet gave up as well without having learned whether it had run, so that a confirmation could
 // not be retried.
--- a/internal/path/outlet/outlet.go
+++ b/internal/path/outlet/outlet.go
@@ -38,8 +38,8 @@
 	work       func() limit.Activity
 	retryBound retry.Bound
 	poison     func() *poison.View
-	// poisonJitter is this outlet's random delay, at most poison.RetryJitter, before it tries a
-	// refused poison request again.
+	// poisonJitter is this outlet's random delay, at most poison.RetryJitter, before it retries a
+	// refused poison request.
 	poisonJitter time.Duration
 	logSample    atomic.Uint64 // bits of the float64 that LogSample returns
 	routing      board.Cell[routing]
@@ -49,7 +49,7 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	// linkRate is the rate of the VM's link in bits per second, 0 if unknown. largeResponses is the
-	// number of large answers that are being received over it.
+	// number of large responses that are being received over it.
 	linkRate       float64
 	largeResponses atomic.Int32
 	// activeRequests and bufferedBytes bound the memory that callers can make the outlet use.
@@ -84,7 +84,7 @@
 	// RetryBound bounds the retries to each service, summed over all outlets; nil stands for
 	// retry.Default.
 	RetryBound *retry.Bound
-	// Poison returns the requests during which backend servers exited; nil if they are not tracked.
+	// Poison returns the requests that crashed backend servers; nil if they are not tracked.
 	Poison func() *poison.View
 	// Service is the service that runs on this VM. Backend servers are told that it is the caller.
 	Service string
@@ -232,7 +232,7 @@
 	undo := ou.setDeadlines(w, start.Add(limit))
 	defer func() {
 		// If the body is incomplete, the deadlines stay: without them the server would wait for the
-		// rest of the body before it sends the answer.
+		// rest of the body before it sends the response.
 		if !rq.body.incomplete {
 			undo()
 		}
@@ -249,7 +249,7 @@
 	return time.Now()
 }
 
-// Retryable reports whether a request may be run again if its answer is lost, so that it may also
+// Retryable reports whether a request may be run again if its response is lost, so that it may also
 // be started before earlier requests on its connection are answered.
 func (ou *Outlet) Retryable(r *http.Request) bool {
 	_, route := ou.match(r)
@@ -276,7 +276,7 @@
 		}
 	}
 	// The write deadline is later, so that a caller whose body did not arrive in time can still be
-	// sent an answer.
+	// sent a response.
 	set(at.Add(time.Second), at.Add(2*time.Second))
 	return func() { set(time.Time{}, time.Time{}) }
 }
--- a/internal/path/outlet/outlets_test.go
+++ b/internal/path/outlet/outlets_test.go
@@ -54,7 +54,7 @@
 			ta := lr.load(tc.rate, 2*time.Second, constantPath("/quick"))
 			refused := float64(ta.notRun) / float64(ta.total())
 			inletRequests := float64(lr.inletRequests()-before) / float64(ta.total())
-			t.Logf("%s: %.4f refused, %.2f messages a request, 99th of answers %v", tc.name, refused, inletRequests, quantile(ta.latency, 0.99))
+			t.Logf("%s: %.4f refused, %.2f messages a request, 99th of responses %v", tc.name, refused, inletRequests, quantile(ta.latency, 0.99))
 			if refused > tc.refused || inletRequests > tc.inletRequests {
 				t.Errorf("%s: %.4f refused, want at most %.4f; %.2f messages a request, want at most %.2f", tc.name, refused, tc.refused, inletRequests, tc.inletRequests)
 			}
--- a/internal/path/outlet/poison.go
+++ b/internal/path/outlet/poison.go
@@ -10,10 +10,10 @@
 	"github.com/flamingomast/flamingomast/internal/stat/logs"
 )
 
-// checkPoison refuses a poison request: one that makes the backend servers that run it exit. A
-// single such request once took down a whole service, because each outlet retried it and its caller
-// sent it again through other outlets. What any daemon has observed of the request is therefore
-// taken into account.
+// checkPoison refuses a poison request: one that crashes the backend servers that run it. A single
+// such request once took down a whole service, because each outlet retried it and its caller
+// retried it through other outlets. What any daemon has observed of the request is therefore taken
+// into account.
 func (rq *request) checkPoison() *result.Refusal {
 	vw := rq.ou.poison()
 	if !vw.Suspects(rq.r) {
@@ -33,6 +33,6 @@
 		slog.String(logs.ID, rq.id()), slog.String(logs.RequestKey, key.String()), slog.Int(logs.Crashes, rq.serverCrashes))
 	return &result.Refusal{
 		Outcome: result.NotRun, Reason: result.ReasonPoison,
-		Detail: "backend servers exited while running this request; it is refused for now",
+		Detail: "backend servers crashed while running this request; it is refused for now",
 	}
 }
--- a/internal/path/outlet/request.go
+++ b/internal/path/outlet/request.go
@@ -63,7 +63,7 @@
 	// attempts counts all attempts, rejections those rejected for lack of capacity or shed,
 	// delivered those that may have reached a backend server.
 	attempts, rejections, delivered int
-	// serverCrashes counts the backend servers that exited while they ran the request.
+	// serverCrashes counts the backend servers that crashed while they ran the request.
 	serverCrashes int
 	// lastRefusal is the refusal of the last attempt, nil if it was answered.
 	lastRefusal *result.Refusal
@@ -140,8 +140,8 @@
 	}
 }
 
-// staleConn reports whether the request was sent on a kept connection that was already closed. That
-// says nothing about the server, which may be tried again.
+// staleConn reports whether the request was sent on a keep-alive connection that was already
+// closed. That says nothing about the server, which may be tried again.
 func staleConn(rf *result.Refusal) bool {
 	return rf.Outcome == result.NotRun && rf.Reason == result.ReasonConnectionBroken
 }
@@ -219,16 +219,16 @@
 	return rf.Outcome != result.NotRun || rf.Reason == result.ReasonShed
 }
 
-// refuse writes the final answer of a request that no server answered. It does not wait; the answer
-// says when the caller should retry.
+// refuse writes the final response of a request that no server answered. It does not wait; the
+// response says when the caller should retry.
 func (rq *request) refuse(rf *result.Refusal) {
 	rq.record(rf.Outcome, rf.Reason)
 	rq.setRetryAfter(rf)
 	retryAdvised := rf.Outcome == result.NotRun && rf.Reason != result.ReasonPoison
 	rq.ou.callerTries.Failed(rq.callerTry, time.Now(), retryAdvised, &rq.rs.callerRetries)
-	// The refusal is written even if the caller seems to have gone. The context of a request is
-	// also cancelled when a read from the caller fails, and net/http sends an empty 200 for a
-	// handler that returns without an answer.
+	// The refusal is written even if the caller seems to have disconnected. The context of a
+	// request is also cancelled when a read from the caller fails, and net/http sends an empty 200
+	// for a handler that returns without a response.
 	if rq.body.streamed() || rq.body.incomplete {
 		rq.w.Header().Set("Connection", "close")
 	}
@@ -237,8 +237,8 @@
 
 // Delays after which refused callers are asked to retry.
 const (
-	// objectiveDivisor gives the shortest delay as a fraction of the objective: early enough for an
-	// answer in time, and late enough for slots to become free.
+	// objectiveDivisor gives the shortest delay as a fraction of the objective: early enough for a
+	// response in time, and late enough for slots to become free.
 	objectiveDivisor = 4
 	// defaultRetryDelay is the shortest delay if no objective is declared.
 	defaultRetryDelay = 100 * time.Millisecond
@@ -293,7 +293,7 @@
 	rq.logResult(oc, re, took)
 }
 
-// logResult logs the end of a request: every failure, and a sample of the answers.
+// logResult logs the end of a request: every failure, and a sample of the responses.
 func (rq *request) logResult(oc result.Outcome, re result.Reason, took time.Duration) {
 	level := slog.LevelWarn
 	if oc == result.Answered {
--- a/internal/path/outlet/routestats.go
+++ b/internal/path/outlet/routestats.go
@@ -14,7 +14,7 @@
 // routeStats holds what an outlet has measured of a route's requests. It is kept when the
 // configuration changes.
 type routeStats struct {
-	// size is the moving average of the bytes of a request and its answer, with both heads.
+	// size is the moving average of the bytes of a request and its response, with both heads.
 	size atomic.Int64
 	// held is the moving average of the time for which a request holds a slot.
 	held atomic.Int64
@@ -22,13 +22,13 @@
 	callerRetries again.RetryStats
 }
 
-// sizeDivisor is the inverse weight of one answer in the moving average of sizes.
+// sizeDivisor is the inverse weight of one response in the moving average of sizes.
 const sizeDivisor = 16
 
-// headBytes is the assumed size of the heads of a request and its answer together.
+// headBytes is the assumed size of the heads of a request and its response together.
 const headBytes = 700
 
-// recordSize records the bytes of a request and its answer.
+// recordSize records the bytes of a request and its response.
 func (rs *routeStats) recordSize(n int64) {
 	old := rs.size.Load()
 	if old == 0 {
@@ -38,7 +38,7 @@
 	rs.size.Store(old + (n-old)/sizeDivisor)
 }
 
-// heldDivisor is the inverse weight of one answer in the moving average of slot times.
+// heldDivisor is the inverse weight of one response in the moving average of slot times.
 const heldDivisor = 32
 
 // recordHeld records for how long a request held a slot and returns the moving average.
@@ -52,7 +52,7 @@
 	return next
 }
 
-// expectedSize returns the expected bytes of a request and its answer.
+// expectedSize returns the expected bytes of a request and its response.
 func (rs *routeStats) expectedSize() int64 {
 	if n := rs.size.Load(); n > 0 {
 		return n
--- a/internal/path/outlet/validate_test.go
+++ b/internal/path/outlet/validate_test.go
@@ -132,11 +132,11 @@
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
 	if err != nil || string(body) != "body" || res.StatusCode != http.StatusAccepted || res.Trailer.Get("X-Sum") != "7" {
-		t.Errorf("answer %d %q, trailer %v, %v", res.StatusCode, body, res.Trailer, err)
+		t.Errorf("response %d %q, trailer %v, %v", res.StatusCode, body, res.Trailer, err)
 	}
 	for name := range res.Header {
 		if strings.HasPrefix(name, "Flamingomast-") || name == "X-Hop" {
-			t.Errorf("the answer has the header %s", name)
+			t.Errorf("the response has the header %s", name)
 		}
 	}
 	if host != "booking" || method != "PATCH" || uri != "/a%2Fb/c?q=1&q=2" || got.Get("Idempotency-Key") != "k" || got.Get("X-Hop-Too") != "" {
@@ -259,7 +259,7 @@
 	eventually(t, func() bool { return rg.vms[0].in.Gate.Load().Running == 0 })
 }
 
-// TestHTTP2Caller: a truncated answer must not look complete over HTTP/2 either.
+// TestHTTP2Caller: a truncated response must not look complete over HTTP/2 either.
 func TestHTTP2Caller(t *testing.T) {
 	rs := newFaultyServer(t, func(cn net.Conn, n int, req *http.Request) bool {
 		if req.URL.Path == "/whole" {
@@ -275,10 +275,10 @@
 	cl := &http.Client{Transport: &http.Transport{Protocols: &ps, TLSClientConfig: &tls.Config{}}}
 	defer cl.CloseIdleConnections()
 	if an := send(cl, rg.request("GET", "/whole", "")); an.body != "ok /whole" {
-		t.Errorf("a complete answer: %+v", an)
+		t.Errorf("a complete response: %+v", an)
 	}
 	if an := send(cl, rg.request("GET", "/half", "")); an.err == nil && an.outcome != "may-have-run" {
-		t.Errorf("a truncated answer looked complete: %+v", an)
+		t.Errorf("a truncated response looked complete: %+v", an)
 	}
 }
 
@@ -436,7 +436,7 @@
 			return
 		}
 		if _, err := http.ReadResponse(br, nil); err != nil {
-			t.Errorf("the answer is not valid HTTP: %v", err)
+			t.Errorf("the response is not valid HTTP: %v", err)
 		}
 	})
 }
--- a/internal/path/pick/cut_test.go
+++ b/internal/path/pick/cut_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// TestPartition cuts off a failure domain whose own servers are full or gone. Each request was sent
-// to unreachable servers twice and hung there for 400 ms each time before it was refused: 222 of
-// 700 tries within 5 s. The calls among them held the slots of their parent requests. A request
-// must be refused at once if a reachable server has already refused it. Otherwise an ejected server
-// is still tried.
+// TestPartition separates a failure domain whose own servers are full or unreachable from the
+// others. Each request was sent to unreachable servers twice and hung there for 400 ms each time
+// before it was refused: 222 of 700 tries within 5 s. The calls among them held the slots of their
+// parent requests. A request must be refused at once if a reachable server has already refused it.
+// Otherwise an ejected server is still tried.
 func TestPartition(t *testing.T) {
 	now := time.Now()
 	zero := func(int) int { return 0 }
@@ -21,7 +21,7 @@
 	for _, tc := range []struct {
 		name string
 		// near and far are the states of two servers. cutOff is set if the far one is in a failure
-		// domain known to be cut off.
+		// domain known to be unreachable.
 		near, far int
 		cutOff    bool
 		// full is set if the near one has refused the request for lack of capacity.
--- a/internal/path/pick/endpoint.go
+++ b/internal/path/pick/endpoint.go
@@ -124,7 +124,7 @@
 	}
 	switch vd {
 	case Unreachable:
-		// The daemon or its VM is gone. Since no request was lost to find out, the server is
+		// The daemon or its VM is down. Since no request was lost to find out, the server is
 		// ejected at once, whatever its failure rate.
 		ep.eject(now)
 		ep.live.unreachable.Store(true)
--- a/internal/path/pick/pick.go
+++ b/internal/path/pick/pick.go
@@ -149,7 +149,7 @@
 	// Size is the expected size of the response in bytes.
 	Size int64
 	// StayInDomain keeps a request with a large response in the failure domain as long as a server
-	// there is alive. It is set where links are narrow: those of the other failure domains are
+	// there is reachable. It is set where links are narrow: those of the other failure domains are
 	// equally busy, so a large response that finds no capacity here would take it from others
 	// there.
 	StayInDomain bool
@@ -159,7 +159,7 @@
 	ServiceTime time.Duration
 	// FoundFull is set if a reachable server has refused the request for lack of capacity. The
 	// request is then not sent to a server that may be unreachable: it already has a definite
-	// answer, the refusal.
+	// outcome, the refusal.
 	FoundFull bool
 }
 
--- a/internal/path/pick/pick_test.go
+++ b/internal/path/pick/pick_test.go
@@ -10,7 +10,7 @@
 // TestStayInDomain checks large responses while the links of a failure domain are full. A document
 // request that found no capacity there was sent to another failure domain, where the links are
 // equally full and each transfer costs more than it is worth. It must be refused instead, as long
-// as a server of the failure domain is alive. Small requests go where there is capacity.
+// as a server of the failure domain is reachable. Small requests go where there is capacity.
 func TestStayInDomain(t *testing.T) {
 	now := time.Now()
 	near := NewEndpoint(Endpoint{VM: "near", Slots: 4})
--- a/internal/path/proxy/conn.go
+++ b/internal/path/proxy/conn.go
@@ -23,9 +23,9 @@
 // when its buffer is empty. The first byte of a request is therefore written only while such a read
 // is blocked: the buffer holds no surplus then. Data that the read returns before a byte of the
 // request was written is surplus too. In both cases the connection is aborted and the request has
-// not run. The same applies if the kernel has received the end of a kept connection that the read
-// has not returned yet. Surplus that arrives after the request was written cannot be told from its
-// response.
+// not run. The same applies if the kernel has received the end of a keep-alive connection that the
+// read has not returned yet. Surplus that arrives after the request was written cannot be told from
+// its response.
 type conn struct {
 	net.Conn
 
--- a/internal/path/proxy/proxy.go
+++ b/internal/path/proxy/proxy.go
@@ -105,7 +105,7 @@
 }
 
 // Body returns the body for a request as the transport needs it: never nil and without GetBody.
-// When a kept connection breaks, the transport itself repeats requests that it considers
+// When a keep-alive connection breaks, the transport itself resends requests that it considers
 // replayable: those without a body that have a safe method, or any method and an Idempotency-Key. A
 // body that it cannot recreate leaves that decision to this system.
 func Body(r io.Reader) io.ReadCloser {
--- a/internal/path/proxy/proxy_test.go
+++ b/internal/path/proxy/proxy_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// TestGreeting checks that a server which sends data first is not taken for an HTTP server, and
+// TestGreeting checks that a server which sends data first is not treated as an HTTP server, and
 // that nothing of the request is sent to it.
 func TestGreeting(t *testing.T) {
 	client, server := net.Pipe()
@@ -127,8 +127,8 @@
 	}
 }
 
-// brokenConn blocks when read and fails when written, like a connection whose peer went away
-// unnoticed.
+// brokenConn blocks when read and fails when written, like a connection whose peer disappeared
+// without closing it.
 type brokenConn struct {
 	net.Conn
 }
--- a/internal/path/proxy/stale_test.go
+++ b/internal/path/proxy/stale_test.go
@@ -9,8 +9,8 @@
 	"github.com/flamingomast/flamingomast/internal/plat/dialer"
 )
 
-// TestClosedBeforeWrite guards against counting a request as sent although its kept connection had
-// already been closed: such a request would not be retried.
+// TestClosedBeforeWrite guards against counting a request as sent although its keep-alive
+// connection had already been closed: such a request would not be retried.
 func TestClosedBeforeWrite(t *testing.T) {
 	for _, tc := range []struct {
 		name string
--- a/internal/path/retry/budget_test.go
+++ b/internal/path/retry/budget_test.go
@@ -216,10 +216,10 @@
 
 // TestFleet lets all servers of a service shed more than half of their requests, while calls of
 // those that run go to another service that does the same. With a fixed balance per outlet, chosen
-// for nine outlets, some hundred outlets together exceeded the bound many times over, and calls of
-// repeated requests were added on top. No window may exceed the bound, for any fleet size and
-// distribution of requests and even if all processes restart, and most of the allowed repeats must
-// be used.
+// for nine outlets, some hundred outlets together exceeded the bound many times over, and calls
+// made while running retried requests came on top. No window may exceed the bound, for any fleet
+// size and distribution of requests and even if all processes restart, and most of the allowed
+// repeats must be used.
 func TestFleet(t *testing.T) {
 	for _, size := range []struct {
 		outlets int
@@ -266,10 +266,10 @@
 	}
 }
 
-// TestPartitionedFleet cuts off one failure domain of five, after which each side takes the VMs of
-// the other for gone. The outlets then count fewer outlets than there are in total. Since balances
-// grow only with an outlet's own requests, the sum must stay within the bound that applies to the
-// whole fleet.
+// TestPartitionedFleet separates one failure domain of five from the others, so that each side
+// removes the VMs of the other from its members. The outlets then count fewer outlets than there
+// are in total. Since balances grow only with an outlet's own requests, the sum must stay within
+// the bound that applies to the whole fleet.
 func TestPartitionedFleet(t *testing.T) {
 	fl := newFleet(295, 630, false)
 	for tick := range 50 * ticksPerSecond {
--- a/internal/path/shed/shed.go
+++ b/internal/path/shed/shed.go
@@ -11,7 +11,7 @@
 // The parameters of a throttle.
 const (
 	// offersPerAccept is how many requests are offered for each accepted one. When all servers of a
-	// service but one are gone, every outlet offers its whole load to that one, and refusing it
+	// service but one are down, every outlet offers its whole load to that one, and refusing it
 	// takes the inlet more time than serving. At 2, refusals cost at most as many messages as
 	// responses, and capacity that becomes available is found within one half-life.
 	offersPerAccept = 2
