--- a/internal/path/again/again.go
+++ b/internal/path/again/again.go
@@ -40,7 +40,7 @@
 
 // Arrived returns the try of a request that arrived at now and whose caller waits for timeout, 0 if
 // unknown. It reports whether the request is a retry, and if so counts it for its route.
-func (tk *Tracker) Arrived(r *http.Request, now time.Time, timeout time.Duration, rs *RetryStats) (tr *Try, further bool) {
+func (tk *Tracker) Arrived(r *http.Request, now time.Time, timeout time.Duration, rs *RetryStats) (tr *Try, isRetry bool) {
 	tr = &Try{FirstAt: now}
 	if timeout <= 0 {
 		return tr, false
--- a/internal/path/inlet/attribution_test.go
+++ b/internal/path/inlet/attribution_test.go
@@ -92,16 +92,16 @@
 	rg.in.SetTarget(inlet.Target{VM: "vm", Process: "p", Service: "booking", Addr: rg.addr, Lifetime: lifetime})
 }
 
-// send sends a request to the inlet; ends is the number of crashes that its outlet knows of.
-func (rg *rig) send(ctx context.Context, path string, ends int) *httptest.ResponseRecorder {
+// send sends a request to the inlet; crashCount is the number of crashes that its outlet knows of.
+func (rg *rig) send(ctx context.Context, path string, crashCount int) *httptest.ResponseRecorder {
 	r := httptest.NewRequestWithContext(ctx, "GET", "http://booking"+path, nil)
 	for name, value := range map[string]string{
 		result.VMHeader: "vm", result.ProcessHeader: "p", result.ServiceHeader: "booking", result.ClassHeader: "default",
 	} {
 		r.Header.Set(name, value)
 	}
-	if ends > 0 {
-		r.Header.Set(result.CrashesHeader, fmt.Sprint(ends))
+	if crashCount > 0 {
+		r.Header.Set(result.CrashesHeader, fmt.Sprint(crashCount))
 	}
 	w := httptest.NewRecorder()
 	rg.in.ServeHTTP(w, r)
@@ -216,8 +216,8 @@
 	rg := newRig(t, nil)
 	close(rg.proceed)
 	r := httptest.NewRequest("GET", "http://booking/same", nil)
-	for en := range poison.CrashID(2) {
-		rg.in.Report([]poison.Report{{Head: ident.HeaderHash(r), Key: ident.KeyOf(r, nil), Crash: en, At: time.Now()}})
+	for crashID := range poison.CrashID(2) {
+		rg.in.Report([]poison.Report{{Head: ident.HeaderHash(r), Key: ident.KeyOf(r, nil), Crash: crashID, At: time.Now()}})
 	}
 	if w := rg.send(context.Background(), "/same", 2); w.Code != http.StatusOK {
 		t.Fatalf("status %d, want 200", w.Code)
--- a/internal/path/inlet/inlet.go
+++ b/internal/path/inlet/inlet.go
@@ -144,19 +144,19 @@
 		return
 	}
 	defer release()
-	tk, rf := in.Gate.Acquire(ctx, rq)
+	slot, rf := in.Gate.Acquire(ctx, rq)
 	sr.Queue.Record(time.Since(start))
 	if rf != nil {
 		sr.Outcomes.Add(rf.Outcome.String()+"/"+string(rf.Reason), 1)
 		in.refuse(w, r, rf)
 		return
 	}
-	defer tk.Release()
+	defer slot.Release()
 	if ctx.Err() != nil {
 		in.refuse(w, r, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonDeadlinePassed})
 		return
 	}
-	in.forward(ctx, w, r, tg, &admittedRequest{start: start, sr: sr, tk: tk, tf: tf})
+	in.forward(ctx, w, r, tg, &admittedRequest{start: start, sr: sr, slot: slot, tf: tf})
 	sr.Latency.Record(time.Since(start))
 }
 
@@ -242,13 +242,13 @@
 type admittedRequest struct {
 	start time.Time
 	sr    *hist.Series
-	tk    *limit.Slot
+	slot  *limit.Slot
 	tf    *transfer
 }
 
 // spent returns how long the request has waited for its slot and held it until now.
 func (ar *admittedRequest) spent(now time.Time) result.SlotTimes {
-	return result.SlotTimes{Wait: ar.tk.AcquiredAt().Sub(ar.start), ServiceTime: now.Sub(ar.tk.AcquiredAt())}
+	return result.SlotTimes{Wait: ar.slot.AcquiredAt().Sub(ar.start), ServiceTime: now.Sub(ar.slot.AcquiredAt())}
 }
 
 // forward sends an admitted request to the backend server and the response back. The slot is
@@ -294,7 +294,7 @@
 		}
 		if size > 0 {
 			in.crashes.finish(rr, true)
-			ar.tk.Release()
+			ar.slot.Release()
 			in.clearSuspect(r, pr)
 		}
 	}
--- a/internal/path/limit/load_test.go
+++ b/internal/path/limit/load_test.go
@@ -41,16 +41,16 @@
 	var wg conc.WaitGroup
 	began := time.Now()
 	for i, fl := range flows {
-		rnd, returns := rand.New(rand.NewPCG(1, uint64(i))), rand.New(rand.NewPCG(2, uint64(i)))
+		rnd, retrySeeds := rand.New(rand.NewPCG(1, uint64(i))), rand.New(rand.NewPCG(2, uint64(i)))
 		ta := &tally{}
 		counts[fl.name] = ta
 		for at := 0.0; at < 20; at += rnd.ExpFloat64() / fl.rate {
 			all[fl.name]++
 			work := fl.serviceTime/2 + time.Duration(rnd.Float64()*float64(fl.serviceTime))
-			back := rand.New(rand.NewPCG(returns.Uint64(), 0))
+			retryRand := rand.New(rand.NewPCG(retrySeeds.Uint64(), 0))
 			wg.Go(func() {
 				time.Sleep(time.Until(began.Add(time.Duration(at * float64(time.Second)))))
-				took, ok := simulateCaller(lm, &fl, work, back)
+				took, ok := simulateCaller(lm, &fl, work, retryRand)
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
--- a/internal/path/outlet/answer_test.go
+++ b/internal/path/outlet/answer_test.go
@@ -51,8 +51,8 @@
 	eventually(t, func() bool {
 		return documents.Load() == 2 && gate.Load().Running == 0
 	})
-	if an := rg.do(rg.request("GET", "/lookup", "")); an.status != http.StatusOK {
-		t.Errorf("a lookup during the downloads got %+v", an)
+	if rp := rg.do(rg.request("GET", "/lookup", "")); rp.status != http.StatusOK {
+		t.Errorf("a lookup during the downloads got %+v", rp)
 	}
 	for _, cn := range conns {
 		head := make([]byte, 12)
@@ -75,8 +75,8 @@
 	}))
 	rg := newRig(t, broken.Addr, whole)
 	for range 20 {
-		if an := rg.do(rg.request("GET", "/document", "")); an.err != nil || an.status != http.StatusOK || len(an.body) != 100000 {
-			t.Fatalf("a caller got status %d, %d bytes, %v", an.status, len(an.body), an.err)
+		if rp := rg.do(rg.request("GET", "/document", "")); rp.err != nil || rp.status != http.StatusOK || len(rp.body) != 100000 {
+			t.Fatalf("a caller got status %d, %d bytes, %v", rp.status, len(rp.body), rp.err)
 		}
 	}
 	if broken.RequestCount() == 0 {
@@ -91,8 +91,8 @@
 		w.Header().Set("Content-Length", "5000")
 	}))
 	rg := newRig(t, addr)
-	if an := rg.do(rg.request("HEAD", "/a", "")); an.status != http.StatusOK || an.err != nil {
-		t.Errorf("HEAD got %+v", an)
+	if rp := rg.do(rg.request("HEAD", "/a", "")); rp.status != http.StatusOK || rp.err != nil {
+		t.Errorf("HEAD got %+v", rp)
 	}
 }
 
@@ -109,10 +109,10 @@
 		rg.outlet = outlet.New(outlet.Options{Forwarder: proxy.New(proxy.Options{Dial: dialWithoutTimeout}), Names: result.HeaderNames{FractionalRetryAfter: true}})
 		rg.update()
 		rg.front.Config.Handler = rg.outlet
-		an := rg.do(rg.request("GET", "/always", ""))
-		after, err := strconv.ParseFloat(an.retryAfter, 64)
-		if err != nil || an.reason != string(result.ReasonShed) || after > 0.02 {
-			t.Errorf("server header %q: %d %s, Retry-After %s s, want at most 0.02", retryAfter, an.status, an.reason, an.retryAfter)
+		rp := rg.do(rg.request("GET", "/always", ""))
+		after, err := strconv.ParseFloat(rp.retryAfter, 64)
+		if err != nil || rp.reason != string(result.ReasonShed) || after > 0.02 {
+			t.Errorf("server header %q: %d %s, Retry-After %s s, want at most 0.02", retryAfter, rp.status, rp.reason, rp.retryAfter)
 		}
 	}
 }
--- a/internal/path/outlet/faults_test.go
+++ b/internal/path/outlet/faults_test.go
@@ -52,15 +52,15 @@
 					t.Parallel()
 					rs := newFaultyServer(t, fa.Handler)
 					rg := newRig(t, rs.Addr)
-					an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
+					rp := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
 					if n := rs.RequestCount(); n != 1 {
 						t.Errorf("the server saw the request %d times", n)
 					}
 					switch {
-					case fa.HeadSent && an.err == nil && an.outcome != "may-have-run":
-						t.Errorf("a truncated response looked complete: %+v", an)
-					case !fa.HeadSent && (an.outcome != "may-have-run" || an.status != http.StatusBadGateway || an.err != nil):
-						t.Errorf("the caller got %+v, want may-have-run", an)
+					case fa.HeadSent && rp.err == nil && rp.outcome != "may-have-run":
+						t.Errorf("a truncated response looked complete: %+v", rp)
+					case !fa.HeadSent && (rp.outcome != "may-have-run" || rp.status != http.StatusBadGateway || rp.err != nil):
+						t.Errorf("the caller got %+v, want may-have-run", rp)
 					}
 				})
 			}
@@ -83,21 +83,21 @@
 		t.Run(kd.name, func(t *testing.T) {
 			rs := newFaultyServer(t, fn)
 			rg := newRig(t, rs.Addr)
-			if an := rg.do(rg.request("GET", "/first", "")); an.status != http.StatusOK {
-				t.Fatalf("the first request: %+v", an)
+			if rp := rg.do(rg.request("GET", "/first", "")); rp.status != http.StatusOK {
+				t.Fatalf("the first request: %+v", rp)
 			}
-			an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
+			rp := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
 			if n := rs.RequestCount(); n != 2 {
 				t.Errorf("the server saw %d requests, want the first and this one once", n)
 			}
-			if an.outcome != "may-have-run" {
-				t.Errorf("the caller got %+v", an)
+			if rp.outcome != "may-have-run" {
+				t.Errorf("the caller got %+v", rp)
 			}
 		})
 	}
 }
 
-// TestTransportResends shows the behaviour that the test above guards against: http.Transport sends
+// TestTransportResends shows the behavior that the test above guards against: http.Transport sends
 // such requests twice by default.
 func TestTransportResends(t *testing.T) {
 	for _, tc := range []struct {
@@ -139,13 +139,13 @@
 				// The failing server is in the outlet's own failure domain and is therefore tried
 				// first.
 				rg := newRig(t, bad.Addr, good.Addr)
-				an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
+				rp := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
 				runs := [2]int{bad.RequestCount(), good.RequestCount()}
-				if kd.repeatable && (an.status != http.StatusOK || runs != [2]int{1, 1}) {
-					t.Errorf("got %+v, runs %v; want a response of the other server", an, runs)
+				if kd.repeatable && (rp.status != http.StatusOK || runs != [2]int{1, 1}) {
+					t.Errorf("got %+v, runs %v; want a response of the other server", rp, runs)
 				}
-				if !kd.repeatable && (an.outcome != "may-have-run" || runs != [2]int{1, 0}) {
-					t.Errorf("got %+v, runs %v; want one run", an, runs)
+				if !kd.repeatable && (rp.outcome != "may-have-run" || runs != [2]int{1, 0}) {
+					t.Errorf("got %+v, runs %v; want one run", rp, runs)
 				}
 			})
 		}
@@ -199,15 +199,15 @@
 				bad, good := newFaultyServer(t, fn), newFaultyServer(t, faulty.RespondOK)
 				rg := newRig(t, bad.Addr, good.Addr)
 				tc.injectFault(rg)
-				an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
-				if an.status != http.StatusOK || bad.RequestCount() != tc.runs || good.RequestCount() != 1 {
-					t.Errorf("got %+v, runs %d and %d", an, bad.RequestCount(), good.RequestCount())
+				rp := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
+				if rp.status != http.StatusOK || bad.RequestCount() != tc.runs || good.RequestCount() != 1 {
+					t.Errorf("got %+v, runs %d and %d", rp, bad.RequestCount(), good.RequestCount())
 				}
 				alone := newRig(t, bad.Addr)
 				tc.injectFault(alone)
-				an = alone.do(alone.request(kd.method, kd.path, kd.body, kd.hdr...))
-				if an.outcome != "not-run" || an.reason != tc.reason {
-					t.Errorf("without another server got %+v, want not-run for %s", an, tc.reason)
+				rp = alone.do(alone.request(kd.method, kd.path, kd.body, kd.hdr...))
+				if rp.outcome != "not-run" || rp.reason != tc.reason {
+					t.Errorf("without another server got %+v, want not-run for %s", rp, tc.reason)
 				}
 			})
 		}
@@ -225,10 +225,10 @@
 		return false
 	})
 	rg := newRig(t, rs.Addr)
-	an := rg.do(rg.request("POST", "/short", "visit"))
+	rp := rg.do(rg.request("POST", "/short", "visit"))
 	close(done)
-	if an.status != http.StatusGatewayTimeout || an.outcome != "may-have-run" || an.reason != "deadline-passed" {
-		t.Errorf("got %+v", an)
+	if rp.status != http.StatusGatewayTimeout || rp.outcome != "may-have-run" || rp.reason != "deadline-passed" {
+		t.Errorf("got %+v", rp)
 	}
 	if ms, err := strconv.Atoi(<-timeouts); rs.RequestCount() != 1 || err != nil || ms > 200 {
 		t.Errorf("the server saw it %d times, with %d ms left of 200", rs.RequestCount(), ms)
@@ -256,7 +256,7 @@
 // next caller's request on the connection.
 func TestSurplusBytes(t *testing.T) {
 	const injected = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen"
-	for _, tc := range []struct{ name, answer string }{
+	for _, tc := range []struct{ name, response string }{
 		{"with a length", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"},
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n0\r\n\r\n"},
 		{"chunked, with a blank line within", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nfi\r\n\r\nrst\r\n0\r\n\r\n"},
@@ -270,17 +270,17 @@
 					return faulty.RespondOK(cn, n, req)
 				}
 				faulty.ReadBody(req)
-				_, err := fmt.Fprint(cn, tc.answer, injected)
+				_, err := fmt.Fprint(cn, tc.response, injected)
 				return err == nil
 			})
 			rg := newRig(t, rs.Addr)
 			for i := range 50 {
-				if an := rg.do(rg.request("GET", "/bad", "")); an.err != nil || strings.Contains(an.body, "stolen") {
-					t.Fatalf("round %d: the bad response: %+v", i, an)
+				if rp := rg.do(rg.request("GET", "/bad", "")); rp.err != nil || strings.Contains(rp.body, "stolen") {
+					t.Fatalf("round %d: the bad response: %+v", i, rp)
 				}
 				path := fmt.Sprint("/good/", i)
-				if an := rg.do(rg.request("GET", path, "")); an.body != "ok "+path {
-					t.Fatalf("round %d: the next caller got %+v", i, an)
+				if rp := rg.do(rg.request("GET", path, "")); rp.body != "ok "+path {
+					t.Fatalf("round %d: the next caller got %+v", i, rp)
 				}
 			}
 		})
@@ -330,15 +330,15 @@
 					time.AfterFunc(time.Duration(rnd.IntN(3000))*time.Microsecond, cancel)
 				}
 				req := rg.request("GET", fmt.Sprint("/id/", id), "").WithContext(ctx)
-				an := send(cl, req)
+				rp := send(cl, req)
 				cancel()
-				if an.err == nil && an.status == http.StatusOK {
+				if rp.err == nil && rp.status == http.StatusOK {
 					want := sha256.Sum256([]byte(text(id)))
-					if got := sha256.Sum256([]byte(an.body)); got != want {
-						t.Errorf("request %d: a response of %d bytes, digest %s, want %d bytes", id, len(an.body), hex.EncodeToString(got[:4]), len(text(id)))
+					if got := sha256.Sum256([]byte(rp.body)); got != want {
+						t.Errorf("request %d: a response of %d bytes, digest %s, want %d bytes", id, len(rp.body), hex.EncodeToString(got[:4]), len(text(id)))
 					}
 				}
-				if id%5 == 2 && an.err == nil && an.status == http.StatusOK {
+				if id%5 == 2 && rp.err == nil && rp.status == http.StatusOK {
 					t.Errorf("request %d: a truncated response looked complete", id)
 				}
 			}
--- a/internal/path/outlet/outlet.go
+++ b/internal/path/outlet/outlet.go
@@ -54,7 +54,7 @@
 	largeResponses atomic.Int32
 	// activeRequests and bufferedBytes bound the memory that callers can make the outlet use.
 	activeRequests, bufferedBytes proxy.Budget
-	// callerTries remembers failed requests, so that a caller's retry of one is recognised.
+	// callerTries remembers failed requests, so that a caller's retry of one is recognized.
 	callerTries again.Tracker
 }
 
--- a/internal/path/outlet/rig_test.go
+++ b/internal/path/outlet/rig_test.go
@@ -138,8 +138,8 @@
 	return req
 }
 
-// answer is what a caller received.
-type answer struct {
+// reply is what a caller received.
+type reply struct {
 	status     int
 	outcome    string
 	reason     string
@@ -150,21 +150,21 @@
 }
 
 // do sends a request on its own connection.
-func (rg *rig) do(req *http.Request) answer {
+func (rg *rig) do(req *http.Request) reply {
 	cl := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
 	return send(cl, req)
 }
 
-func send(cl *http.Client, req *http.Request) (an answer) {
+func send(cl *http.Client, req *http.Request) (rp reply) {
 	began := time.Now()
-	defer func() { an.took = time.Since(began) }()
+	defer func() { rp.took = time.Since(began) }()
 	res, err := cl.Do(req)
 	if err != nil {
-		return answer{err: err}
+		return reply{err: err}
 	}
 	defer res.Body.Close()
 	text, err := io.ReadAll(res.Body)
-	return answer{
+	return reply{
 		status: res.StatusCode, outcome: res.Header.Get("Flamingomast-Outcome"), reason: res.Header.Get("Flamingomast-Reason"),
 		retryAfter: res.Header.Get("Retry-After"), body: string(text), err: err,
 	}
--- a/internal/path/outlet/validate_test.go
+++ b/internal/path/outlet/validate_test.go
@@ -77,8 +77,8 @@
 			if strings.Contains(all, "smuggled") {
 				t.Errorf("a smuggled request was answered: %q", all)
 			}
-			if an := rg.do(rg.request("GET", "/a", "")); an.status != http.StatusOK {
-				t.Errorf("another caller got %+v", an)
+			if rp := rg.do(rg.request("GET", "/a", "")); rp.status != http.StatusOK {
+				t.Errorf("another caller got %+v", rp)
 			}
 		})
 	}
@@ -176,8 +176,8 @@
 		if chunked {
 			req.ContentLength = -1
 		}
-		if an := rg.do(req); an.body != fmt.Sprintf("%d <nil>", size) {
-			t.Errorf("chunked %t: %+v", chunked, an)
+		if rp := rg.do(req); rp.body != fmt.Sprintf("%d <nil>", size) {
+			t.Errorf("chunked %t: %+v", chunked, rp)
 		}
 	}
 }
@@ -190,8 +190,8 @@
 	req := rg.request("POST", "/always/a", "")
 	req.Body = io.NopCloser(io.LimitReader(zeros{}, proxy.MaxBody+1<<20))
 	req.ContentLength = -1
-	if an := rg.do(req); an.err == nil && an.status < 400 {
-		t.Errorf("got %+v", an)
+	if rp := rg.do(req); rp.err == nil && rp.status < 400 {
+		t.Errorf("got %+v", rp)
 	}
 }
 
@@ -199,7 +199,7 @@
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
-// TestSlowCallers: callers that send their body slowly or do not read their answer hold a slot and
+// TestSlowCallers: callers that send their body slowly or do not read their response hold a slot and
 // memory of the outlet until their deadline and no longer. Other callers are served meanwhile.
 func TestSlowCallers(t *testing.T) {
 	big := strings.Repeat("x", 32<<20)
@@ -231,8 +231,8 @@
 		_, _ = io.WriteString(cn, text)
 	}
 	eventually(t, func() bool { return serving.Load() == 3 })
-	if an := rg.do(rg.request("GET", "/a", "")); an.status != http.StatusOK {
-		t.Errorf("another caller got %+v", an)
+	if rp := rg.do(rg.request("GET", "/a", "")); rp.status != http.StatusOK {
+		t.Errorf("another caller got %+v", rp)
 	}
 	eventually(t, func() bool { return rg.vms[0].in.Gate.Load().Running == 0 && serving.Load() == 0 })
 }
@@ -274,11 +274,11 @@
 	ps.SetUnencryptedHTTP2(true)
 	cl := &http.Client{Transport: &http.Transport{Protocols: &ps, TLSClientConfig: &tls.Config{}}}
 	defer cl.CloseIdleConnections()
-	if an := send(cl, rg.request("GET", "/whole", "")); an.body != "ok /whole" {
-		t.Errorf("a complete response: %+v", an)
+	if rp := send(cl, rg.request("GET", "/whole", "")); rp.body != "ok /whole" {
+		t.Errorf("a complete response: %+v", rp)
 	}
-	if an := send(cl, rg.request("GET", "/half", "")); an.err == nil && an.outcome != "may-have-run" {
-		t.Errorf("a truncated response looked complete: %+v", an)
+	if rp := send(cl, rg.request("GET", "/half", "")); rp.err == nil && rp.outcome != "may-have-run" {
+		t.Errorf("a truncated response looked complete: %+v", rp)
 	}
 }
 
@@ -294,8 +294,8 @@
 	})
 	rg := newRig(t, rs.Addr)
 	var wg conc.WaitGroup
-	var an answer
-	wg.Go(func() { an = rg.do(rg.request("POST", "/once/a", "visit")) })
+	var rp reply
+	wg.Go(func() { rp = rg.do(rg.request("POST", "/once/a", "visit")) })
 	<-started
 	rg.sn = compile(t, "regions: [{name: r}]\nfailure-domains: [{name: a, region: r}]\n")
 	rg.update()
@@ -304,8 +304,8 @@
 	}
 	close(proceed)
 	wg.Wait()
-	if an.status != http.StatusOK || an.body != "ok /once/a" {
-		t.Errorf("the request that was running got %+v", an)
+	if rp.status != http.StatusOK || rp.body != "ok /once/a" {
+		t.Errorf("the request that was running got %+v", rp)
 	}
 }
 
@@ -321,13 +321,13 @@
 	var wg conc.WaitGroup
 	for range callers {
 		wg.Go(func() {
-			switch an := rg.do(rg.request("GET", "/long", "")); {
-			case an.status == http.StatusOK:
+			switch rp := rg.do(rg.request("GET", "/long", "")); {
+			case rp.status == http.StatusOK:
 				answered.Add(1)
-			case an.outcome == "not-run" && an.reason == "outlet-full" && an.retryAfter == "1":
+			case rp.outcome == "not-run" && rp.reason == "outlet-full" && rp.retryAfter == "1":
 				refused.Add(1)
 			default:
-				t.Errorf("a caller got %+v", an)
+				t.Errorf("a caller got %+v", rp)
 			}
 		})
 	}
@@ -337,8 +337,8 @@
 	if answered.Load() != most {
 		t.Errorf("%d answered, want %d", answered.Load(), most)
 	}
-	if an := rg.do(rg.request("GET", "/a", "")); an.status != http.StatusOK {
-		t.Errorf("afterwards a caller got %+v", an)
+	if rp := rg.do(rg.request("GET", "/a", "")); rp.status != http.StatusOK {
+		t.Errorf("afterwards a caller got %+v", rp)
 	}
 }
 
@@ -394,8 +394,8 @@
 	for range 4 {
 		wg.Go(func() {
 			for range 50 {
-				if an := rg.do(rg.request("GET", "/a", "")); an.status != http.StatusOK {
-					t.Errorf("got %+v", an)
+				if rp := rg.do(rg.request("GET", "/a", "")); rp.status != http.StatusOK {
+					t.Errorf("got %+v", rp)
 				}
 			}
 		})
@@ -409,9 +409,9 @@
 // TestNoBackendServer: the outlet refuses a request at once if the service has no server.
 func TestNoBackendServer(t *testing.T) {
 	rg := newRig(t)
-	an := rg.do(rg.request("GET", "/a", ""))
-	if an.outcome != "not-run" || an.reason != "no-backend-server" || an.retryAfter != "1" {
-		t.Errorf("without a backend server: %+v", an)
+	rp := rg.do(rg.request("GET", "/a", ""))
+	if rp.outcome != "not-run" || rp.reason != "no-backend-server" || rp.retryAfter != "1" {
+		t.Errorf("without a backend server: %+v", rp)
 	}
 }
 
--- a/internal/path/outlet/weight_test.go
+++ b/internal/path/outlet/weight_test.go
@@ -45,8 +45,8 @@
 			counts := map[string]int{}
 			cl := &http.Client{}
 			for range requests {
-				an := send(cl, rg.request("GET", "/split", ""))
-				counts[fmt.Sprintf("%d %s", an.status, an.outcome)]++
+				rp := send(cl, rg.request("GET", "/split", ""))
+				counts[fmt.Sprintf("%d %s", rp.status, rp.outcome)]++
 			}
 			toOther := outcomeCounts(rg, "booking")["answered"]
 			// Four standard deviations of the measured share.
--- a/internal/path/pick/cut_test.go
+++ b/internal/path/pick/cut_test.go
@@ -20,10 +20,10 @@
 	)
 	for _, tc := range []struct {
 		name string
-		// near and far are the states of two servers. cutOff is set if the far one is in a failure
+		// near and far are the states of two servers. noLink is set if the far one is in a failure
 		// domain known to be unreachable.
 		near, far int
-		cutOff    bool
+		noLink    bool
 		// full is set if the near one has refused the request for lack of capacity.
 		full bool
 		want string
@@ -40,7 +40,7 @@
 		near, far := NewEndpoint(Endpoint{VM: "near", Slots: 4}), NewEndpoint(Endpoint{VM: "far", Slots: 4})
 		gp := &Group{all: []*Endpoint{near, far}, spill: true, meanUse: &utilization{}}
 		gp.tiers = []tier{{reachable: newPool([]*Endpoint{near}, "o")}, {reachable: newPool([]*Endpoint{far}, "o")}}
-		if tc.cutOff {
+		if tc.noLink {
 			gp.tiers[1] = tier{suspect: newPool([]*Endpoint{far}, "o")}
 		}
 		for ep, state := range map[*Endpoint]int{near: tc.near, far: tc.far} {
--- a/internal/path/pick/table.go
+++ b/internal/path/pick/table.go
@@ -16,7 +16,8 @@
 // Fleet is the state from which a table is built, apart from the configuration.
 type Fleet struct {
 	Members *member.View
-	Cut     *board.DomainSet
+	// Unreachable holds the failure domains that have no links; nil if there are none.
+	Cut *board.DomainSet
 	// Self is the VM of the outlet.
 	Self     string
 	Rollouts *canary.View
@@ -73,8 +74,8 @@
 	return declared && vm.Service == rc.Service && vm.Domain == rc.Domain
 }
 
-// endpointFor returns the endpoint for a record, with the counters of known if it is the same start
-// of the server.
+// endpointFor returns the endpoint for a record, with the counters of known if it is the same
+// instance of the server.
 func endpointFor(rc *member.Record, sv *snap.Service, known *Endpoint) *Endpoint {
 	slots := rc.Slots
 	if slots <= 0 {
@@ -136,13 +137,13 @@
 	slices.SortFunc(list, func(a, b *Endpoint) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(a.VM), xxhash.Sum64String(b.VM)), cmp.Compare(a.VM, b.VM))
 	})
-	rank := map[string]int{}
-	places := make(map[*Endpoint]int, len(list))
+	countByDomain := map[string]int{}
+	position := make(map[*Endpoint]int, len(list))
 	for _, ep := range list {
-		places[ep] = rank[ep.Domain]
-		rank[ep.Domain]++
+		position[ep] = countByDomain[ep.Domain]
+		countByDomain[ep.Domain]++
 	}
-	slices.SortStableFunc(list, func(a, b *Endpoint) int { return cmp.Compare(places[a], places[b]) })
+	slices.SortStableFunc(list, func(a, b *Endpoint) int { return cmp.Compare(position[a], position[b]) })
 	n = min(n, len(list))
 	return list[:n], list[n:]
 }
--- a/internal/path/retry/retry.go
+++ b/internal/path/retry/retry.go
@@ -8,7 +8,7 @@
 )
 
 // MaxAttempts is the maximum number of attempts for a request: three servers without free slots,
-// and three more that are unreachable or whose reused connections break.
+// and three more that are unreachable or whose keep-alive connections break.
 const MaxAttempts = 6
 
 // Allowed reports whether a request with the given outcome may be sent again.
