--- a/internal/path/ident/ident_test.go
+++ b/internal/path/ident/ident_test.go
@@ -11,7 +11,7 @@
 	"github.com/flamingomast/flamingomast/internal/path/ident"
 )
 
-// TestKey checks that a repeated request has the same key, whatever identifies the attempt, and
+// TestKey checks that a retried request has the same key, whatever identifies the attempt, and
 // that other requests have different keys.
 func TestKey(t *testing.T) {
 	long := strings.Repeat("x", ident.MaxPrefixBytes)
--- a/internal/path/idle/idle.go
+++ b/internal/path/idle/idle.go
@@ -9,7 +9,7 @@
 
 // Set holds the connections of one server. The zero value is ready for use.
 //
-// net/http takes a connection for idle until it has read the whole header of the next request. If
+// net/http considers a connection idle until it has read the whole header of the next request. If
 // it closes such a connection, a request whose first bytes have arrived is cut off without a
 // response, and its caller cannot know whether it ran. In a Set, a connection is busy from the
 // first byte read from it.
--- a/internal/path/idle/idle_test.go
+++ b/internal/path/idle/idle_test.go
@@ -50,8 +50,7 @@
 
 // TestRequestArriving guards against cutting off a request that arrives on a keep-alive connection
 // just as the server closes its idle ones. The first bytes of the request have arrived, but not its
-// whole header. Without a response, the caller of a request that must not be repeated would lose
-// it.
+// whole header. Without a response, the caller of a request that must not be retried would lose it.
 func TestRequestArriving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nw := memnet.New()
--- a/internal/path/limit/limit.go
+++ b/internal/path/limit/limit.go
@@ -27,10 +27,11 @@
 	draining bool
 	classes  map[string]*class
 	order    []*class
-	// serviceTime is the average time a slot is held, serviceTimeByKind the same by kind of request.
-	serviceTime       movingAverage
-	serviceTimeByKind serviceTimes
-	ranker            ranker
+	// meanServiceTime is the average time a slot is held, meanServiceTimeByKind the same by kind of
+	// request.
+	meanServiceTime       movingAverage
+	meanServiceTimeByKind serviceTimes
+	ranker                ranker
 	// runningByPriority counts the running requests without calls.
 	runningByPriority [result.Ranks - 1]int
 	// repeats is the expected number of running requests that are repeats, the sum of
@@ -77,7 +78,7 @@
 
 // New returns a limiter without slots; Configure sets them.
 func New() *Limiter {
-	return &Limiter{classes: map[string]*class{}, serviceTimeByKind: serviceTimes{}}
+	return &Limiter{classes: map[string]*class{}, meanServiceTimeByKind: serviceTimes{}}
 }
 
 // Configure sets the slots and classes. Running and queued requests are unaffected. A class that is
@@ -154,10 +155,10 @@
 // expectedServiceTime returns the average service time of a kind, or of all requests if the kind
 // has no samples. lm.mu must be held.
 func (lm *Limiter) expectedServiceTime(kind string) time.Duration {
-	if d := lm.serviceTimeByKind.expected(kind); d > 0 {
+	if d := lm.meanServiceTimeByKind.expected(kind); d > 0 {
 		return d
 	}
-	return lm.serviceTime.value
+	return lm.meanServiceTime.value
 }
 
 func refuse(reason result.Reason, retryAfter time.Duration) *result.Refusal {
@@ -207,12 +208,12 @@
 // expectedWait estimates how long a request at position pos of its class's queue waits for a slot,
 // based on the service times of the requests ahead of it. lm.mu must be held.
 func (lm *Limiter) expectedWait(cl *class, wt *waiter, pos int) time.Duration {
-	slots, sum := lm.slots, lm.serviceTime.value+cl.serviceTimeAhead(wt, pos)
+	slots, sum := lm.slots, lm.meanServiceTime.value+cl.serviceTimeAhead(wt, pos)
 	if cl.reserved > 0 {
 		// Reserved slots serve the queue of their own class first.
 		slots = cl.reserved
 	} else {
-		sum += lm.serviceTime.value * time.Duration(lm.waiting-len(cl.queue))
+		sum += lm.meanServiceTime.value * time.Duration(lm.waiting-len(cl.queue))
 	}
 	if slots <= 0 {
 		return time.Second
@@ -280,8 +281,8 @@
 	serviceTime := time.Since(sl.acquiredAt)
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
-	lm.serviceTime.add(serviceTime)
-	lm.serviceTimeByKind.add(sl.rq.Kind, serviceTime)
+	lm.meanServiceTime.add(serviceTime)
+	lm.meanServiceTimeByKind.add(sl.rq.Kind, serviceTime)
 	lm.ranker.add(&sl.rq, serviceTime)
 	lm.countRunning(&sl.rq, -1)
 	lm.running--
@@ -394,13 +395,13 @@
 func (lm *Limiter) Load() result.Load {
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
-	ld := result.Load{Running: lm.running, Waiting: lm.waiting, Slots: lm.slots, ServiceTime: lm.serviceTime.value.Truncate(time.Millisecond)}
+	ld := result.Load{Running: lm.running, Waiting: lm.waiting, Slots: lm.slots, ServiceTime: lm.meanServiceTime.value.Truncate(time.Millisecond)}
 	if lm.running < lm.slots || lm.slots <= 0 {
 		return ld
 	}
 	now := time.Now()
 	for i := range ld.Waits {
-		ld.Waits[i] = lm.serviceTime.value
+		ld.Waits[i] = lm.meanServiceTime.value
 	}
 	for _, cl := range lm.order {
 		cl.addWaits(&ld.Waits, lm.ranker.callRank, now)
--- a/internal/path/limit/load_test.go
+++ b/internal/path/limit/load_test.go
@@ -16,7 +16,7 @@
 // flow describes the requests of one kind that a limiter receives.
 type flow struct {
 	name string
-	// rate is the number of requests per second, serviceTime their mean service time.
+	// rate is the number of requests per second, meanServiceTime their mean service time.
 	rate        float64
 	serviceTime time.Duration
 	priority    int
--- a/internal/path/limit/queue.go
+++ b/internal/path/limit/queue.go
@@ -13,7 +13,7 @@
 // waiter is a request queued for a slot.
 type waiter struct {
 	Request
-	// serviceTime is how long the request is expected to hold a slot.
+	// meanServiceTime is how long the request is expected to hold a slot.
 	serviceTime time.Duration
 	// rank orders the queue, lower ones first.
 	rank  float64
--- a/internal/path/limit/rank.go
+++ b/internal/path/limit/rank.go
@@ -10,8 +10,8 @@
 // backend servers and requests of external callers can compete for the same slots. The zero value
 // has no samples.
 type ranker struct {
-	// serviceTimeByPriority is the average service time by priority, without calls.
-	serviceTimeByPriority [result.Ranks - 1]movingAverage
+	// meanServiceTimeByPriority is the average service time by priority, without calls.
+	meanServiceTimeByPriority [result.Ranks - 1]movingAverage
 	// callRank is the rank of the most recently queued call.
 	callRank float64
 }
@@ -21,7 +21,7 @@
 
 func (rk *ranker) add(rq *Request, serviceTime time.Duration) {
 	if !rq.Final {
-		rk.serviceTimeByPriority[priorityIndex(rq.Priority)].add(serviceTime)
+		rk.meanServiceTimeByPriority[priorityIndex(rq.Priority)].add(serviceTime)
 	}
 }
 
@@ -45,7 +45,7 @@
 	}
 	density := valueDensity(rq.Priority, serviceTime)
 	index := 0
-	for index < priorityIndex(rq.Priority) && (rk.serviceTimeByPriority[index].n == 0 || density <= valueDensity(index, rk.serviceTimeByPriority[index].value)) {
+	for index < priorityIndex(rq.Priority) && (rk.meanServiceTimeByPriority[index].n == 0 || density <= valueDensity(index, rk.meanServiceTimeByPriority[index].value)) {
 		index++
 	}
 	rk.callRank = float64(index) - 0.5
--- a/internal/path/outlet/request.go
+++ b/internal/path/outlet/request.go
@@ -293,7 +293,7 @@
 	rq.logResult(oc, re, took)
 }
 
-// logResult logs the end of a request: every failure, and a sample of the responses.
+// logResult logs the end of a request: every failure, and a sample of the answered requests.
 func (rq *request) logResult(oc result.Outcome, re result.Reason, took time.Duration) {
 	level := slog.LevelWarn
 	if oc == result.Answered {
--- a/internal/path/outlet/validate_test.go
+++ b/internal/path/outlet/validate_test.go
@@ -199,8 +199,8 @@
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
-// TestSlowCallers: callers that send their body slowly or do not read their response hold a slot and
-// memory of the outlet until their deadline and no longer. Other callers are served meanwhile.
+// TestSlowCallers: callers that send their body slowly or do not read their response hold a slot
+// and memory of the outlet until their deadline and no longer. Other callers are served meanwhile.
 func TestSlowCallers(t *testing.T) {
 	big := strings.Repeat("x", 32<<20)
 	back := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/path/pick/endpoint.go
+++ b/internal/path/pick/endpoint.go
@@ -229,14 +229,14 @@
 	gp.meanUse.add(ld)
 	ep.live.linkFreeAt.Store(steady.Nanos(now.Add(ld.Backlog)))
 	load := uint64(min(ld.Running+ld.Waiting, math.MaxUint16))
-	serviceTime := uint64(min(ld.ServiceTime.Milliseconds(), math.MaxUint16))
+	serviceTimeMs := uint64(min(ld.ServiceTime.Milliseconds(), math.MaxUint16))
 	var waits uint64
 	for i, wait := range ld.Waits {
 		waits |= uint64(min(wait.Milliseconds(), math.MaxUint16)) << (16 * i)
 	}
 	ep.live.reportedWaits.Store(waits)
 	ep.live.runningAtReport.Store(ep.live.running.Load())
-	ep.live.reported.Store(load<<48 | serviceTime<<32 | uint64(uint32(steady.Millis(now))))
+	ep.live.reported.Store(load<<48 | serviceTimeMs<<32 | uint64(uint32(steady.Millis(now))))
 }
 
 // load estimates the number of requests at the server: the current number of this outlet's own,
--- a/internal/path/result/result.go
+++ b/internal/path/result/result.go
@@ -129,7 +129,7 @@
 type HeaderNames struct {
 	// Timeout is how many milliseconds the sender of a request waits.
 	Timeout string
-	// RequestID is the id that a caller gives each request and that a backend server repeats on
+	// RequestID is the id that a caller gives each request and that a backend server echoes in
 	// its response, so that a response to another request is recognized.
 	RequestID string
 	// Caller is set to the service of the VM on which the request originated.
