--- a/internal/path/limit/limit_test.go
+++ b/internal/path/limit/limit_test.go
@@ -301,8 +301,8 @@
 }
 
 // TestNoStarvation keeps a server busy with urgent calls while document requests of the lowest
-// priority arrive now and then. Documents were never served; now a fixed fraction of the slots goes
-// to the request that has waited longest.
+// priority arrive now and then. A fixed fraction of the slots must go to the request that has waited
+// longest; otherwise documents are never served.
 func TestNoStarvation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lm := New()
--- a/internal/path/outlet/link_test.go
+++ b/internal/path/outlet/link_test.go
@@ -15,9 +15,9 @@
 	"github.com/flamingomast/flamingomast/internal/path/proxy"
 )
 
-// TestLinkOverload: callers download one and a half times what a VM's 5 Mbit/s link carries. Each
-// document used to queue behind all earlier ones until all of them were late, and held a slot
-// meanwhile, so that lookups were refused. Documents that cannot be in time must be refused at once
+// TestLinkOverload: callers download one and a half times what a VM's 5 Mbit/s link carries. If
+// each document queued behind all earlier ones, all of them would be late and hold a slot
+// meanwhile, so that lookups would be refused. Documents that cannot be in time must be refused at once
 // with a Retry-After of when the link will be free, the others must be in time, and concurrent
 // lookups must not be delayed.
 func TestLinkOverload(t *testing.T) {
