--- a/internal/path/inlet/attribution_test.go
+++ b/internal/path/inlet/attribution_test.go
@@ -92,16 +92,16 @@
 	rg.in.SetTarget(inlet.Target{VM: "vm", Process: "p", Service: "booking", Addr: rg.addr, Lifetime: lifetime})
 }
 
-// send sends a request to the inlet; ends is the number of crashes that its outlet knows of.
-func (rg *rig) send(ctx context.Context, path string, ends int) *httptest.ResponseRecorder {
+// send sends a request to the inlet; crashCount is the number of crashes that its outlet knows of.
+func (rg *rig) send(ctx context.Context, path string, crashCount int) *httptest.ResponseRecorder {
 	r := httptest.NewRequestWithContext(ctx, "GET", "http://booking"+path, nil)
 	for name, value := range map[string]string{
 		result.VMHeader: "vm", result.ProcessHeader: "p", result.ServiceHeader: "booking", result.ClassHeader: "default",
 	} {
 		r.Header.Set(name, value)
 	}
-	if ends > 0 {
-		r.Header.Set(result.CrashesHeader, fmt.Sprint(ends))
+	if crashCount > 0 {
+		r.Header.Set(result.CrashesHeader, fmt.Sprint(crashCount))
 	}
 	w := httptest.NewRecorder()
 	rg.in.ServeHTTP(w, r)
@@ -195,8 +195,8 @@
 	}
 }
 
-// TestCrashBeforeRequest guards against blaming a request that was sent on a kept connection just
-// after its server crashed.
+// TestCrashBeforeRequest guards against blaming a request that was sent on a keep-alive connection
+// just after its server crashed.
 func TestCrashBeforeRequest(t *testing.T) {
 	rg := newRig(t, nil)
 	close(rg.proceed)
@@ -216,8 +216,8 @@
 	rg := newRig(t, nil)
 	close(rg.proceed)
 	r := httptest.NewRequest("GET", "http://booking/same", nil)
-	for en := range poison.CrashID(2) {
-		rg.in.Report([]poison.Report{{Head: ident.HeaderHash(r), Key: ident.KeyOf(r, nil), Crash: en, At: time.Now()}})
+	for crashID := range poison.CrashID(2) {
+		rg.in.Report([]poison.Report{{Head: ident.HeaderHash(r), Key: ident.KeyOf(r, nil), Crash: crashID, At: time.Now()}})
 	}
 	if w := rg.send(context.Background(), "/same", 2); w.Code != http.StatusOK {
 		t.Fatalf("status %d, want 200", w.Code)
@@ -252,9 +252,9 @@
 	}
 }
 
-// TestCrashPerInstance checks that a server which comes back at the same address as a new instance
-// and crashes under the same request counts as two crashes, and that one instance counts once
-// however often its crash is detected.
+// TestCrashPerInstance checks that a server that is restarted at the same address as a new instance
+// and crashes on the same request counts as two crashes, and that one instance counts once however
+// often its crash is detected.
 func TestCrashPerInstance(t *testing.T) {
 	rg := newRig(t, crashServer)
 	close(rg.proceed)
@@ -271,8 +271,8 @@
 	}
 }
 
-// TestTransientRefusal guards against a server that refused connections for a moment being taken
-// for crashed for good. After it announces itself again, a response that it breaks off is no crash.
+// TestTransientRefusal guards against a server that refused connections for a moment counting as
+// crashed from then on. After it announces itself again, a response that it breaks off is no crash.
 func TestTransientRefusal(t *testing.T) {
 	rg := newRig(t, crashServer)
 	close(rg.proceed)
--- a/internal/path/outlet/poison.go
+++ b/internal/path/outlet/poison.go
@@ -10,10 +10,10 @@
 	"github.com/flamingomast/flamingomast/internal/stat/logs"
 )
 
-// checkPoison refuses a poison request: one that makes the backend servers that run it exit. A
-// single such request once took down a whole service, because each outlet retried it and its caller
-// sent it again through other outlets. What any daemon has observed of the request is therefore
-// taken into account.
+// checkPoison refuses a poison request: one that crashes the backend servers that run it. A single
+// such request can take down a whole service, because each outlet retries it and its caller retries
+// it through other outlets. What any daemon has observed of the request is therefore taken into
+// account.
 func (rq *request) checkPoison() *result.Refusal {
 	vw := rq.ou.poison()
 	if !vw.Suspects(rq.r) {
@@ -25,14 +25,14 @@
 		return nil
 	}
 	key := ident.KeyOf(rq.r, prefix)
-	rq.serverExits = vw.CrashCount(key)
+	rq.serverCrashes = vw.CrashCount(key)
 	if !vw.Refuses(key, time.Now(), rq.ou.poisonJitter) {
 		return nil
 	}
 	rq.ou.log.LogAttrs(context.Background(), slog.LevelInfo, logs.PoisonRefused,
-		slog.String(logs.ID, rq.id()), slog.String(logs.RequestKey, key.String()), slog.Int(logs.Crashes, rq.serverExits))
+		slog.String(logs.ID, rq.id()), slog.String(logs.RequestKey, key.String()), slog.Int(logs.Crashes, rq.serverCrashes))
 	return &result.Refusal{
 		Outcome: result.NotRun, Reason: result.ReasonPoison,
-		Detail: "backend servers exited while running this request; it is refused for now",
+		Detail: "backend servers crashed while running this request; it is refused for now",
 	}
 }
--- a/internal/path/pick/endpoint.go
+++ b/internal/path/pick/endpoint.go
@@ -124,7 +124,7 @@
 	}
 	switch vd {
 	case Unreachable:
-		// The daemon or its VM is gone. Since no request was lost to find out, the server is
+		// The daemon or its VM is down. Since no request was lost to find out, the server is
 		// ejected at once, whatever its failure rate.
 		ep.eject(now)
 		ep.live.unreachable.Store(true)
@@ -229,14 +229,14 @@
 	gp.meanUse.add(ld)
 	ep.live.linkFreeAt.Store(steady.Nanos(now.Add(ld.Backlog)))
 	load := uint64(min(ld.Running+ld.Waiting, math.MaxUint16))
-	service := uint64(min(ld.ServiceTime.Milliseconds(), math.MaxUint16))
+	serviceTimeMs := uint64(min(ld.ServiceTime.Milliseconds(), math.MaxUint16))
 	var waits uint64
 	for i, wait := range ld.Waits {
 		waits |= uint64(min(wait.Milliseconds(), math.MaxUint16)) << (16 * i)
 	}
 	ep.live.reportedWaits.Store(waits)
 	ep.live.runningAtReport.Store(ep.live.running.Load())
-	ep.live.reported.Store(load<<48 | service<<32 | uint64(uint32(steady.Millis(now))))
+	ep.live.reported.Store(load<<48 | serviceTimeMs<<32 | uint64(uint32(steady.Millis(now))))
 }
 
 // load estimates the number of requests at the server: the current number of this outlet's own,
