--- a/internal/node/daemon/routing.go
+++ b/internal/node/daemon/routing.go
@@ -37,7 +37,7 @@
 		var rebuild <-chan time.Time
 		if sn != nil {
 			now := time.Now()
-			fl := pick.Fleet{Members: vw, Cut: unreachable, Self: dm.se.VM, Rollouts: rollouts, Admission: &admission, Now: now}
+			fl := pick.Fleet{Members: vw, Unreachable: unreachable, Self: dm.se.VM, Rollouts: rollouts, Admission: &admission, Now: now}
 			tb := pick.Build(sn, fl, dm.Outlet.Table())
 			if !tb.RebuildAt.IsZero() {
 				rebuild = time.After(tb.RebuildAt.Sub(now))
--- a/internal/path/pick/table.go
+++ b/internal/path/pick/table.go
@@ -17,7 +17,7 @@
 type Fleet struct {
 	Members *member.View
 	// Unreachable holds the failure domains that have no links; nil if there are none.
-	Cut *board.DomainSet
+	Unreachable *board.DomainSet
 	// Self is the VM of the outlet.
 	Self     string
 	Rollouts *canary.View
@@ -46,7 +46,7 @@
 			continue
 		}
 		ep := endpointFor(rc, sv, known[rc.VM])
-		ep.Suspect = rc.Mark != member.MarkNone || fl.Cut != nil && (*fl.Cut)[rc.Domain]
+		ep.Suspect = rc.Mark != member.MarkNone || fl.Unreachable != nil && (*fl.Unreachable)[rc.Domain]
 		byService[sv.Index] = append(byService[sv.Index], ep)
 	}
 	tb := &Table{Snap: sn, Outlets: fl.Members.LiveLen(), groups: make([]*Group, len(sn.ServiceList))}
