--- a/internal/conf/accept/accept_test.go
+++ b/internal/conf/accept/accept_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/flamingomast/flamingomast/internal/conf/decl"
 	"github.com/flamingomast/flamingomast/internal/conf/pack"
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
@@ -41,7 +41,7 @@
 }
 
 func TestSubmit(t *testing.T) {
-	kv := stand.New().Store()
+	kv := fakekv.New().Store()
 	one := meshContent(t, map[string]int{"booking": 1})
 	two := meshContent(t, map[string]int{"booking": 2, "portal": 1})
 	for _, tc := range []struct {
@@ -96,7 +96,7 @@
 		{"removed what the other changed", map[string]int{"portal": 1}, "service/booking", nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			kv := stand.New().Store()
+			kv := fakekv.New().Store()
 			submit(t, kv, Submission{ID: "0", Content: meshContent(t, base)})
 			submit(t, kv, Submission{ID: "theirs", Base: 1, Author: "ana", Content: meshContent(t, map[string]int{"booking": 9, "portal": 1})})
 			res, err := Submit(t.Context(), kv, Submission{ID: "mine", Base: 1, Content: meshContent(t, tc.mine)})
@@ -124,7 +124,7 @@
 // change is valid by itself; merged they would leave a dangling route, so the second submission
 // is rejected.
 func TestRebaseIsChecked(t *testing.T) {
-	kv := stand.New().Store()
+	kv := fakekv.New().Store()
 	sv := []decl.Service{{Name: "booking", Port: 1, Slots: 1}, {Name: "portal", Port: 1, Slots: 1}}
 	enc := func(ms *decl.Mesh) *pack.Content {
 		co, err := pack.Encode(ms)
@@ -148,9 +148,9 @@
 func TestLostAnswers(t *testing.T) {
 	for lost := range 6 {
 		synctest.Test(t, func(t *testing.T) {
-			st := stand.New()
+			st := fakekv.New()
 			submit(t, st.Store(), Submission{ID: "0", Content: meshContent(t, map[string]int{"booking": 1})})
-			st.SetFaults(stand.Faults{LoseResponses: lost})
+			st.SetFaults(fakekv.Faults{LoseResponses: lost})
 			res := submit(t, st.Store(), Submission{ID: "1", Base: 1, Content: meshContent(t, map[string]int{"booking": 2})})
 			if res.Entry.Version != 2 {
 				t.Errorf("%d responses lost: version %d, want 2", lost, res.Entry.Version)
@@ -164,13 +164,13 @@
 // although another one followed it.
 func TestUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := stand.New()
+		st := fakekv.New()
 		kv := st.Store()
 		swap := kv.Swap
 		kv.Swap = func(ctx context.Context, ch store.Change) (bool, store.Entry, error) {
 			ok, cur, err := swap(ctx, ch)
 			if ch.Key == HeadKey {
-				st.SetFaults(stand.Faults{Down: true})
+				st.SetFaults(fakekv.Faults{Down: true})
 				return false, store.Entry{}, &store.Error{Kind: store.Unknown, Op: "swap"}
 			}
 			return ok, cur, err
@@ -183,7 +183,7 @@
 		if !errors.As(err, &ue) || ue.ID != "x" {
 			t.Fatalf("error %v, want an UnknownError", err)
 		}
-		st.SetFaults(stand.Faults{})
+		st.SetFaults(fakekv.Faults{})
 		submit(t, st.Store(), Submission{ID: "y", Base: 1, Content: meshContent(t, map[string]int{"booking": 2})})
 		if res := submit(t, st.Store(), sub); res.Status != AlreadyAccepted || res.Entry.Version != 1 {
 			t.Errorf("submitted again: %s as version %d", res.Status, res.Entry.Version)
@@ -197,9 +197,9 @@
 func TestRaceProperty(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		operators := rapid.IntRange(2, 6).Draw(rt, "operators")
-		var faults []stand.Faults
+		var faults []fakekv.Faults
 		for range rapid.IntRange(0, 4).Draw(rt, "faults") {
-			faults = append(faults, stand.Faults{
+			faults = append(faults, fakekv.Faults{
 				Down: rapid.Bool().Draw(rt, "down"), LoseResponses: rapid.IntRange(0, 3).Draw(rt, "lost"),
 				Delay: time.Duration(rapid.IntRange(0, 300).Draw(rt, "delay")) * time.Millisecond,
 			})
@@ -208,8 +208,8 @@
 	})
 }
 
-func runRace(t *testing.T, operators int, faults []stand.Faults) {
-	st := stand.New()
+func runRace(t *testing.T, operators int, faults []fakekv.Faults) {
+	st := fakekv.New()
 	slots := map[string]int{}
 	for i := range operators {
 		slots[fmt.Sprint("s", i)] = 1
@@ -234,7 +234,7 @@
 		st.SetFaults(fa)
 	}
 	time.Sleep(100 * time.Millisecond)
-	st.SetFaults(stand.Faults{})
+	st.SetFaults(fakekv.Faults{})
 	wg.Wait()
 
 	hd, _, err := Load(t.Context(), st.Store())
@@ -265,7 +265,7 @@
 // versions only.
 func TestContentRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		kv := stand.New().Store()
+		kv := fakekv.New().Store()
 		for v := range uint64(RetainedContents + 3) {
 			submit(t, kv, Submission{ID: fmt.Sprint(v), Base: v, Content: meshContent(t, map[string]int{"booking": int(v) + 1})})
 			time.Sleep(time.Second)
--- a/internal/mesh/ctrl/epoch_test.go
+++ b/internal/mesh/ctrl/epoch_test.go
@@ -11,7 +11,7 @@
 	"github.com/flamingomast/flamingomast/internal/conf/accept"
 	"github.com/flamingomast/flamingomast/internal/conf/sample"
 	"github.com/flamingomast/flamingomast/internal/mesh/poison"
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
@@ -66,45 +66,45 @@
 var epochCases = []struct {
 	name string
 	// before is called immediately before the store is restored, after is called immediately after.
-	before, after func(fl *fleet, bk stand.Backup)
+	before, after func(fl *fleet, bk fakekv.Backup)
 }{
 	{name: "no other fault"},
-	{name: "the store is restored twice", after: func(fl *fleet, bk stand.Backup) {
+	{name: "the store is restored twice", after: func(fl *fleet, bk fakekv.Backup) {
 		time.Sleep(700 * time.Millisecond)
 		fl.st.RestoreInNewEpoch(bk)
 	}},
-	{name: "the store is slow", before: func(fl *fleet, _ stand.Backup) {
-		fl.st.SetFaults(stand.Faults{Delay: 200 * time.Millisecond})
+	{name: "the store is slow", before: func(fl *fleet, _ fakekv.Backup) {
+		fl.st.SetFaults(fakekv.Faults{Delay: 200 * time.Millisecond})
 	}},
-	{name: "the store was down before", before: func(fl *fleet, _ stand.Backup) {
-		fl.st.SetFaults(stand.Faults{Down: true})
+	{name: "the store was down before", before: func(fl *fleet, _ fakekv.Backup) {
+		fl.st.SetFaults(fakekv.Faults{Down: true})
 		time.Sleep(3 * time.Second)
-		fl.st.SetFaults(stand.Faults{Delay: toPlatform})
+		fl.st.SetFaults(fakekv.Faults{Delay: toPlatform})
 	}},
-	{name: "a member is replaced", before: func(fl *fleet, _ stand.Backup) {
+	{name: "a member is replaced", before: func(fl *fleet, _ fakekv.Backup) {
 		fl.kill(fl.domainVMs("d1")[5])
-	}, after: func(fl *fleet, _ stand.Backup) {
+	}, after: func(fl *fleet, _ fakekv.Backup) {
 		fl.restart(fl.domainVMs("d1")[5])
 	}},
-	{name: "relays are replaced", before: func(fl *fleet, _ stand.Backup) {
+	{name: "relays are replaced", before: func(fl *fleet, _ fakekv.Backup) {
 		fl.kill(fl.relaysOf("d0")...)
-	}, after: func(fl *fleet, _ stand.Backup) {
+	}, after: func(fl *fleet, _ fakekv.Backup) {
 		for _, name := range fl.domainVMs("d0") {
 			if fl.nodes[name] == nil {
 				fl.restart(name)
 			}
 		}
 	}},
-	{name: "a failure domain is replaced", before: func(fl *fleet, _ stand.Backup) {
+	{name: "a failure domain is replaced", before: func(fl *fleet, _ fakekv.Backup) {
 		fl.kill(fl.domainVMs("d2")...)
-	}, after: func(fl *fleet, _ stand.Backup) {
+	}, after: func(fl *fleet, _ fakekv.Backup) {
 		for _, name := range fl.domainVMs("d2") {
 			fl.restart(name)
 		}
 	}},
-	{name: "a failure domain is cut off", before: func(fl *fleet, _ stand.Backup) {
+	{name: "a failure domain is cut off", before: func(fl *fleet, _ fakekv.Backup) {
 		fl.cutDomain("d2")
-	}, after: func(fl *fleet, _ stand.Backup) {
+	}, after: func(fl *fleet, _ fakekv.Backup) {
 		time.Sleep(4 * time.Second)
 		fl.nw.SetPartition(nil)
 	}},
@@ -140,7 +140,7 @@
 
 // runEpochCase restores the store from an older copy, between calls of before and after, and checks
 // that the daemons recover.
-func runEpochCase(fl *fleet, before, after func(*fleet, stand.Backup)) {
+func runEpochCase(fl *fleet, before, after func(*fleet, fakekv.Backup)) {
 	fl.t.Helper()
 	bk, since := fl.st.Backup(), fl.st.LatestRevision()
 	v := fl.apply(sample.Change(fl.ms, 1), 1)
@@ -183,7 +183,7 @@
 		fl.t.Errorf("the head has version %d and the submissions %+v, want version %d, restored once", hd.Last.Version, hd.Recent, v)
 	}
 	fl.t.Logf("%d calls to the store by %d daemons until then", fl.storeCalls()-calls, len(fl.nodes))
-	fl.st.SetFaults(stand.Faults{Delay: toPlatform})
+	fl.st.SetFaults(fakekv.Faults{Delay: toPlatform})
 	fl.waitHeld(v, convergeLimit)
 	next := fl.apply(sample.Change(fl.ms, 2), v)
 	if next != v+1 {
--- a/internal/mesh/ctrl/fault_test.go
+++ b/internal/mesh/ctrl/fault_test.go
@@ -16,8 +16,8 @@
 	"github.com/flamingomast/flamingomast/internal/conf/pack"
 	"github.com/flamingomast/flamingomast/internal/conf/sample"
 	"github.com/flamingomast/flamingomast/internal/conf/snap"
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 	"github.com/flamingomast/flamingomast/internal/plat/memnet"
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
 )
 
 const (
@@ -160,12 +160,12 @@
 // within seconds after it was accepted, as one version only.
 func TestPlatformOutage(t *testing.T) {
 	withFleet(t, func(fl *fleet) {
-		fl.st.SetFaults(stand.Faults{Down: true})
+		fl.st.SetFaults(fakekv.Faults{Down: true})
 		time.Sleep(time.Minute)
 		if got := fl.behind(1); got != nil {
 			fl.t.Errorf("behind during the outage: %v", got)
 		}
-		fl.st.SetFaults(stand.Faults{Delay: 2 * time.Second, LoseResponses: 5})
+		fl.st.SetFaults(fakekv.Faults{Delay: 2 * time.Second, LoseResponses: 5})
 		began := time.Now()
 		v := fl.apply(sample.Change(fl.ms, 5), 1)
 		accepted := time.Since(began)
--- a/internal/mesh/ctrl/fleet_test.go
+++ b/internal/mesh/ctrl/fleet_test.go
@@ -17,9 +17,9 @@
 	"github.com/flamingomast/flamingomast/internal/conf/pack"
 	"github.com/flamingomast/flamingomast/internal/conf/sample"
 	"github.com/flamingomast/flamingomast/internal/mesh/member"
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 	"github.com/flamingomast/flamingomast/internal/plat/guard"
 	"github.com/flamingomast/flamingomast/internal/plat/memnet"
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
@@ -27,7 +27,7 @@
 type fleet struct {
 	t     *testing.T
 	nw    *memnet.Network
-	st    *stand.Service
+	st    *fakekv.Service
 	ms    *decl.Mesh
 	nodes map[string]*testNode
 	// platformCut has the failure domains that are cut off from the platform.
@@ -72,7 +72,7 @@
 )
 
 func newFleet(t *testing.T, ms *decl.Mesh) *fleet {
-	fl := &fleet{t: t, nw: memnet.New(), st: stand.New(), ms: ms, nodes: map[string]*testNode{}, highestHeld: map[string]*uint64{}}
+	fl := &fleet{t: t, nw: memnet.New(), st: fakekv.New(), ms: ms, nodes: map[string]*testNode{}, highestHeld: map[string]*uint64{}}
 	regions := map[string]string{}
 	for _, dm := range ms.Domains {
 		regions[dm.Name] = dm.Region
@@ -88,7 +88,7 @@
 	}
 	fl.platformCut.Store(&map[string]bool{})
 	fl.vmFaults.Store(&map[string]vmFault{})
-	fl.st.SetFaults(stand.Faults{Delay: toPlatform})
+	fl.st.SetFaults(fakekv.Faults{Delay: toPlatform})
 	return fl
 }
 
--- a/internal/mesh/ctrl/replace_test.go
+++ b/internal/mesh/ctrl/replace_test.go
@@ -11,8 +11,8 @@
 	"github.com/flamingomast/flamingomast/internal/conf/snap"
 	"github.com/flamingomast/flamingomast/internal/mesh/board"
 	"github.com/flamingomast/flamingomast/internal/mesh/member"
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 	"github.com/flamingomast/flamingomast/internal/plat/memnet"
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
 )
 
 // TestDaemonReplaced: a VM's daemon is killed and a new process starts at the same address with a
@@ -116,7 +116,7 @@
 		v := fl.apply(sample.Change(fl.ms, 2), 1)
 		fl.waitHeld(v, convergeLimit)
 		time.Sleep(time.Second)
-		fl.st.SetFaults(stand.Faults{Down: true})
+		fl.st.SetFaults(fakekv.Faults{Down: true})
 		names := fl.domainVMs("d1")
 		fl.kill(names[1:]...)
 		fl.restart(names[1:]...)
--- a/internal/mesh/ctrl/rollout_test.go
+++ b/internal/mesh/ctrl/rollout_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"github.com/flamingomast/flamingomast/internal/conf/sample"
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 	"github.com/flamingomast/flamingomast/internal/roll/canary"
 	"github.com/flamingomast/flamingomast/internal/roll/order"
@@ -205,17 +205,17 @@
 		rf.fl.nw.SetPartition(nil)
 	}},
 	{name: "the store is down", inject: func(rf *rolloutFleet) {
-		rf.fl.st.SetFaults(stand.Faults{Down: true})
+		rf.fl.st.SetFaults(fakekv.Faults{Down: true})
 		rf.sendRequestsFor(3 * time.Second)
-		rf.fl.st.SetFaults(stand.Faults{Delay: toPlatform})
+		rf.fl.st.SetFaults(fakekv.Faults{Delay: toPlatform})
 	}, mayEndLate: true},
 	{name: "the store is slow", inject: func(rf *rolloutFleet) {
-		rf.fl.st.SetFaults(stand.Faults{Delay: 200 * time.Millisecond})
+		rf.fl.st.SetFaults(fakekv.Faults{Delay: 200 * time.Millisecond})
 		rf.sendRequestsFor(3 * time.Second)
-		rf.fl.st.SetFaults(stand.Faults{Delay: toPlatform})
+		rf.fl.st.SetFaults(fakekv.Faults{Delay: toPlatform})
 	}},
 	{name: "responses of the store are lost", inject: func(rf *rolloutFleet) {
-		rf.fl.st.SetFaults(stand.Faults{Delay: toPlatform, LoseResponses: 3})
+		rf.fl.st.SetFaults(fakekv.Faults{Delay: toPlatform, LoseResponses: 3})
 	}},
 	{name: "the store is restored from an older copy", inject: func(rf *rolloutFleet) {
 		bk := rf.fl.st.Backup()
@@ -238,7 +238,7 @@
 }
 
 // backupWithoutRollout returns a copy of the store without the keys of the rollout.
-func (rf *rolloutFleet) backupWithoutRollout() stand.Backup {
+func (rf *rolloutFleet) backupWithoutRollout() fakekv.Backup {
 	kv, current := rf.fl.st.Store(), rf.fl.st.Backup()
 	for _, key := range []string{order.Prefix + rf.service, order.StatusKey(rf.service), beganPrefix + rf.service} {
 		ent, err := kv.Get(context.Background(), key)
--- a/internal/mesh/ctrl/scale_test.go
+++ b/internal/mesh/ctrl/scale_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"github.com/flamingomast/flamingomast/internal/conf/sample"
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 )
 
 // transferred returns the bytes that a node's connections have carried in both directions.
@@ -167,10 +167,10 @@
 		fl.setPlatformCut()
 		fl.waitConverged(v)
 
-		fl.st.SetFaults(stand.Faults{Delay: time.Second})
+		fl.st.SetFaults(fakekv.Faults{Delay: time.Second})
 		next()
 		t.Logf("slow platform, 1 s per call: held by all after %s more", fl.waitHeld(v, convergeLimit))
-		fl.st.SetFaults(stand.Faults{Delay: toPlatform})
+		fl.st.SetFaults(fakekv.Faults{Delay: toPlatform})
 		time.Sleep(20 * time.Second)
 
 		var all []string
--- a/internal/node/cmds/cmds_test.go
+++ b/internal/node/cmds/cmds_test.go
@@ -12,7 +12,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 
 	"github.com/flamingomast/flamingomast/internal/node/demo"
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 )
 
 func TestMain(m *testing.M) {
@@ -33,7 +33,7 @@
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			env.Defer(cancel)
-			go func() { _ = demo.ServePlatform(ctx, ln, stand.New()) }()
+			go func() { _ = demo.ServePlatform(ctx, ln, fakekv.New()) }()
 			env.Setenv("PLATFORM", ln.Addr().String())
 			return nil
 		},
--- a/internal/node/cmds/dev.go
+++ b/internal/node/cmds/dev.go
@@ -18,8 +18,8 @@
 	"github.com/flamingomast/flamingomast/internal/conf/decl"
 	"github.com/flamingomast/flamingomast/internal/conf/sample"
 	"github.com/flamingomast/flamingomast/internal/node/demo"
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 	"github.com/flamingomast/flamingomast/internal/plat/faulty"
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
 )
 
 // defaultExample is the directory that dev uses when none is given.
@@ -63,7 +63,7 @@
 			if err != nil {
 				return err
 			}
-			st := stand.New()
+			st := fakekv.New()
 			go backupOnSignals(ctx, st, ap.out)
 			return demo.ServePlatform(ctx, ln, st)
 		},
@@ -72,7 +72,7 @@
 
 // backupOnSignals backs up the stand-in on SIGUSR1 and restores the last backup, in a new epoch, on
 // SIGUSR2, until ctx is done.
-func backupOnSignals(ctx context.Context, st *stand.Service, out io.Writer) {
+func backupOnSignals(ctx context.Context, st *fakekv.Service, out io.Writer) {
 	log := slog.New(slog.NewJSONHandler(out, nil))
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR1, syscall.SIGUSR2)
--- a/internal/node/cmds/explain.go
+++ b/internal/node/cmds/explain.go
@@ -7,7 +7,7 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"github.com/flamingomast/flamingomast/internal/stat/trail"
+	"github.com/flamingomast/flamingomast/internal/stat/diag"
 )
 
 func (ap *app) explainCmd() *ffcli.Command {
@@ -26,7 +26,7 @@
 			case len(files) == 0:
 				return usageError("flamingomast explain: name the logs")
 			}
-			lo := trail.New(*id)
+			lo := diag.New(*id)
 			for _, name := range files {
 				if err := readFile("explain", name, lo.Read); err != nil {
 					return err
@@ -48,7 +48,7 @@
 	}
 }
 
-func (ap *app) printReport(rp *trail.Report) {
+func (ap *app) printReport(rp *diag.Report) {
 	for _, cause := range rp.Causes {
 		fmt.Fprintln(ap.out, cause)
 	}
@@ -57,13 +57,13 @@
 	ap.printSkipped(rp.Skipped)
 }
 
-func (ap *app) printSkipped(sk trail.Skipped) {
+func (ap *app) printSkipped(sk diag.Skipped) {
 	if sk.Foreign+sk.Malformed > 0 {
 		fmt.Fprintf(ap.out, "\nskipped: %d lines of other programs, %d malformed lines\n", sk.Foreign, sk.Malformed)
 	}
 }
 
-func (ap *app) printLines(title string, list []*trail.Line) {
+func (ap *app) printLines(title string, list []*diag.Line) {
 	if len(list) == 0 {
 		return
 	}
--- a/internal/node/cmds/rollout_test.go
+++ b/internal/node/cmds/rollout_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 	"github.com/flamingomast/flamingomast/internal/roll/canary"
 	"github.com/flamingomast/flamingomast/internal/roll/order"
@@ -34,7 +34,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				st := stand.New()
+				st := fakekv.New()
 				kv := st.Store()
 				write := func(state canary.State) {
 					if state == 0 {
@@ -57,8 +57,8 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				st.SetFaults(stand.Faults{Down: tc.downFor > 0})
-				time.AfterFunc(tc.downFor, func() { st.SetFaults(stand.Faults{}) })
+				st.SetFaults(fakekv.Faults{Down: tc.downFor > 0})
+				time.AfterFunc(tc.downFor, func() { st.SetFaults(fakekv.Faults{}) })
 				time.AfterFunc(10*time.Second, func() { write(tc.state) })
 				var out, errOut bytes.Buffer
 				ap := &app{out: &out, err: &errOut}
--- a/internal/node/daemon/crash_test.go
+++ b/internal/node/daemon/crash_test.go
@@ -15,8 +15,8 @@
 	"github.com/flamingomast/flamingomast/internal/conf/decl"
 	"github.com/flamingomast/flamingomast/internal/node/admin"
 	"github.com/flamingomast/flamingomast/internal/node/setup"
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 	"github.com/flamingomast/flamingomast/internal/plat/faulty"
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
 )
 
 // The limits for a poison request, as stated to operators.
@@ -84,7 +84,7 @@
 
 func newCrashFleet(t *testing.T, n int, re restart) *crashFleet {
 	t.Helper()
-	kv := stand.New().Store()
+	kv := fakekv.New().Store()
 	ms := &decl.Mesh{
 		Regions: []decl.Region{{Name: "r"}}, Domains: []decl.Domain{{Name: "d", Region: "r"}, {Name: "e", Region: "r"}},
 		Services: []decl.Service{{Name: "booking", Port: 9001, Slots: 8}},
--- a/internal/node/daemon/daemon_test.go
+++ b/internal/node/daemon/daemon_test.go
@@ -13,7 +13,7 @@
 	"github.com/flamingomast/flamingomast/internal/node/addrs"
 	"github.com/flamingomast/flamingomast/internal/node/admin"
 	"github.com/flamingomast/flamingomast/internal/node/setup"
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
@@ -82,7 +82,7 @@
 // itself before the daemon has a configuration. It must get its slots as soon as one arrives, and
 // others when that changes; otherwise all its requests are refused as full.
 func TestAnnounceBeforeConfiguration(t *testing.T) {
-	kv := stand.New().Store()
+	kv := fakekv.New().Store()
 	dm := start(t, kv)
 	if err := dm.announce(t.Context(), admin.Announcement{Service: "booking", TTLMs: 60_000}); err != nil {
 		t.Fatal(err)
@@ -107,7 +107,7 @@
 // TestAnnouncementEnds checks that a server is removed when it no longer renews its announcement,
 // or accepts no connection.
 func TestAnnouncementEnds(t *testing.T) {
-	dm := start(t, stand.New().Store())
+	dm := start(t, fakekv.New().Store())
 	if err := dm.announce(t.Context(), admin.Announcement{Service: "booking", TTLMs: 3000}); err != nil {
 		t.Fatal(err)
 	}
@@ -124,7 +124,7 @@
 // TestWrongAnnouncement checks that the announcement of another service than the one declared for
 // the VM is refused with the reason.
 func TestWrongAnnouncement(t *testing.T) {
-	kv := stand.New().Store()
+	kv := fakekv.New().Store()
 	apply(t, kv, 0, mesh(7))
 	dm := start(t, kv)
 	eventually(t, "version 1", func() bool { return dm.Node.Board.HeldVersion() == 1 })
--- a/internal/node/daemon/keepalive_test.go
+++ b/internal/node/daemon/keepalive_test.go
@@ -15,7 +15,7 @@
 	"github.com/flamingomast/flamingomast/internal/conf/decl"
 	"github.com/flamingomast/flamingomast/internal/node/admin"
 	"github.com/flamingomast/flamingomast/internal/node/setup"
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 )
 
 // The times of a caller that reuses its connection.
@@ -44,7 +44,7 @@
 	t.Helper()
 	hs := httptest.NewServer(handler)
 	t.Cleanup(hs.Close)
-	kv := stand.New().Store()
+	kv := fakekv.New().Store()
 	ms := mesh(8)
 	ms.Routes = []decl.Route{{Name: "r", Match: decl.Match{Host: "booking"}, To: []decl.Target{{Service: "booking", Weight: 1}}, Deadline: decl.Duration(deadline), Repeat: decl.RepeatNever}}
 	apply(t, kv, 0, ms)
--- a/internal/node/daemon/recovery_test.go
+++ b/internal/node/daemon/recovery_test.go
@@ -14,7 +14,7 @@
 	"github.com/flamingomast/flamingomast/internal/mesh/member"
 	"github.com/flamingomast/flamingomast/internal/node/admin"
 	"github.com/flamingomast/flamingomast/internal/node/setup"
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
@@ -59,7 +59,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				kv := stand.New().Store()
+				kv := fakekv.New().Store()
 				dm := New(setup.Settings{VM: "vm-0", Domain: "d"}, Options{Store: &kv})
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
@@ -94,7 +94,7 @@
 // serves at once.
 func TestFirstStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := stand.New()
+		st := fakekv.New()
 		kv := st.Store()
 		dm := New(setup.Settings{VM: "vm-0", Domain: "d", FirstStart: true}, Options{Store: &kv})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -129,7 +129,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				kv := stand.New().Store()
+				kv := fakekv.New().Store()
 				grant, faults := kv.Grant, 2
 				kv.Grant = func(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
 					if faults--; faults >= 0 {
@@ -165,7 +165,7 @@
 // process would send requests to the server.
 func TestLeavingOverwritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		kv := stand.New().Store()
+		kv := fakekv.New().Store()
 		swap, lateWrites := kv.Swap, 2
 		kv.Swap = func(ctx context.Context, ch store.Change) (bool, store.Entry, error) {
 			if lateWrites--; lateWrites >= 0 {
@@ -198,7 +198,7 @@
 // from an older copy.
 func TestLeavingStoredAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := stand.New()
+		st := fakekv.New()
 		kv := st.Store()
 		dm := New(setup.Settings{VM: "vm-0", Domain: "d"}, Options{Store: &kv})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -246,7 +246,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				kv := stand.New().Store()
+				kv := fakekv.New().Store()
 				if _, _, err := kv.Swap(t.Context(), store.Change{Key: "leaving/vm-0", Value: []byte(value)}); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/node/demo/demo.go
+++ b/internal/node/demo/demo.go
@@ -20,7 +20,7 @@
 	"github.com/flamingomast/flamingomast/internal/node/addrs"
 	"github.com/flamingomast/flamingomast/internal/node/daemon"
 	"github.com/flamingomast/flamingomast/internal/node/setup"
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 )
 
 // Options configures a demonstration.
@@ -60,7 +60,7 @@
 type fleet struct {
 	op           Options
 	ms           *decl.Mesh
-	st           *stand.Service
+	st           *fakekv.Service
 	platformAddr string
 	runs         RunCounter
 
@@ -89,7 +89,7 @@
 	}
 	op.Duration = max(op.Duration, minDuration)
 	ctx, cancel := context.WithCancel(ctx)
-	fl := &fleet{op: op, ms: ms, st: stand.New(), vms: map[string]*runningVM{}}
+	fl := &fleet{op: op, ms: ms, st: fakekv.New(), vms: map[string]*runningVM{}}
 	// Wait has to run after cancel, since the goroutines end only when ctx does.
 	defer fl.wg.Wait()
 	defer cancel()
--- a/internal/node/demo/platform.go
+++ b/internal/node/demo/platform.go
@@ -7,12 +7,12 @@
 	"net/http"
 	"time"
 
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 	"github.com/flamingomast/flamingomast/internal/plat/remote"
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
 )
 
 // ServePlatform serves a stand-in for the platform on ln until ctx ends.
-func ServePlatform(ctx context.Context, ln net.Listener, st *stand.Service) error {
+func ServePlatform(ctx context.Context, ln net.Listener, st *fakekv.Service) error {
 	mux := http.NewServeMux()
 	mux.Handle(remote.Handler(st.Store()))
 	hs := &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}
--- a/internal/path/lapse/lapse_test.go
+++ b/internal/path/delay/delay_test.go
@@ -1,4 +1,4 @@
-package lapse
+package delay
 
 import (
 	"testing"
--- a/internal/path/inlet/inlet.go
+++ b/internal/path/inlet/inlet.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"github.com/flamingomast/flamingomast/internal/mesh/poison"
+	"github.com/flamingomast/flamingomast/internal/path/delay"
 	"github.com/flamingomast/flamingomast/internal/path/ident"
-	"github.com/flamingomast/flamingomast/internal/path/lapse"
 	"github.com/flamingomast/flamingomast/internal/path/limit"
 	"github.com/flamingomast/flamingomast/internal/path/pacer"
 	"github.com/flamingomast/flamingomast/internal/path/proxy"
@@ -55,7 +55,7 @@
 	op      proxy.Options
 	fw      atomic.Pointer[proxy.Forwarder]
 	target  atomic.Pointer[Target]
-	lapses  lapse.Tracker
+	lapses  delay.Tracker
 	crashes crashDetector
 	// suspectRunning is set while a request runs that is suspected of having crashed several
 	// servers.
--- a/internal/path/lapse/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package lapse measures the delay of messages between two processes whose clocks are not
-// synchronized.
-package lapse
--- a/internal/path/outlet/attempt.go
+++ b/internal/path/outlet/attempt.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"github.com/flamingomast/flamingomast/internal/path/lapse"
+	"github.com/flamingomast/flamingomast/internal/path/delay"
 	"github.com/flamingomast/flamingomast/internal/path/pacer"
 	"github.com/flamingomast/flamingomast/internal/path/pick"
 	"github.com/flamingomast/flamingomast/internal/path/proxy"
@@ -182,7 +182,7 @@
 	out.Header[result.VMHeader] = []string{ep.VM}
 	out.Header[result.ProcessHeader] = []string{ep.Process}
 	out.Header[result.ServiceHeader] = []string{rq.sv.Name}
-	out.Header[result.SentHeader] = []string{lapse.Stamp(time.Now())}
+	out.Header[result.SentHeader] = []string{delay.Stamp(time.Now())}
 	out.Header[result.ClassHeader] = []string{rq.route.Class.Name}
 	out.Header[result.UrgencyHeader] = []string{urgency(rq.route, rq.priority, rq.elapsed, time.Since(rq.start), rq.final)}
 	out.Header[result.RouteHeader] = []string{rq.route.Name}
--- a/internal/path/outlet/outlet.go
+++ b/internal/path/outlet/outlet.go
@@ -13,11 +13,11 @@
 
 	"github.com/flamingomast/flamingomast/internal/mesh/board"
 	"github.com/flamingomast/flamingomast/internal/mesh/poison"
-	"github.com/flamingomast/flamingomast/internal/path/again"
 	"github.com/flamingomast/flamingomast/internal/path/limit"
 	"github.com/flamingomast/flamingomast/internal/path/pick"
 	"github.com/flamingomast/flamingomast/internal/path/piping"
 	"github.com/flamingomast/flamingomast/internal/path/proxy"
+	"github.com/flamingomast/flamingomast/internal/path/resend"
 	"github.com/flamingomast/flamingomast/internal/path/result"
 	"github.com/flamingomast/flamingomast/internal/path/retry"
 	"github.com/flamingomast/flamingomast/internal/path/shed"
@@ -55,7 +55,7 @@
 	// activeRequests and bufferedBytes bound the memory that callers can make the outlet use.
 	activeRequests, bufferedBytes proxy.Budget
 	// callerTries remembers failed requests, so that a caller's retry of one is recognized.
-	callerTries again.Tracker
+	callerTries resend.Tracker
 }
 
 // routing is a table with the state kept for its services and routes.
--- a/internal/path/outlet/request.go
+++ b/internal/path/outlet/request.go
@@ -10,9 +10,9 @@
 
 	"github.com/flamingomast/flamingomast/internal/conf/snap"
 	"github.com/flamingomast/flamingomast/internal/mesh/poison"
-	"github.com/flamingomast/flamingomast/internal/path/again"
 	"github.com/flamingomast/flamingomast/internal/path/pacer"
 	"github.com/flamingomast/flamingomast/internal/path/pick"
+	"github.com/flamingomast/flamingomast/internal/path/resend"
 	"github.com/flamingomast/flamingomast/internal/path/result"
 	"github.com/flamingomast/flamingomast/internal/path/retry"
 	"github.com/flamingomast/flamingomast/internal/path/shed"
@@ -50,7 +50,7 @@
 	parentRetry float64
 	// callerTry is the caller's try that this request is, callerRetry whether it retries an earlier
 	// one.
-	callerTry   *again.Try
+	callerTry   *resend.Try
 	callerRetry bool
 	// version is the configuration version the request was routed by, vm the last VM it was sent
 	// to.
--- a/internal/path/outlet/routestats.go
+++ b/internal/path/outlet/routestats.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/flamingomast/flamingomast/internal/conf/snap"
-	"github.com/flamingomast/flamingomast/internal/path/again"
+	"github.com/flamingomast/flamingomast/internal/path/resend"
 	"github.com/flamingomast/flamingomast/internal/path/result"
 )
 
@@ -19,7 +19,7 @@
 	// held is the moving average of the time for which a request holds a slot.
 	held atomic.Int64
 	// callerRetries tracks whether callers retry after a refusal.
-	callerRetries again.RetryStats
+	callerRetries resend.RetryStats
 }
 
 // sizeDivisor is the inverse weight of one response in the moving average of sizes.
--- a/internal/path/pick/endpoint.go
+++ b/internal/path/pick/endpoint.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/flamingomast/flamingomast/internal/path/result"
-	"github.com/flamingomast/flamingomast/internal/plat/steady"
+	"github.com/flamingomast/flamingomast/internal/plat/mono"
 )
 
 // The parameters of the load estimate, ejection and slow start.
@@ -94,7 +94,7 @@
 // Begin records that a request was sent.
 func (ep *Endpoint) Begin(now time.Time) {
 	if ep.live.running.Add(1) == 1 {
-		ep.live.lastResponse.Store(steady.Nanos(now))
+		ep.live.lastResponse.Store(mono.Nanos(now))
 	}
 }
 
@@ -119,7 +119,7 @@
 func (ep *Endpoint) End(now time.Time, vd Verdict, gp *Group) {
 	ep.live.running.Add(-1)
 	if vd != Unreachable {
-		ep.live.lastResponse.Store(steady.Nanos(now))
+		ep.live.lastResponse.Store(mono.Nanos(now))
 		ep.live.unreachable.Store(false)
 	}
 	switch vd {
@@ -132,7 +132,7 @@
 		// A server that sheds has few running requests, so it would attract more and more.
 		ep.recordOutcome(fixedOne)
 		if gp.mayEject(ep, now) {
-			ep.live.ejected.Store(steady.Nanos(now.Add(shedEjection)))
+			ep.live.ejected.Store(mono.Nanos(now.Add(shedEjection)))
 		}
 	case Failure:
 		if ep.recordOutcome(fixedOne) > ejectFailureRate && gp.mayEject(ep, now) {
@@ -186,7 +186,7 @@
 		}
 		return typical
 	}
-	idle := max(0, float64(steady.Nanos(now)-ep.live.lastResponse.Load())) / float64(slownessDecay)
+	idle := max(0, float64(mono.Nanos(now)-ep.live.lastResponse.Load())) / float64(slownessDecay)
 	return time.Duration(float64(typical) * slowness / (1 + idle))
 }
 
@@ -204,16 +204,16 @@
 func (ep *Endpoint) eject(now time.Time) {
 	ejections := ep.live.ejections.Add(1)
 	duration := min(minEject<<min(ejections-1, 6), maxEject)
-	ep.live.ejected.Store(steady.Nanos(now.Add(duration)))
+	ep.live.ejected.Store(mono.Nanos(now.Add(duration)))
 	// After the ejection, a few more failures suffice to eject the server again.
 	ep.live.failureRate.Store(ejectFailureRate * 3 / 4)
 }
 
 // Ejected reports whether the server is ejected.
-func (ep *Endpoint) Ejected(now time.Time) bool { return ep.live.ejected.Load() > steady.Nanos(now) }
+func (ep *Endpoint) Ejected(now time.Time) bool { return ep.live.ejected.Load() > mono.Nanos(now) }
 
 // EjectAgain prolongs the ejection of an unreachable server.
-func (ep *Endpoint) EjectAgain(now time.Time) { ep.live.ejected.Store(steady.Nanos(now.Add(minEject))) }
+func (ep *Endpoint) EjectAgain(now time.Time) { ep.live.ejected.Store(mono.Nanos(now.Add(minEject))) }
 
 // Reinstate ends the ejection of an unreachable server after a connection was made.
 func (ep *Endpoint) Reinstate() {
@@ -227,7 +227,7 @@
 // SetLoad records the load reported by an inlet.
 func (ep *Endpoint) SetLoad(ld result.Load, now time.Time, gp *Group) {
 	gp.meanUse.add(ld)
-	ep.live.linkFreeAt.Store(steady.Nanos(now.Add(ld.Backlog)))
+	ep.live.linkFreeAt.Store(mono.Nanos(now.Add(ld.Backlog)))
 	load := uint64(min(ld.Running+ld.Waiting, math.MaxUint16))
 	serviceTimeMs := uint64(min(ld.ServiceTime.Milliseconds(), math.MaxUint16))
 	var waits uint64
@@ -236,7 +236,7 @@
 	}
 	ep.live.reportedWaits.Store(waits)
 	ep.live.runningAtReport.Store(ep.live.running.Load())
-	ep.live.reported.Store(load<<48 | serviceTimeMs<<32 | uint64(uint32(steady.Millis(now))))
+	ep.live.reported.Store(load<<48 | serviceTimeMs<<32 | uint64(uint32(mono.Millis(now))))
 }
 
 // load estimates the number of requests at the server: the current number of this outlet's own,
@@ -251,7 +251,7 @@
 	if rep == 0 {
 		return max(own, expected)
 	}
-	age := time.Duration(uint32(steady.Millis(now))-uint32(rep)) * time.Millisecond
+	age := time.Duration(uint32(mono.Millis(now))-uint32(rep)) * time.Millisecond
 	if age >= loadReportTTL {
 		return max(own, expected)
 	}
@@ -264,7 +264,7 @@
 // log.
 func (ep *Endpoint) EstimatedLoad(now time.Time) (load float64, age time.Duration) {
 	rep := ep.live.reported.Load()
-	return ep.load(now, 0), time.Duration(uint32(steady.Millis(now))-uint32(rep)) * time.Millisecond
+	return ep.load(now, 0), time.Duration(uint32(mono.Millis(now))-uint32(rep)) * time.Millisecond
 }
 
 // skipInSlowStart reports whether a new server is passed over this time. It decides at random, so
@@ -295,7 +295,7 @@
 	use := min(1, load/slots)
 	cost := waitWeight*ep.wait(now, cr.Rank, load, serviceTime) + serviceTime*(1+fullSlowdown*use)
 	cost *= 1 + failureWeight*ep.failureRate()
-	if ep.live.running.Load() > 0 && steady.Nanos(now)-ep.live.lastResponse.Load() > int64(unresponsiveAfter) {
+	if ep.live.running.Load() > 0 && mono.Nanos(now)-ep.live.lastResponse.Load() > int64(unresponsiveAfter) {
 		cost += float64(unresponsiveCost)
 	}
 	return time.Duration(cost)
@@ -307,7 +307,7 @@
 	slots := float64(max(1, ep.Slots))
 	byLoad := max(0, load+1-slots) * serviceTime / slots
 	rep := ep.live.reported.Load()
-	age := time.Duration(uint32(steady.Millis(now))-uint32(rep)) * time.Millisecond
+	age := time.Duration(uint32(mono.Millis(now))-uint32(rep)) * time.Millisecond
 	if rep == 0 || age >= loadReportTTL {
 		return byLoad
 	}
@@ -328,7 +328,7 @@
 	if !Large(size) {
 		return 0
 	}
-	return max(0, time.Duration(ep.live.linkFreeAt.Load()-steady.Nanos(now)))
+	return max(0, time.Duration(ep.live.linkFreeAt.Load()-mono.Nanos(now)))
 }
 
 // Large reports whether a response with an expected size of size bytes counts as large, so that it
--- a/internal/path/pick/pick_test.go
+++ b/internal/path/pick/pick_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/flamingomast/flamingomast/internal/plat/steady"
+	"github.com/flamingomast/flamingomast/internal/plat/mono"
 )
 
 // TestStayInDomain checks large responses while the links of a failure domain are full. A document
@@ -37,7 +37,7 @@
 	} {
 		near.live.ejected.Store(0)
 		if tc.out {
-			near.live.ejected.Store(steady.Nanos(now.Add(time.Second)))
+			near.live.ejected.Store(mono.Nanos(now.Add(time.Second)))
 		}
 		if got := gp.Pick(now, tc.cr, &tc.tried, zero); got != tc.want {
 			t.Errorf("%s is sent to %+v, want %+v", tc.name, got, tc.want)
@@ -89,7 +89,7 @@
 func TestLinkWait(t *testing.T) {
 	now := time.Now()
 	ep := NewEndpoint(Endpoint{VM: "a", Slots: 4})
-	ep.live.linkFreeAt.Store(steady.Nanos(now.Add(300 * time.Millisecond)))
+	ep.live.linkFreeAt.Store(mono.Nanos(now.Add(300 * time.Millisecond)))
 	for size, want := range map[int64]time.Duration{1000: 0, 90_000: 300 * time.Millisecond} {
 		if got := ep.linkWait(now, size); got != want {
 			t.Errorf("an answer of %d bytes waits %v for the link, want %v", size, got, want)
--- a/internal/path/again/route.go
+++ b/internal/path/resend/route.go
@@ -1,4 +1,4 @@
-package again
+package resend
 
 import (
 	"sync"
--- a/internal/path/shed/shed.go
+++ b/internal/path/shed/shed.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/flamingomast/flamingomast/internal/plat/steady"
+	"github.com/flamingomast/flamingomast/internal/plat/mono"
 )
 
 // The parameters of a throttle.
@@ -46,7 +46,7 @@
 )
 
 func (co *counter) read(now time.Time) (requests, accepts float64, tick uint64) {
-	tick = uint64(steady.Millis(now)/tickMs) & tickMask
+	tick = uint64(mono.Millis(now)/tickMs) & tickMask
 	pk := co.packed.Load()
 	age := (tick - pk&tickMask) & tickMask
 	if age > tickMask/2 {
--- a/internal/plat/stand/stand.go
+++ b/internal/plat/fakekv/fakekv.go
@@ -1,4 +1,4 @@
-package stand
+package fakekv
 
 import (
 	"bytes"
--- a/internal/plat/guard/guard_test.go
+++ b/internal/plat/guard/guard_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
@@ -14,17 +14,17 @@
 // must not block concurrent calls.
 func TestOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := stand.New()
+		st := fakekv.New()
 		gd := New(st.Store())
 		kv := gd.Store()
-		st.SetFaults(stand.Faults{Down: true})
+		st.SetFaults(fakekv.Faults{Down: true})
 		for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 			_, _ = kv.Get(t.Context(), "a")
 		}
 		if n := st.Calls.Total(); n > 60/2+failureThreshold+1 {
 			t.Errorf("%d calls during an outage of 1 min, want at most %d", n, 60/2+failureThreshold+1)
 		}
-		st.SetFaults(stand.Faults{})
+		st.SetFaults(fakekv.Faults{})
 		time.Sleep(openTimeout)
 		watchErr := make(chan error, 1)
 		go func() {
@@ -44,7 +44,7 @@
 // TestRate checks that a daemon which calls in a tight loop is limited to callRate.
 func TestRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := stand.New()
+		st := fakekv.New()
 		kv := New(st.Store()).Store()
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
 			_, _ = kv.Get(t.Context(), "a")
--- a/internal/plat/kvtest/kvtest.go
+++ b/internal/plat/kvtest/kvtest.go
@@ -5,15 +5,15 @@
 	"testing"
 	"time"
 
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
 // Run runs the contract tests against the stores that open returns for a fake service.
-func Run(t *testing.T, open func(t *testing.T, st *stand.Service) store.Store) {
+func Run(t *testing.T, open func(t *testing.T, st *fakekv.Service) store.Store) {
 	for _, tc := range contract {
 		t.Run(tc.name, func(t *testing.T) {
-			st := stand.New()
+			st := fakekv.New()
 			tc.run(t, open(t, st), st)
 		})
 	}
@@ -26,19 +26,19 @@
 // contract has the tests that every implementation of store.Store must pass.
 var contract = []struct {
 	name string
-	run  func(t *testing.T, kv store.Store, st *stand.Service)
+	run  func(t *testing.T, kv store.Store, st *fakekv.Service)
 }{
-	{"a missing key has revision 0", func(t *testing.T, kv store.Store, _ *stand.Service) {
+	{"a missing key has revision 0", func(t *testing.T, kv store.Store, _ *fakekv.Service) {
 		if ent, err := kv.Get(t.Context(), "a"); err != nil || ent.Revision.Exists() {
 			t.Errorf("Get: %+v, %v", ent, err)
 		}
 	}},
-	{"swap creates a key once", func(t *testing.T, kv store.Store, _ *stand.Service) {
+	{"swap creates a key once", func(t *testing.T, kv store.Store, _ *fakekv.Service) {
 		wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		wantSwap(t, kv, store.Change{Key: "a", Value: []byte("2")}, false)
 		wantValue(t, kv, "a", "1")
 	}},
-	{"swap requires the current revision", func(t *testing.T, kv store.Store, _ *stand.Service) {
+	{"swap requires the current revision", func(t *testing.T, kv store.Store, _ *fakekv.Service) {
 		one := wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		wantSwap(t, kv, store.Change{Key: "a", Revision: one.Revision, Value: []byte("2")}, true)
 		cur := wantSwap(t, kv, store.Change{Key: "a", Revision: one.Revision, Value: []byte("3")}, false)
@@ -46,20 +46,20 @@
 			t.Errorf("a failed swap returned %q as the current value, want 2", cur.Value)
 		}
 	}},
-	{"remove", func(t *testing.T, kv store.Store, _ *stand.Service) {
+	{"remove", func(t *testing.T, kv store.Store, _ *fakekv.Service) {
 		one := wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		wantSwap(t, kv, store.Change{Key: "a", Revision: one.Revision, Remove: true}, true)
 		if ent, err := kv.Get(t.Context(), "a"); err != nil || ent.Revision.Exists() {
 			t.Errorf("Get after remove: %+v, %v", ent, err)
 		}
 	}},
-	{"watch returns an earlier change at once", func(t *testing.T, kv store.Store, _ *stand.Service) {
+	{"watch returns an earlier change at once", func(t *testing.T, kv store.Store, _ *fakekv.Service) {
 		wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		if ent, err := kv.Watch(t.Context(), "a", store.Revision{}, time.Minute); err != nil || string(ent.Value) != "1" {
 			t.Errorf("Watch: %+v, %v", ent, err)
 		}
 	}},
-	{"watch returns on a change", func(t *testing.T, kv store.Store, _ *stand.Service) {
+	{"watch returns on a change", func(t *testing.T, kv store.Store, _ *fakekv.Service) {
 		got := make(chan store.Entry, 1)
 		go func() {
 			ent, _ := kv.Watch(t.Context(), "a", store.Revision{}, time.Minute)
@@ -70,7 +70,7 @@
 			t.Errorf("Watch: %+v", ent)
 		}
 	}},
-	{"list returns the keys with the prefix", func(t *testing.T, kv store.Store, _ *stand.Service) {
+	{"list returns the keys with the prefix", func(t *testing.T, kv store.Store, _ *fakekv.Service) {
 		for _, key := range []string{"b/2", "a", "b/1", "c", "b"} {
 			wantSwap(t, kv, store.Change{Key: key, Value: []byte(key)}, true)
 		}
@@ -79,27 +79,27 @@
 			t.Errorf("List: %+v, %v", items, err)
 		}
 	}},
-	{"list ends with its context", func(t *testing.T, kv store.Store, st *stand.Service) {
-		st.SetFaults(stand.Faults{Delay: time.Minute})
+	{"list ends with its context", func(t *testing.T, kv store.Store, st *fakekv.Service) {
+		st.SetFaults(fakekv.Faults{Delay: time.Minute})
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		if _, err := kv.List(ctx, "b/"); err == nil {
 			t.Error("List with a cancelled context returned no error")
 		}
 	}},
-	{"watch ends after its wait", func(t *testing.T, kv store.Store, _ *stand.Service) {
+	{"watch ends after its wait", func(t *testing.T, kv store.Store, _ *fakekv.Service) {
 		if ent, err := kv.Watch(t.Context(), "a", store.Revision{}, time.Millisecond); err != nil || ent.Revision.Exists() {
 			t.Errorf("Watch: %+v, %v", ent, err)
 		}
 	}},
-	{"watch ends with its context", func(t *testing.T, kv store.Store, _ *stand.Service) {
+	{"watch ends with its context", func(t *testing.T, kv store.Store, _ *fakekv.Service) {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		if _, err := kv.Watch(ctx, "a", store.Revision{}, time.Minute); err == nil {
 			t.Error("Watch with a cancelled context returned no error")
 		}
 	}},
-	{"revoking a lease deletes its keys", func(t *testing.T, kv store.Store, _ *stand.Service) {
+	{"revoking a lease deletes its keys", func(t *testing.T, kv store.Store, _ *fakekv.Service) {
 		id, err := kv.Grant(t.Context(), time.Minute)
 		if err != nil {
 			t.Fatal(err)
@@ -118,7 +118,7 @@
 		_, _, err = kv.Swap(t.Context(), store.Change{Key: "b", Lease: id})
 		WantKind(t, err, store.LeaseNotFound)
 	}},
-	{"a lease expires", func(t *testing.T, kv store.Store, st *stand.Service) {
+	{"a lease expires", func(t *testing.T, kv store.Store, st *fakekv.Service) {
 		id, err := kv.Grant(t.Context(), time.Minute)
 		if err != nil {
 			t.Fatal(err)
@@ -126,27 +126,27 @@
 		st.ExpireLeases()
 		WantKind(t, kv.Renew(t.Context(), id), store.LeaseNotFound)
 	}},
-	{"values have a largest size", func(t *testing.T, kv store.Store, _ *stand.Service) {
+	{"values have a largest size", func(t *testing.T, kv store.Store, _ *fakekv.Service) {
 		wantSwap(t, kv, store.Change{Key: "a", Value: make([]byte, store.MaxValue)}, true)
 		_, _, err := kv.Swap(t.Context(), store.Change{Key: "b", Value: make([]byte, store.MaxValue+1)})
 		WantKind(t, err, store.TooLarge)
 	}},
-	{"calls during an outage have no effect", func(t *testing.T, kv store.Store, st *stand.Service) {
-		st.SetFaults(stand.Faults{Down: true})
+	{"calls during an outage have no effect", func(t *testing.T, kv store.Store, st *fakekv.Service) {
+		st.SetFaults(fakekv.Faults{Down: true})
 		_, _, err := kv.Swap(t.Context(), store.Change{Key: "a"})
 		WantKind(t, err, store.Unavailable)
 		_, err = kv.Get(t.Context(), "a")
 		WantKind(t, err, store.Unavailable)
-		st.SetFaults(stand.Faults{})
+		st.SetFaults(fakekv.Faults{})
 		wantSwap(t, kv, store.Change{Key: "a"}, true)
 	}},
-	{"a swap without a response is unknown and takes effect", func(t *testing.T, kv store.Store, st *stand.Service) {
-		st.SetFaults(stand.Faults{LoseResponses: 1})
+	{"a swap without a response is unknown and takes effect", func(t *testing.T, kv store.Store, st *fakekv.Service) {
+		st.SetFaults(fakekv.Faults{LoseResponses: 1})
 		_, _, err := kv.Swap(t.Context(), store.Change{Key: "a", Value: []byte("1")})
 		WantKind(t, err, store.Unknown)
 		wantValue(t, kv, "a", "1")
 	}},
-	{"watch of a prefix", func(t *testing.T, kv store.Store, st *stand.Service) {
+	{"watch of a prefix", func(t *testing.T, kv store.Store, st *fakekv.Service) {
 		wantSwap(t, kv, store.Change{Key: "a/1", Value: []byte("1")}, true)
 		wantSwap(t, kv, store.Change{Key: "b/1", Value: []byte("1")}, true)
 		li, err := kv.WatchAll(t.Context(), "a/", store.Revision{}, time.Minute)
@@ -178,7 +178,7 @@
 			t.Fatalf("WatchAll in a new epoch: %+v", li)
 		}
 	}},
-	{"a new epoch is another revision", func(t *testing.T, kv store.Store, st *stand.Service) {
+	{"a new epoch is another revision", func(t *testing.T, kv store.Store, st *fakekv.Service) {
 		one := wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		st.RestoreInNewEpoch(st.Backup())
 		ent, err := kv.Watch(t.Context(), "a", one.Revision, time.Minute)
@@ -186,7 +186,7 @@
 			t.Errorf("Watch in a new epoch: %+v, %v; was %+v", ent, err, one.Revision)
 		}
 	}},
-	{"a watch returns on a new epoch", func(t *testing.T, kv store.Store, st *stand.Service) {
+	{"a watch returns on a new epoch", func(t *testing.T, kv store.Store, st *fakekv.Service) {
 		one := wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		bk := st.Backup()
 		two := wantSwap(t, kv, store.Change{Key: "a", Revision: one.Revision, Value: []byte("2")}, true)
@@ -200,7 +200,7 @@
 			t.Errorf("Watch: %+v", ent)
 		}
 	}},
-	{"a revision number assigned twice matches in its own epoch only", func(t *testing.T, kv store.Store, st *stand.Service) {
+	{"a revision number assigned twice matches in its own epoch only", func(t *testing.T, kv store.Store, st *fakekv.Service) {
 		one := wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		bk := st.Backup()
 		two := wantSwap(t, kv, store.Change{Key: "a", Revision: one.Revision, Value: []byte("2")}, true)
@@ -214,7 +214,7 @@
 		wantValue(t, kv, "a", "other")
 		wantSwap(t, kv, store.Change{Key: "a", Revision: other.Revision, Value: []byte("4")}, true)
 	}},
-	{"a missing key in a new epoch is created once", func(t *testing.T, kv store.Store, st *stand.Service) {
+	{"a missing key in a new epoch is created once", func(t *testing.T, kv store.Store, st *fakekv.Service) {
 		none := wantGet(t, kv, "a")
 		st.RestoreInNewEpoch(st.Backup())
 		if kv.Epoch() == none.Revision.Epoch {
@@ -223,7 +223,7 @@
 		wantSwap(t, kv, store.Change{Key: "a", Revision: none.Revision, Value: []byte("1")}, false)
 		wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 	}},
-	{"a lease number assigned twice belongs to the later owner only", func(t *testing.T, kv store.Store, st *stand.Service) {
+	{"a lease number assigned twice belongs to the later owner only", func(t *testing.T, kv store.Store, st *fakekv.Service) {
 		bk := st.Backup()
 		lost, err := kv.Grant(t.Context(), time.Minute)
 		if err != nil {
@@ -243,7 +243,7 @@
 			t.Error("the key of the later lease was deleted")
 		}
 	}},
-	{"a restored lease keeps its key and rejects its old ID", func(t *testing.T, kv store.Store, st *stand.Service) {
+	{"a restored lease keeps its key and rejects its old ID", func(t *testing.T, kv store.Store, st *fakekv.Service) {
 		id, err := kv.Grant(t.Context(), time.Minute)
 		if err != nil {
 			t.Fatal(err)
@@ -255,7 +255,7 @@
 		}
 		WantKind(t, kv.Renew(t.Context(), id), store.LeaseNotFound)
 	}},
-	{"a restore brings back an older state", func(t *testing.T, kv store.Store, st *stand.Service) {
+	{"a restore brings back an older state", func(t *testing.T, kv store.Store, st *fakekv.Service) {
 		one := wantSwap(t, kv, store.Change{Key: "a", Value: []byte("1")}, true)
 		bk := st.Backup()
 		two := wantSwap(t, kv, store.Change{Key: "a", Revision: one.Revision, Value: []byte("2")}, true)
--- a/internal/plat/steady/steady.go
+++ b/internal/plat/mono/mono.go
@@ -1,4 +1,4 @@
-package steady
+package mono
 
 import "time"
 
--- a/internal/plat/remote/contract_test.go
+++ b/internal/plat/remote/contract_test.go
@@ -9,14 +9,14 @@
 	"strings"
 	"testing"
 
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 	"github.com/flamingomast/flamingomast/internal/plat/guard"
 	"github.com/flamingomast/flamingomast/internal/plat/kvtest"
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
 // serve serves st over HTTP and returns a client for it.
-func serve(t *testing.T, st *stand.Service) store.Store {
+func serve(t *testing.T, st *fakekv.Service) store.Store {
 	mux := http.NewServeMux()
 	mux.Handle(Handler(st.Store()))
 	sv := httptest.NewServer(mux)
@@ -27,10 +27,10 @@
 // TestContract runs the contract tests against the fake itself, against a client of the
 // served fake, and against such a client behind a guard.
 func TestContract(t *testing.T) {
-	for name, open := range map[string]func(t *testing.T, st *stand.Service) store.Store{
-		"stand":   func(_ *testing.T, st *stand.Service) store.Store { return st.Store() },
+	for name, open := range map[string]func(t *testing.T, st *fakekv.Service) store.Store{
+		"stand":   func(_ *testing.T, st *fakekv.Service) store.Store { return st.Store() },
 		"remote":  serve,
-		"guarded": func(t *testing.T, st *stand.Service) store.Store { return guard.New(serve(t, st)).Store() },
+		"guarded": func(t *testing.T, st *fakekv.Service) store.Store { return guard.New(serve(t, st)).Store() },
 	} {
 		t.Run(name, func(t *testing.T) { kvtest.Run(t, open) })
 	}
@@ -60,7 +60,7 @@
 // had closed the idle connection before the request was written to it.
 func TestEndedBeforeCall(t *testing.T) {
 	mux := http.NewServeMux()
-	mux.Handle(Handler(stand.New().Store()))
+	mux.Handle(Handler(fakekv.New().Store()))
 	sv := httptest.NewServer(mux)
 	t.Cleanup(sv.Close)
 	var ed kvtest.EOFDelayer
--- a/internal/plat/stand/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package stand is an in-memory fake of the platform's key-value service. It enforces the
-// platform's limits and can inject faults.
-package stand
--- a/internal/stat/acct/acct.go
+++ b/internal/stat/acct/acct.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"github.com/flamingomast/flamingomast/internal/path/result"
+	"github.com/flamingomast/flamingomast/internal/stat/diag"
 	"github.com/flamingomast/flamingomast/internal/stat/logs"
-	"github.com/flamingomast/flamingomast/internal/stat/trail"
 )
 
 // Account summarizes the requests in a set of logs.
@@ -26,7 +26,7 @@
 	DroppedLines int `json:"left-out-lines"`
 	// Fleet is the resource usage of the daemons, nil if no log reports it.
 	Fleet *Fleet `json:"fleet,omitempty"`
-	trail.Skipped
+	diag.Skipped
 }
 
 // Route summarizes the requests of one route.
@@ -85,19 +85,19 @@
 
 // Reader gathers the lines of several logs. The zero value is ready for use.
 type Reader struct {
-	requests []*trail.Line
+	requests []*diag.Line
 	// slots holds the number of slots of each VM's backend server, as its inlet reports in refusals.
 	slots        map[string]int
 	droppedLines int
 	processes    processes
 	// refusals counts, for each request ID, the attempts that inlets refused.
 	refusals map[string]int
-	trail.Skipped
+	diag.Skipped
 }
 
 // Read adds the lines of a log.
 func (rd *Reader) Read(r io.Reader) error {
-	return trail.Scan(r, &rd.Skipped, func(ln *trail.Line) {
+	return diag.Scan(r, &rd.Skipped, func(ln *diag.Line) {
 		switch ln.Event {
 		case logs.Request:
 			rd.requests = append(rd.requests, ln)
@@ -124,7 +124,7 @@
 
 // Account returns a summary of the lines read.
 func (rd *Reader) Account() *Account {
-	slices.SortStableFunc(rd.requests, func(a, b *trail.Line) int { return a.Time.Compare(b.Time) })
+	slices.SortStableFunc(rd.requests, func(a, b *diag.Line) int { return a.Time.Compare(b.Time) })
 	ac := &Account{DroppedLines: rd.droppedLines, Fleet: rd.processes.sum(), Skipped: rd.Skipped}
 	if len(rd.requests) == 0 {
 		return ac
@@ -153,7 +153,7 @@
 }
 
 // failedUndelivered reports whether a request failed although inlets refused all its attempts.
-func (rd *Reader) failedUndelivered(ln *trail.Line) bool {
+func (rd *Reader) failedUndelivered(ln *diag.Line) bool {
 	attempts := int(ln.Number("attempts"))
 	return ln.Text(logs.Outcome) == result.MayHaveRun.String() && attempts > 0 && rd.refusals[ln.Text(logs.ID)] >= attempts
 }
@@ -172,7 +172,7 @@
 
 // add counts a request by its outcome. Time that the caller spent on earlier attempts counts
 // against the objective.
-func (co *Counts) add(ln *trail.Line) {
+func (co *Counts) add(ln *diag.Line) {
 	objective := ln.Duration(logs.Objective)
 	switch outcome := ln.Text(logs.Outcome); {
 	case outcome == result.Answered.String() && (objective == 0 || ln.Duration(logs.Elapsed)+ln.Duration(logs.Took) <= objective):
@@ -192,7 +192,7 @@
 	elapsed, wait, serviceTime, took []time.Duration
 }
 
-func (rs *routeSamples) add(ln *trail.Line, calls map[string]string, slots slotUse) {
+func (rs *routeSamples) add(ln *diag.Line, calls map[string]string, slots slotUse) {
 	rs.Counts.add(ln)
 	if ln.Duration(logs.Elapsed) > 0 {
 		rs.CallerRetries++
@@ -229,7 +229,7 @@
 
 // failedCalls returns, by request ID, the route of the first call made on behalf of the request
 // that was not answered. The ID of a call is that of its request, a dot and a name.
-func failedCalls(requests []*trail.Line) map[string]string {
+func failedCalls(requests []*diag.Line) map[string]string {
 	calls := map[string]string{}
 	for _, ln := range requests {
 		parent, _, ok := strings.Cut(ln.Text(logs.ID), ".")
--- a/internal/stat/acct/fleet.go
+++ b/internal/stat/acct/fleet.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"github.com/flamingomast/flamingomast/internal/stat/diag"
 	"github.com/flamingomast/flamingomast/internal/stat/logs"
-	"github.com/flamingomast/flamingomast/internal/stat/trail"
 )
 
 // Fleet is the resource usage of all daemons, from the last usage line of each process.
@@ -33,16 +33,16 @@
 type processes struct {
 	// last holds the last line of each VM's current process, replaced those of its
 	// predecessors.
-	last        map[string]*trail.Line
-	replaced    []*trail.Line
+	last        map[string]*diag.Line
+	replaced    []*diag.Line
 	maxResident int64
 }
 
 // add records a usage line. The lines of a VM must be added in order of time. A CPU time below
 // that of the line before means that a new process has started.
-func (ps *processes) add(ln *trail.Line) {
+func (ps *processes) add(ln *diag.Line) {
 	if ps.last == nil {
-		ps.last = map[string]*trail.Line{}
+		ps.last = map[string]*diag.Line{}
 	}
 	ps.maxResident = max(ps.maxResident, int64(ln.Number("resident")))
 	if old := ps.last[ln.VM]; old != nil && ln.Number("processor-ms") < old.Number("processor-ms") {
--- a/internal/stat/acct/slots.go
+++ b/internal/stat/acct/slots.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/flamingomast/flamingomast/internal/path/result"
+	"github.com/flamingomast/flamingomast/internal/stat/diag"
 	"github.com/flamingomast/flamingomast/internal/stat/logs"
-	"github.com/flamingomast/flamingomast/internal/stat/trail"
 )
 
 // slotUse records, by service and VM, when the slots of the backend server were in use.
@@ -24,7 +24,7 @@
 
 // slotUseOf derives the use of slots from answered requests: a slot was in use until the response
 // arrived, for the service time that the inlet reported. slots holds the number of slots by VM.
-func slotUseOf(requests []*trail.Line, slots map[string]int) slotUse {
+func slotUseOf(requests []*diag.Line, slots map[string]int) slotUse {
 	all := slotUse{}
 	for _, ln := range requests {
 		if ln.Text(logs.Outcome) != result.Answered.String() {
--- a/internal/stat/trail/read.go
+++ b/internal/stat/diag/read.go
@@ -1,4 +1,4 @@
-package trail
+package diag
 
 import (
 	"bufio"
--- a/internal/stat/trail/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package trail explains the outcome of a single request from the logs of several daemons.
-package trail
