--- a/internal/conf/pack/decode.go
+++ b/internal/conf/pack/decode.go
@@ -9,24 +9,24 @@
 	"github.com/flamingomast/flamingomast/internal/conf/strict"
 )
 
-// Decode returns the mesh of a content. A kind or field that this release does
-// not know is an error: a version is taken whole or not at all.
+// Decode returns the mesh of a content. A kind or field that this release does not know is an
+// error: a version is applied entirely or not at all.
 func Decode(co *Content) (*decl.Mesh, error) {
 	var de Decoder
 	return de.Decode(co)
 }
 
-// Decoder decodes contents that follow each other. What is the same in the next one is not
-// decoded again: of thousands of routes a version changes a few. The zero value is ready
+// Decoder decodes successive contents. It reuses the declarations that have not changed since the
+// previous one, since a version changes only a few of thousands of routes. The zero value is ready
 // for use; it is not safe for concurrent use.
 type Decoder struct {
-	// last was decoded to mesh, whose lists have its resources in their order.
+	// last is the previous content and mesh its decoded form, with lists in the order of last.
 	last *Content
 	mesh *decl.Mesh
 }
 
-// Decode returns the mesh of a content. The caller must not change it, since parts of it
-// may be shared with others.
+// Decode returns the mesh of a content. The caller must not modify it, since other meshes may
+// share parts of it.
 func (de *Decoder) Decode(co *Content) (*decl.Mesh, error) {
 	ms := &decl.Mesh{}
 	old := cursor{}
@@ -35,10 +35,10 @@
 	}
 	for _, rs := range co.Resources {
 		i, found := old.seek(rs.Key)
-		if found && bytes.Equal(old.resources[old.at].Body, rs.Body) && reuse(ms, de.mesh, rs.Key.Kind, i) {
+		if found && bytes.Equal(old.resources[old.pos].Body, rs.Body) && appendReused(ms, de.mesh, rs.Key.Kind, i) {
 			continue
 		}
-		if err := decodeOne(ms, rs); err != nil {
+		if err := decodeResource(ms, rs); err != nil {
 			return nil, fmt.Errorf("pack: %s: %w", rs.Key, err)
 		}
 	}
@@ -46,24 +46,24 @@
 	return ms, nil
 }
 
-// Forget drops what was decoded last.
-func (de *Decoder) Forget() { de.last, de.mesh = nil, nil }
+// Reset discards the previous content.
+func (de *Decoder) Reset() { de.last, de.mesh = nil, nil }
 
-// cursor walks through sorted resources.
+// cursor iterates over sorted resources.
 type cursor struct {
 	resources []Resource
-	at        int
-	// kind is that of the resource at the cursor, index its place among those of its
+	pos       int
+	// kind is the kind of the resource at pos, index its position among the resources of that
 	// kind.
 	kind  Kind
 	index int
 }
 
-// seek moves on to the first resource that is not before a key, and reports whether it is
-// the one of the key, and its place among those of its kind.
+// seek advances to the first resource whose key is not less than ky. It returns the position of
+// that resource among those of its kind, and whether its key is ky.
 func (cu *cursor) seek(ky Key) (index int, found bool) {
-	for cu.at < len(cu.resources) {
-		cur := cu.resources[cu.at].Key
+	for cu.pos < len(cu.resources) {
+		cur := cu.resources[cu.pos].Key
 		if cur.Kind != cu.kind {
 			cu.kind, cu.index = cur.Kind, 0
 		}
@@ -71,14 +71,15 @@
 		if c >= 0 {
 			return cu.index, c == 0
 		}
-		cu.at++
+		cu.pos++
 		cu.index++
 	}
 	return 0, false
 }
 
-// reuse appends the declaration at a place of a list of old to the same list of ms.
-func reuse(ms, old *decl.Mesh, kind Kind, i int) bool {
+// appendReused appends declaration i of a kind in old to the list of that kind in ms. It reports
+// whether there is one.
+func appendReused(ms, old *decl.Mesh, kind Kind, i int) bool {
 	switch kind {
 	case KindRegion:
 		return appendFrom(&ms.Regions, old.Regions, i)
@@ -111,7 +112,7 @@
 	return true
 }
 
-func decodeOne(ms *decl.Mesh, rs Resource) error {
+func decodeResource(ms *decl.Mesh, rs Resource) error {
 	switch rs.Key.Kind {
 	case KindRegion:
 		return decodeInto(&ms.Regions, rs.Body, func(rg *decl.Region) *strict.Pos { return &rg.Pos }, rs.Key)
@@ -141,7 +142,7 @@
 	return fmt.Errorf("this release does not know the kind %q", rs.Key.Kind)
 }
 
-// decodeInto appends one decoded resource; its key stands for its position.
+// decodeInto decodes one resource and appends it to list. The key takes the place of the position.
 func decodeInto[T any](list *[]T, body []byte, pos func(*T) *strict.Pos, ky Key) error {
 	var v T
 	dec := json.NewDecoder(bytes.NewReader(body))
--- a/internal/conf/snap/match.go
+++ b/internal/conf/snap/match.go
@@ -6,18 +6,17 @@
 	"strings"
 )
 
-// Match returns the route of a request, or nil when none takes it. The host
-// may bear a port. Requests that no declared route of their host takes go to
-// the service that has the host as its name.
+// Match returns the route for a request, or nil if there is none. The host may include a port.
+// Requests that match no declared route of their host go to the service whose name is the host.
 func (sn *Snapshot) Match(method, host, path string, hdr http.Header) *Route {
 	host = hostName(host)
-	for _, rt := range sn.hosts[host] {
-		if rt.takes(method, path, hdr) {
+	for _, rt := range sn.routesByHost[host] {
+		if rt.matches(method, path, hdr) {
 			return rt
 		}
 	}
 	if sv, ok := sn.Services[host]; ok {
-		return sv.route
+		return sv.defaultRoute
 	}
 	return nil
 }
@@ -29,7 +28,7 @@
 	return strings.ToLower(host)
 }
 
-func (rt *Route) takes(method, path string, hdr http.Header) bool {
+func (rt *Route) matches(method, path string, hdr http.Header) bool {
 	if rt.literal && !strings.HasPrefix(path, rt.prefix) || !rt.literal && !underPrefix(path, rt.prefix) {
 		return false
 	}
@@ -44,7 +43,7 @@
 	return true
 }
 
-// underPrefix reports whether path is prefix or below it, by whole segments.
+// underPrefix reports whether path equals prefix or is below it, comparing whole segments.
 func underPrefix(path, prefix string) bool {
 	return strings.HasPrefix(path, prefix) && (len(path) == len(prefix) || path[len(prefix)] == '/')
 }
--- a/internal/conf/snap/snap_test.go
+++ b/internal/conf/snap/snap_test.go
@@ -13,7 +13,7 @@
 	"github.com/flamingomast/flamingomast/internal/conf/sample"
 )
 
-const rules = `
+const testConfig = `
 regions: [{name: north}, {name: south}]
 failure-domains: [{name: a, region: north}, {name: b, region: north}, {name: c, region: south}]
 classes: [{name: confirm, share: 50}, {name: lookup, share: 20}]
@@ -49,7 +49,7 @@
 }
 
 func TestMatch(t *testing.T) {
-	sn := compile(t, rules, "a")
+	sn := compile(t, testConfig, "a")
 	for _, tc := range []struct {
 		method, host, path, beta, want string
 	}{
@@ -82,8 +82,8 @@
 	}
 }
 
-func TestCompiled(t *testing.T) {
-	sn := compile(t, rules, "a")
+func TestCompile(t *testing.T) {
+	sn := compile(t, testConfig, "a")
 	for name, want := range map[string][][]string{"booking": {{"a"}, {"b"}, {"c"}}, "canary": {{"c"}}, "portal": {{"a"}, {"b"}, {"c"}}} {
 		if diff := cmp.Diff(want, sn.Services[name].Tiers); diff != "" {
 			t.Errorf("tiers of %s (-want +got):\n%s", name, diff)
@@ -91,19 +91,19 @@
 	}
 	rt := sn.Match("GET", "x.example", "/", nil)
 	counts := map[string]int{}
-	for draw := range rt.Total() {
+	for draw := range rt.TotalWeight() {
 		counts[rt.Target(draw).Name]++
 	}
 	if diff := cmp.Diff(map[string]int{"booking": 90, "canary": 10}, counts); diff != "" {
 		t.Errorf("shares (-want +got):\n%s", diff)
 	}
 	if rt.Class.Name != "lookup" || rt.Deadline.String() != "3s" || rt.Repeat != decl.RepeatSafe {
-		t.Errorf("route %+v does not take the defaults of its service", rt)
+		t.Errorf("route %+v does not inherit the defaults of its service", rt)
 	}
 }
 
-// TestRefusedWhole: a version with a dangling route must not be compiled, even
-// if some other release accepted it.
+// TestRefusedWhole: a version with a dangling route must be rejected entirely, even if another
+// release accepted it.
 func TestRefusedWhole(t *testing.T) {
 	ms := &decl.Mesh{Routes: []decl.Route{{Name: "r", Match: decl.Match{Host: "h"}, To: []decl.Target{{Service: "gone", Weight: 1}}}}}
 	co, err := pack.Encode(ms)
@@ -116,8 +116,8 @@
 	}
 }
 
-// sized compiles a sample.
-func sized(t testing.TB, vms, services int) *Snapshot {
+// compileSample compiles a sample of the given size.
+func compileSample(t testing.TB, vms, services int) *Snapshot {
 	t.Helper()
 	co, err := pack.Encode(sample.Mesh(vms, 5, services))
 	if err != nil {
@@ -130,18 +130,18 @@
 	return sn
 }
 
-// TestMatchAllocates: matching is on the path of each request.
-func TestMatchAllocates(t *testing.T) {
-	sn := sized(t, 10, 73)
+// TestMatchAllocations: Match runs for each request, so it must not allocate.
+func TestMatchAllocations(t *testing.T) {
+	sn := compileSample(t, 10, 73)
 	hdr := http.Header{}
 	if n := testing.AllocsPerRun(100, func() { sn.Match("POST", "service-7.example:80", "/confirm/1", hdr) }); n > 0 {
-		t.Errorf("%v allocations a match", n)
+		t.Errorf("%v allocations per match, want 0", n)
 	}
 }
 
 func BenchmarkMatch(b *testing.B) {
 	for _, services := range []int{2, 73, 730} {
-		sn := sized(b, 10, services)
+		sn := compileSample(b, 10, services)
 		b.Run(fmt.Sprint(services), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/mesh/board/board.go
+++ b/internal/mesh/board/board.go
@@ -26,8 +26,8 @@
 	Members Cell[member.View]
 	// Self is the daemon's own record.
 	Self Cell[member.Record]
-	// Predecessor is what peers know of the VM's previous daemon process, nil until a peer has
-	// answered.
+	// Predecessor is what peers know of the predecessor of this daemon process, nil until a peer
+	// has answered.
 	Predecessor Cell[Predecessor]
 	// Links lists the peers that the daemon is connected to, and whether it is a relay.
 	Links Cell[Links]
@@ -47,7 +47,7 @@
 	Replaced Cell[member.Record]
 }
 
-// Predecessor is what peers know of a VM's previous daemon process.
+// Predecessor is what peers know of the daemon process of the VM that ran before this one.
 type Predecessor struct {
 	// Departure is the zero value as long as no peer knows of a departure.
 	member.Departure
@@ -99,15 +99,15 @@
 // It is the only writer of Latest, so Latest never decreases, in whatever order configurations
 // arrive.
 func (bd *Board) Offer(cfg *Config) bool {
-	taken := false
+	accepted := false
 	bd.Latest.Update(func(cur *Config) *Config {
 		if cur != nil && cfg.Version <= cur.Version {
 			return cur
 		}
-		taken = true
+		accepted = true
 		return cfg
 	})
-	return taken
+	return accepted
 }
 
 // RaiseFloor raises the floor to at least version. settle means that no peer is left to ask that
--- a/internal/mesh/ctrl/directory.go
+++ b/internal/mesh/ctrl/directory.go
@@ -212,13 +212,13 @@
 }
 
 // renew renews the lease and reports whether there is one. The lease may have expired while this
-// process was paused; this is harmless, since the key is only a hint and the error Gone leads to a
-// new registration. If the platform does not answer, the next round tries again.
+// process was paused; this is harmless, since the key is only a hint and the error LeaseNotFound
+// leads to a new registration. If the platform does not answer, the next round tries again.
 func (rg *registration) renew(ctx context.Context) bool {
 	if rg.lease == (store.LeaseID{}) {
 		return false
 	}
-	gone := store.Is(rg.nd.cf.Store.Renew(ctx, rg.lease), store.Gone)
+	gone := store.IsKind(rg.nd.cf.Store.Renew(ctx, rg.lease), store.LeaseNotFound)
 	if gone {
 		rg.nd.log.Warn("directory-lease-lapsed")
 		rg.lease = store.LeaseID{}
--- a/internal/mesh/ctrl/fleet_test.go
+++ b/internal/mesh/ctrl/fleet_test.go
@@ -17,39 +17,40 @@
 	"github.com/flamingomast/flamingomast/internal/conf/pack"
 	"github.com/flamingomast/flamingomast/internal/conf/sample"
 	"github.com/flamingomast/flamingomast/internal/mesh/member"
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 	"github.com/flamingomast/flamingomast/internal/plat/guard"
 	"github.com/flamingomast/flamingomast/internal/plat/memnet"
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// fleet is a platform and daemons' control parts on an in-memory network.
+// fleet is a platform and the control planes of daemons on an in-memory network.
 type fleet struct {
 	t     *testing.T
 	nw    *memnet.Network
-	st    *stand.Stand
+	st    *fakekv.Service
 	ms    *decl.Mesh
 	nodes map[string]*testNode
-	// noPlatform names the failure domains that are cut off from the platform.
-	noPlatform atomic.Pointer[map[string]bool]
-	// spoilt says what the platform does to single VMs.
-	spoilt atomic.Pointer[map[string]spoil]
-	// newest says that a read of the platform shows every version that was ever accepted,
-	// and that daemons know no seeds, as on the users\' platform.
-	newest    bool
-	versions  map[string]*uint64
-	submitted int
-	// counts returns what the backend server of a VM did; nil for nothing.
+	// platformCut has the failure domains that are cut off from the platform.
+	platformCut atomic.Pointer[map[string]bool]
+	// vmFaults has the faults of the platform that affect single VMs.
+	vmFaults atomic.Pointer[map[string]vmFault]
+	// linearizable says that a read of the platform returns every version ever accepted and that
+	// daemons are configured without seeds, as on the users' platform.
+	linearizable bool
+	// highestHeld has the highest version that each VM has held.
+	highestHeld map[string]*uint64
+	submitted   int
+	// counts returns the request counts of a VM's backend server; nil if there are no servers.
 	counts func(vm string) Counts
 }
 
-// spoil is what the platform does to a VM.
-type spoil int
+// vmFault is a fault of the platform that affects one VM.
+type vmFault int
 
 const (
-	// refuses answers each call with an error, hangs answers none.
-	refuses spoil = iota + 1
-	hangs
+	// faultReject means that each call fails at once, faultHang that no call is answered.
+	faultReject vmFault = iota + 1
+	faultHang
 )
 
 // testNode is one process of a VM.
@@ -62,7 +63,7 @@
 	done   chan struct{}
 }
 
-// The latencies of the brief, and one between regions.
+// Network latencies. All but betweenRegions are those that the requirements state.
 const (
 	withinDomain   = 200 * time.Microsecond
 	betweenDomains = 1500 * time.Microsecond
@@ -71,7 +72,7 @@
 )
 
 func newFleet(t *testing.T, ms *decl.Mesh) *fleet {
-	fl := &fleet{t: t, nw: memnet.New(), st: stand.New(), ms: ms, nodes: map[string]*testNode{}, versions: map[string]*uint64{}}
+	fl := &fleet{t: t, nw: memnet.New(), st: fakekv.New(), ms: ms, nodes: map[string]*testNode{}, highestHeld: map[string]*uint64{}}
 	regions := map[string]string{}
 	for _, dm := range ms.Domains {
 		regions[dm.Name] = dm.Region
@@ -85,62 +86,62 @@
 		}
 		return betweenRegions
 	}
-	fl.noPlatform.Store(&map[string]bool{})
-	fl.spoilt.Store(&map[string]spoil{})
-	fl.st.SetFaults(stand.Faults{Delay: toPlatform})
+	fl.platformCut.Store(&map[string]bool{})
+	fl.vmFaults.Store(&map[string]vmFault{})
+	fl.st.SetFaults(fakekv.Faults{Delay: toPlatform})
 	return fl
 }
 
-// store returns the platform as a VM sees it.
+// store returns the platform's store as seen by a VM, with the faults that affect the VM.
 func (fl *fleet) store(vm decl.VM) store.Store {
 	return store.Wrap(fl.st.Store(), func(ctx context.Context, op, key string, call func() error) error {
-		cut := &store.Error{Kind: store.Unavailable, Op: op, Key: key}
-		bad := func() bool {
-			switch (*fl.spoilt.Load())[vm.Name] {
-			case hangs:
-				// The client of the platform gives up after the wait and some slack.
-				_ = pause(ctx, hangTime)
+		unavailable := &store.Error{Kind: store.Unavailable, Op: op, Key: key}
+		failing := func() bool {
+			switch (*fl.vmFaults.Load())[vm.Name] {
+			case faultHang:
+				// The platform's client times out after the duration of the watch and some slack.
+				_ = pause(ctx, hangDuration)
 				return true
-			case refuses:
+			case faultReject:
 				return true
 			}
-			return (*fl.noPlatform.Load())[vm.Domain]
+			return (*fl.platformCut.Load())[vm.Domain]
 		}
-		if bad() {
-			return cut
+		if failing() {
+			return unavailable
 		}
 		err := call()
-		if bad() {
-			return cut
+		if failing() {
+			return unavailable
 		}
 		return err
 	})
 }
 
-// hangTime is how long a call to a platform that does not answer takes.
-const hangTime = 1500 * time.Millisecond
+// hangDuration is how long a call takes to fail if the platform does not answer.
+const hangDuration = 1500 * time.Millisecond
 
-// seeds are the first three VMs of each failure domain: the own ones first.
+// seeds returns the addresses of the first three other VMs of the VM's failure domain.
 func (fl *fleet) seeds(vm decl.VM) []string {
 	var list []string
-	per := map[string]int{}
+	count := map[string]int{}
 	for _, v := range fl.ms.VMs {
-		if v.Domain == vm.Domain && v.Name != vm.Name && per[v.Domain] < 3 {
-			per[v.Domain]++
+		if v.Domain == vm.Domain && v.Name != vm.Name && count[v.Domain] < 3 {
+			count[v.Domain]++
 			list = append(list, v.Name+":7000")
 		}
 	}
 	return list
 }
 
-// startNode starts a process of a VM at the VM's address.
+// startNode starts a daemon process of a VM at the VM's address.
 func (fl *fleet) startNode(vm decl.VM) *testNode {
 	addr := vm.Name + ":7000"
 	ho, ln := fl.nw.Listen(addr, vm.Domain)
 	gd := guard.New(fl.store(vm))
 	tn := &testNode{vm: vm, ho: ho, guard: gd, done: make(chan struct{})}
 	src, seeds := defaultSource(), fl.seeds(vm)
-	if fl.newest {
+	if fl.linearizable {
 		src.Linearizable, src.Restore, seeds = true, nil, nil
 	}
 	var counts func() Counts
@@ -149,7 +150,7 @@
 	}
 	tn.Node = New(Config{
 		Source: src, Counts: counts,
-		VM: vm.Name, Domain: vm.Domain, Control: addr, Inlet: vm.Name + ":8000", Seeds: seeds, Store: gd.Store(), OnNewEpoch: gd.Close,
+		VM: vm.Name, Domain: vm.Domain, Control: addr, Inlet: vm.Name + ":8000", Seeds: seeds, Store: gd.Store(), OnNewEpoch: gd.ResetBreaker,
 		Dial: func(ctx context.Context, to string) (net.Conn, error) { return fl.nw.Dial(ctx, ho, to) },
 	})
 	fl.watchVersion(tn)
@@ -166,7 +167,7 @@
 			}
 		}()
 		tn.Run(ctx)
-		fl.nw.Reset(ho)
+		fl.nw.CloseConns(ho)
 		_ = hs.Close()
 		<-served
 	}()
@@ -180,20 +181,20 @@
 	return tn
 }
 
-// watchVersion fails the test when a VM holds an older version than before,
-// also across its processes.
+// watchVersion fails the test if a VM, in this or a later process, holds an older version than
+// before.
 func (fl *fleet) watchVersion(tn *testNode) {
-	last := fl.versions[tn.vm.Name]
+	last := fl.highestHeld[tn.vm.Name]
 	if last == nil {
 		last = new(uint64)
-		fl.versions[tn.vm.Name] = last
+		fl.highestHeld[tn.vm.Name] = last
 	}
 	go func() {
 		for {
 			sn, changed := tn.Board.Held.Watch()
 			if sn != nil {
-				if was := atomic.SwapUint64(last, sn.Version); was > sn.Version {
-					fl.t.Errorf("%s holds version %d after version %d", tn.vm.Name, sn.Version, was)
+				if prev := atomic.SwapUint64(last, sn.Version); prev > sn.Version {
+					fl.t.Errorf("%s holds version %d after version %d", tn.vm.Name, sn.Version, prev)
 				}
 			}
 			select {
@@ -211,11 +212,11 @@
 	}
 }
 
-// kill ends a process without a word to anyone.
+// kill ends the processes of VMs without any message to the other daemons.
 func (fl *fleet) kill(names ...string) {
 	for _, name := range names {
 		tn := fl.nodes[name]
-		fl.nw.Reset(tn.ho)
+		fl.nw.CloseConns(tn.ho)
 		tn.cancel()
 		delete(fl.nodes, name)
 		defer func() { <-tn.done }()
@@ -228,12 +229,12 @@
 		names = append(names, name)
 	}
 	fl.kill(names...)
-	// What timers are left in the HTTP library run out.
+	// Let the remaining timers of the HTTP library expire.
 	time.Sleep(time.Minute)
 	synctest.Wait()
 }
 
-// apply makes a version of the fleet's declarations and returns its number.
+// apply submits declarations as a new version and returns its number.
 func (fl *fleet) apply(ms *decl.Mesh, base uint64) uint64 {
 	fl.t.Helper()
 	co, err := pack.Encode(ms)
@@ -248,7 +249,7 @@
 	return res.Entry.Version
 }
 
-// behind returns the VMs that run and hold an older version.
+// behind returns the running VMs that hold an older version.
 func (fl *fleet) behind(version uint64) []string {
 	var list []string
 	for name, tn := range fl.nodes {
@@ -260,21 +261,21 @@
 	return list
 }
 
-// waitFor waits in virtual time for a condition and returns how long it took.
-func (fl *fleet) waitFor(what string, limit time.Duration, ok func() bool) time.Duration {
+// waitFor waits in virtual time until ok returns true, and returns how long that took.
+func (fl *fleet) waitFor(condition string, limit time.Duration, ok func() bool) time.Duration {
 	fl.t.Helper()
 	began := time.Now()
 	for !ok() {
 		if time.Since(began) > limit {
-			fl.t.Fatalf("not in %s: %s; %s; holding %v; relays %v", limit, what, fl.unknown(), fl.held(), fl.relays())
+			fl.t.Fatalf("not within %s: %s; %s; nodes by held version %v; relays %v", limit, condition, fl.missingMember(), fl.heldCounts(), fl.relays())
 		}
 		time.Sleep(time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-// held counts the nodes by the version that they hold.
-func (fl *fleet) held() map[uint64]int {
+// heldCounts returns the number of nodes by held version.
+func (fl *fleet) heldCounts() map[uint64]int {
 	m := map[uint64]int{}
 	for _, tn := range fl.nodes {
 		m[tn.Board.HeldVersion()]++
@@ -284,22 +285,22 @@
 
 func (fl *fleet) waitHeld(version uint64, limit time.Duration) time.Duration {
 	fl.t.Helper()
-	return fl.waitFor(fmt.Sprintf("version %d held by all", version), limit, func() bool { return len(fl.behind(version)) == 0 })
+	return fl.waitFor(fmt.Sprintf("all hold version %d", version), limit, func() bool { return len(fl.behind(version)) == 0 })
 }
 
-// waitMembers waits until every node knows all serving VMs.
+// waitMembers waits until every node knows every other one as serving.
 func (fl *fleet) waitMembers(limit time.Duration) time.Duration {
 	fl.t.Helper()
-	return fl.waitFor("all members known everywhere", limit, func() bool { return fl.unknown() == "" })
+	return fl.waitFor("every node knows all members", limit, func() bool { return fl.missingMember() == "" })
 }
 
-// unknown names the first node that does not know another one as serving.
-func (fl *fleet) unknown() string {
+// missingMember describes a node that does not know another one as serving; empty if there is none.
+func (fl *fleet) missingMember() string {
 	for name, tn := range fl.nodes {
 		vw := tn.Board.Members.Get()
 		for other := range fl.nodes {
 			if rc := vw.Get(other); rc == nil || !rc.Serving() || rc.Mark != member.MarkNone {
-				return fmt.Sprintf("%s has of %s %+v", name, other, rc)
+				return fmt.Sprintf("%s has for %s the record %+v", name, other, rc)
 			}
 		}
 	}
@@ -317,17 +318,17 @@
 	return list
 }
 
-// TestFleetSmall is the everyday case at the sizes of the brief: nine daemons
-// start at once, take a version and its successor, and know each other.
+// TestFleetSmall: nine daemons start at once without faults, install a version and the next one,
+// and learn of each other.
 func TestFleetSmall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, sample.Mesh(9, 3, 2))
 		defer fl.stopAll()
 		fl.apply(fl.ms, 0)
 		fl.startAll()
-		t.Logf("first version after %s", fl.waitHeld(1, 20*time.Second))
-		t.Logf("members after %s", fl.waitMembers(20*time.Second))
+		t.Logf("first version held by all after %s", fl.waitHeld(1, 20*time.Second))
+		t.Logf("members known after %s more", fl.waitMembers(20*time.Second))
 		v := fl.apply(sample.Change(fl.ms, 1), 1)
-		t.Logf("change after %s; relays %v", fl.waitHeld(v, 10*time.Second), fl.relays())
+		t.Logf("change held by all after %s; relays %v", fl.waitHeld(v, 10*time.Second), fl.relays())
 	})
 }
--- a/internal/mesh/ctrl/serve.go
+++ b/internal/mesh/ctrl/serve.go
@@ -30,8 +30,8 @@
 // Handler returns the handler for requests of other daemons. It requires HTTP/2, see Protocols.
 func (nd *Node) Handler() http.Handler {
 	// Message bodies are compressed where it pays off, with one encoder per process. The
-	// compression of the connect library keeps an encoder for each stream, which took up most of
-	// the heap of a relay, and compresses every keep-alive packet.
+	// compression of the connect library keeps an encoder for each stream, which would take up
+	// most of the heap of a relay, and compresses every heartbeat.
 	path, h := wirepb.NewControlHandler(&server{nd: nd}, connect.WithReadMaxBytes(maxMessage), connect.WithCompression("gzip", nil, nil))
 	mux := http.NewServeMux()
 	mux.Handle(path, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -122,7 +122,7 @@
 
 // fetchClient returns a client for fetching content of any size from a peer.
 func (nd *Node) fetchClient(pr *link.Peer) wirepb.ControlClient {
-	return nd.client(&stall.Client{HTTP: nd.http.Do, Timeout: fetchTimeout, Received: pr.MarkAlive}, nd.addressOf(pr))
+	return nd.client(&stall.Client{HTTP: nd.http.Do, Timeout: fetchTimeout, OnReceive: pr.MarkAlive}, nd.addressOf(pr))
 }
 
 func (nd *Node) client(hc connect.HTTPClient, addr string) wirepb.ControlClient {
@@ -181,7 +181,7 @@
 	dg := cfg.Content.Digest
 	res := &wirepb.FetchResponse{Number: cfg.Version, Digest: dg[:]}
 	if len(req.Msg.Have) == len(dg) {
-		if body, ok := nd.history.Body(pack.Digest(req.Msg.Have), dg); ok {
+		if body, ok := nd.history.EncodedDelta(pack.Digest(req.Msg.Have), dg); ok {
 			res.Base, res.Body = req.Msg.Have, body
 			nd.Traffic.Add("fetch/deltas", int64(len(body)))
 			return connect.NewResponse(res), nil
@@ -196,7 +196,7 @@
 	if !nd.fullLimiter.Allow() {
 		return connect.NewResponse(&wirepb.FetchResponse{LaterMs: retryDelayMs()}), nil
 	}
-	body, ok := nd.history.Whole(dg)
+	body, ok := nd.history.EncodedContent(dg)
 	if !ok {
 		return connect.NewResponse(&wirepb.FetchResponse{LaterMs: retryDelayMs()}), nil
 	}
@@ -238,8 +238,8 @@
 	for rc := range nd.Board.Members.Get().All {
 		res.Records = append(res.Records, rc.ToWire())
 	}
-	if cut := nd.Board.Unreachable.Get(); cut != nil {
-		for dm := range *cut {
+	if unreachable := nd.Board.Unreachable.Get(); unreachable != nil {
+		for dm := range *unreachable {
 			res.Cut = append(res.Cut, dm)
 		}
 	}
--- a/internal/node/admin/admin.go
+++ b/internal/node/admin/admin.go
@@ -15,43 +15,42 @@
 	"github.com/flamingomast/flamingomast/internal/stat/expo"
 )
 
-// Announcement is how a backend server tells its own daemon that it serves.
-// It must be renewed before TTL has passed.
+// Announcement is sent by a backend server to its own daemon to register. It has to be renewed
+// before TTL has passed.
 type Announcement struct {
 	Service string `json:"service"`
-	// Address is where it listens; empty stands for the service's declared
-	// port on this VM.
+	// Address is the listen address of the server; if empty, it is the service's declared port on
+	// this VM.
 	Address string `json:"address,omitempty"`
-	// Software is the version of its software, where it tells.
+	// Software is the server's software version, if known.
 	Software string `json:"software,omitempty"`
 	// Slots overrides the declared slots when above 0.
 	Slots int `json:"slots,omitempty"`
 	TTLMs int `json:"ttl-ms,omitempty"`
-	// Lifetime names this start of the server. With it, Number rises with each
-	// announcement, so that one that comes late is known as such.
+	// Lifetime identifies this start of the server. Within a lifetime, Number increases with each
+	// announcement, so that one that arrives late is recognized.
 	Lifetime string `json:"lifetime,omitempty"`
 	Number   uint64 `json:"number,omitempty"`
-	// StartedMs is the Unix time in milliseconds of the start. A server may start
-	// again under the same lifetime, and number its announcements anew; 0 where it
-	// does not tell.
+	// StartedMs is the Unix time of the start in milliseconds, 0 if not given. It tells starts
+	// apart when a server starts again under the same lifetime and restarts its numbers.
 	StartedMs int64 `json:"started-ms,omitempty"`
-	// State is StateServing, which the empty string stands for, or
-	// StateDraining: it takes no new requests and will leave.
+	// State is StateServing, also if empty, or StateDraining: the server takes no new requests and
+	// will stop.
 	State string `json:"state,omitempty"`
-	// ColdMs is how much longer the server is slow after its start.
+	// ColdMs is the remaining time in milliseconds for which the server is slow after its start.
 	ColdMs int `json:"cold-ms,omitempty"`
 }
 
-// Withdrawal is how a backend server tells its own daemon that it is to get no more
+// Withdrawal is sent by a backend server to its own daemon to deregister: it is to get no more
 // requests.
 type Withdrawal struct {
-	// Lifetime and StartedMs are those of the announcements, each empty where the
-	// server does not tell.
+	// Lifetime and StartedMs are those of the announcements, each zero if the server does not give
+	// it.
 	Lifetime  string
 	StartedMs int64
 }
 
-// The states of an announcement.
+// States of an announcement.
 const (
 	StateServing  = "serving"
 	StateDraining = "draining"
@@ -60,14 +59,14 @@
 // Draining reports whether the server takes no new requests.
 func (an *Announcement) Draining() bool { return an.State == StateDraining }
 
-// The bounds of an announcement's time.
+// Default and bounds of the TTL of an announcement.
 const (
 	DefaultTTL = 6 * time.Second
 	minTTL     = time.Second
 	maxTTL     = time.Minute
 )
 
-// TTL returns for how long the announcement holds.
+// TTL returns how long the announcement is valid.
 func (an *Announcement) TTL() time.Duration {
 	if an.TTLMs == 0 {
 		return DefaultTTL
@@ -75,8 +74,8 @@
 	return time.Duration(an.TTLMs) * time.Millisecond
 }
 
-// Check returns what is wrong with the announcement.
-func (an *Announcement) Check() error {
+// Validate returns the first error found in the announcement, or nil.
+func (an *Announcement) Validate() error {
 	switch {
 	case an.State != "" && an.State != StateServing && an.State != StateDraining:
 		return fmt.Errorf("state is %q; set it to %s or %s, or leave it out", an.State, StateServing, StateDraining)
@@ -93,40 +92,42 @@
 	}
 	if an.Address != "" {
 		if _, err := netip.ParseAddrPort(an.Address); err != nil {
-			return fmt.Errorf("address is %q; set it to an IP number and a port", an.Address)
+			return fmt.Errorf("address is %q; set it to an IP address and port", an.Address)
 		}
 	}
 	return nil
 }
 
-// Handlers are what the pages call.
+// Handlers holds the functions that the HTTP endpoints call.
 type Handlers struct {
-	// Announce and Withdraw take a backend server in and out.
+	// Announce registers a backend server, Withdraw deregisters it.
 	Announce func(context.Context, Announcement) error
 	Withdraw func(context.Context, Withdrawal)
-	// Refused notes what was announced for a lifetime and cannot be read or is wrong.
-	Refused func(lifetime string, err error)
-	// Ready returns why the daemon is not ready, nil when it is.
+	// OnBadAnnouncement is called when an announcement for a lifetime cannot be decoded or is
+	// invalid.
+	OnBadAnnouncement func(lifetime string, err error)
+	// Ready returns the reason why the daemon is not ready, or nil if it is.
 	Ready func() error
-	// Status returns what is known of the fleet.
+	// Status returns the state of the fleet as this daemon knows it.
 	Status func(context.Context) Status
 	// Drain drains a VM, this one or another, and returns how many requests
 	// are still running there.
 	Drain func(ctx context.Context, vm string) (int, error)
-	// Sample sets the share of requests that are logged.
-	Sample func(share float64)
+	// SetLogSample sets the share of requests that is logged.
+	SetLogSample func(share float64)
 	// Vars are the daemon's metrics.
 	Vars *expvar.Map
-	// Unsent, if set, notes that an answer could not be sent, as when the asker has gone.
-	Unsent func(err error)
+	// OnWriteError, if set, is called when a response could not be sent, for example because the
+	// client has disconnected.
+	OnWriteError func(err error)
 }
 
-// New returns the handler of the pages.
+// New returns the HTTP handler of all endpoints.
 func New(hs Handlers) http.Handler {
 	rt := httprouter.New()
 	rt.POST("/announce", hs.announce)
 	rt.DELETE("/announce", hs.withdraw)
-	rt.GET("/healthz", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) { hs.text(w, "ok") })
+	rt.GET("/healthz", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) { hs.writeText(w, "ok") })
 	rt.GET("/readyz", hs.ready)
 	rt.GET("/status", hs.status)
 	rt.POST("/drain/:vm", hs.drain)
@@ -136,23 +137,23 @@
 	return rt
 }
 
-// maxAnnouncement bounds the body of an announcement in bytes.
-const maxAnnouncement = 4 << 10
+// maxAnnouncementBytes is the size limit of the body of an announcement.
+const maxAnnouncementBytes = 4 << 10
 
 func (hs *Handlers) announce(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var an Announcement
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncement))
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes))
 	dec.DisallowUnknownFields()
 	err := dec.Decode(&an)
 	if err == nil {
-		err = an.Check()
+		err = an.Validate()
 	}
 	if err != nil {
-		hs.fail(w, http.StatusBadRequest, err)
+		hs.writeError(w, http.StatusBadRequest, err)
 		return
 	}
 	if err := hs.Announce(r.Context(), an); err != nil {
-		hs.fail(w, http.StatusConflict, err)
+		hs.writeError(w, http.StatusConflict, err)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
@@ -165,37 +166,37 @@
 
 func (hs *Handlers) ready(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	if err := hs.Ready(); err != nil {
-		hs.fail(w, http.StatusServiceUnavailable, err)
+		hs.writeError(w, http.StatusServiceUnavailable, err)
 		return
 	}
-	hs.text(w, "ready")
+	hs.writeText(w, "ready")
 }
 
 func (hs *Handlers) status(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	hs.reply(w, hs.Status(r.Context()))
+	hs.writeJSON(w, hs.Status(r.Context()))
 }
 
 func (hs *Handlers) drain(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
 	running, err := hs.Drain(r.Context(), ps.ByName("vm"))
 	if err != nil {
-		hs.fail(w, http.StatusBadGateway, err)
+		hs.writeError(w, http.StatusBadGateway, err)
 		return
 	}
-	hs.reply(w, Drained{VM: ps.ByName("vm"), Running: running})
+	hs.writeJSON(w, DrainResult{VM: ps.ByName("vm"), Running: running})
 }
 
 func (hs *Handlers) sample(w http.ResponseWriter, _ *http.Request, ps httprouter.Params) {
 	share, err := strconv.ParseFloat(ps.ByName("share"), 64)
 	if err != nil || !(share >= 0 && share <= 1) {
-		hs.fail(w, http.StatusBadRequest, fmt.Errorf("the share is %q; set it to a number from 0 to 1", ps.ByName("share")))
+		hs.writeError(w, http.StatusBadRequest, fmt.Errorf("the share is %q; set it to a number from 0 to 1", ps.ByName("share")))
 		return
 	}
-	hs.Sample(share)
+	hs.SetLogSample(share)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Drained answers an order to drain.
-type Drained struct {
+// DrainResult is the response to a drain request.
+type DrainResult struct {
 	VM      string `json:"vm"`
 	Running int    `json:"running"`
 }
@@ -210,34 +211,34 @@
 func (hs *Handlers) metrics(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 	if err := expo.Write(w, hs.Vars); err != nil {
-		hs.fail(w, http.StatusInternalServerError, err)
+		hs.writeError(w, http.StatusInternalServerError, err)
 	}
 }
 
-func (hs *Handlers) reply(w http.ResponseWriter, v any) {
+func (hs *Handlers) writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	hs.sent(json.NewEncoder(w).Encode(v))
+	hs.reportWrite(json.NewEncoder(w).Encode(v))
 }
 
-func (hs *Handlers) text(w http.ResponseWriter, line string) {
+func (hs *Handlers) writeText(w http.ResponseWriter, line string) {
 	_, err := fmt.Fprintln(w, line)
-	hs.sent(err)
+	hs.reportWrite(err)
 }
 
-// sent notes how sending an answer ended.
-func (hs *Handlers) sent(err error) {
-	if err != nil && hs.Unsent != nil {
-		hs.Unsent(err)
+// reportWrite reports an error of writing a response, if any.
+func (hs *Handlers) reportWrite(err error) {
+	if err != nil && hs.OnWriteError != nil {
+		hs.OnWriteError(err)
 	}
 }
 
-// Failure is the body of an answer that reports an error.
-type Failure struct {
+// ErrorResponse is the body of an error response.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
-func (hs *Handlers) fail(w http.ResponseWriter, status int, err error) {
+func (hs *Handlers) writeError(w http.ResponseWriter, status int, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	hs.sent(json.NewEncoder(w).Encode(Failure{Error: err.Error()}))
+	hs.reportWrite(json.NewEncoder(w).Encode(ErrorResponse{Error: err.Error()}))
 }
--- a/internal/node/cmds/explain.go
+++ b/internal/node/cmds/explain.go
@@ -7,18 +7,18 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"github.com/flamingomast/flamingomast/internal/stat/trail"
+	"github.com/flamingomast/flamingomast/internal/stat/diag"
 )
 
 func (ap *app) explainCmd() *ffcli.Command {
-	fs := ap.flags("explain")
+	fs := ap.newFlagSet("explain")
 	ap.jsonFlag(fs)
-	id := fs.String("id", "", "the caller's id of the request (required)")
+	id := fs.String("id", "", "id that the caller gave the request (required)")
 	return &ffcli.Command{
 		Name: "explain", ShortUsage: "flamingomast explain --id ID LOG...", FlagSet: fs, Options: envOption(),
-		ShortHelp: "Tell from daemons' logs what became of a request, and why.",
-		LongHelp: "The logs of all daemons that may have taken part are given as files, in any order.\n" +
-			"It ends with status 0 where a line bears the id, with 1 where none does.",
+		ShortHelp: "Explain the outcome of a request from daemons' logs.",
+		LongHelp: "The logs of all daemons that may have been involved are given as files, in any order.\n" +
+			"The exit status is 0 if a line has the id, and 1 if none has.",
 		Exec: func(_ context.Context, files []string) error {
 			switch {
 			case *id == "":
@@ -26,7 +26,7 @@
 			case len(files) == 0:
 				return usageError("flamingomast explain: name the logs")
 			}
-			lo := trail.New(*id)
+			lo := diag.New(*id)
 			for _, name := range files {
 				if err := readFile("explain", name, lo.Read); err != nil {
 					return err
@@ -41,29 +41,29 @@
 				ap.printReport(rp)
 			}
 			if len(rp.Lines) == 0 {
-				return fmt.Errorf("flamingomast explain: no line bears the id %s", *id)
+				return fmt.Errorf("flamingomast explain: no line has the id %s", *id)
 			}
 			return nil
 		},
 	}
 }
 
-func (ap *app) printReport(rp *trail.Report) {
+func (ap *app) printReport(rp *diag.Report) {
 	for _, cause := range rp.Causes {
 		fmt.Fprintln(ap.out, cause)
 	}
-	ap.printLines("its lines, and those of calls made for it", rp.Lines)
-	ap.printLines("what the daemons went by", rp.Beliefs)
-	ap.printPassed(rp.Passed)
+	ap.printLines("lines of the request and of the calls made for it", rp.Lines)
+	ap.printLines("state that the daemons acted on", rp.State)
+	ap.printSkipped(rp.Skipped)
 }
 
-func (ap *app) printPassed(pa trail.Passed) {
-	if pa.Foreign+pa.Broken > 0 {
-		fmt.Fprintf(ap.out, "\npassed over: %d lines of others, %d that cannot be read\n", pa.Foreign, pa.Broken)
+func (ap *app) printSkipped(sk diag.Skipped) {
+	if sk.Foreign+sk.Malformed > 0 {
+		fmt.Fprintf(ap.out, "\nskipped: %d lines of other programs, %d malformed lines\n", sk.Foreign, sk.Malformed)
 	}
 }
 
-func (ap *app) printLines(title string, list []*trail.Line) {
+func (ap *app) printLines(title string, list []*diag.Line) {
 	if len(list) == 0 {
 		return
 	}
--- a/internal/node/cmds/revert.go
+++ b/internal/node/cmds/revert.go
@@ -13,15 +13,15 @@
 
 func (ap *app) revertCmd() *ffcli.Command {
 	var op applyOptions
-	fs := ap.flags("revert")
+	fs := ap.newFlagSet("revert")
 	ap.platformFlag(fs)
 	ap.daemonFlag(fs)
 	ap.jsonFlag(fs)
-	op.flags(fs)
+	op.addFlags(fs)
 	return &ffcli.Command{
 		Name: "revert", ShortUsage: "flamingomast revert --platform ADDR VERSION", FlagSet: fs, Options: envOption(),
-		ShortHelp: "Make what an earlier version said the version in force again, under a new number.",
-		LongHelp:  "Versions never go back: the fleet gets a new, higher one with the old content. It replaces\nwhatever is in force now; if that changes meanwhile, nothing is applied.",
+		ShortHelp: "Put the content of an earlier version in force again, under a new version number.",
+		LongHelp:  "Version numbers never go back: the fleet gets a new, higher one with the old content. It replaces\nwhatever is in force now; if that changes meanwhile, nothing is applied.",
 		Exec: func(ctx context.Context, args []string) error {
 			version, err := versionArg(args)
 			if err != nil {
@@ -32,7 +32,7 @@
 	}
 }
 
-// versionArg reads the one argument of a command that takes a version.
+// versionArg parses the only argument of a command that takes a version.
 func versionArg(args []string) (uint64, error) {
 	if len(args) != 1 {
 		return 0, usageError("name one version")
@@ -49,20 +49,20 @@
 	if err != nil {
 		return err
 	}
-	tctx, cancel := context.WithTimeout(ctx, op.give)
+	tctx, cancel := context.WithTimeout(ctx, op.timeout)
 	defer cancel()
-	sub, err := revertTo(tctx, kv, version)
+	sub, err := revertSubmission(tctx, kv, version)
 	if err != nil {
 		return err
 	}
-	sub.ID, sub.Author = op.id(), op.author
+	sub.ID, sub.Author = op.submissionID(), op.author
 	return ap.submit(ctx, tctx, kv, sub, op.wait)
 }
 
-// revertTo returns a submission with the content of a version, made from the
-// one that is in force now.
-func revertTo(ctx context.Context, kv store.Store, version uint64) (accept.Submission, error) {
-	hd, err := loadHeadPatiently(ctx, kv)
+// revertSubmission returns a submission with the content of the given version, based on the version
+// in force.
+func revertSubmission(ctx context.Context, kv store.Store, version uint64) (accept.Submission, error) {
+	hd, err := loadHeadWithRetry(ctx, kv)
 	if err != nil {
 		return accept.Submission{}, fmt.Errorf("not accepted: %w", err)
 	}
@@ -75,6 +75,6 @@
 		return accept.Submission{}, err
 	}
 	return accept.Submission{
-		Base: hd.Last.Version, Content: co, Commit: en.Commit, Whole: true,
+		Base: hd.Last.Version, Content: co, Commit: en.Commit, NoRebase: true,
 	}, nil
 }
--- a/internal/node/daemon/crash_test.go
+++ b/internal/node/daemon/crash_test.go
@@ -15,8 +15,8 @@
 	"github.com/flamingomast/flamingomast/internal/conf/decl"
 	"github.com/flamingomast/flamingomast/internal/node/admin"
 	"github.com/flamingomast/flamingomast/internal/node/setup"
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 	"github.com/flamingomast/flamingomast/internal/plat/faulty"
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
 )
 
 // The limits for a poison request, as stated to operators.
@@ -84,7 +84,7 @@
 
 func newCrashFleet(t *testing.T, n int, re restart) *crashFleet {
 	t.Helper()
-	kv := stand.New().Store()
+	kv := fakekv.New().Store()
 	ms := &decl.Mesh{
 		Regions: []decl.Region{{Name: "r"}}, Domains: []decl.Domain{{Name: "d", Region: "r"}, {Name: "e", Region: "r"}},
 		Services: []decl.Service{{Name: "booking", Port: 9001, Slots: 8}},
@@ -181,7 +181,7 @@
 	faulty.ReadBody(req)
 	if !strings.HasPrefix(req.URL.Path, poisonPath) {
 		<-time.After(normalServiceTime)
-		return faulty.Well(cn, n, req)
+		return faulty.RespondOK(cn, n, req)
 	}
 	cs.fl.reached.Add(1)
 	<-time.After(poisonServiceTime)
@@ -282,7 +282,7 @@
 	for i := range fl.servers {
 		status, retry := sendPoison(i)
 		if status != http.StatusServiceUnavailable || retry != "" {
-			t.Errorf("vm-%d answers %d, Retry-After %q; want 503 without one: the request has not run, and a retry is of no use", i, status, retry)
+			t.Errorf("vm-%d answers %d, Retry-After %q; want 503 without one: the request has not run, and a retry is useless", i, status, retry)
 		}
 		for _, path := range []string{normalPath + "/same", normalPath + "/new"} {
 			if status, _ := fl.send(i, "GET", path, nil); status != http.StatusOK {
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -40,7 +40,7 @@
 const (
 	// callerLeaveTime is how long callers need to leave: they poll readiness once a second and
 	// leave after two failures. Until then the backend server, which may outlive the daemon, serves
-	// as before. It is of no use to anyone while the daemon restarts, so the time is kept short.
+	// as before. It gets no requests while the daemon restarts, so the time is kept short.
 	callerLeaveTime = 2 * time.Second
 	// inletGrace is how long the inlet then still accepts requests. The record that says this
 	// daemon is draining reaches the outlets within tens of milliseconds; until then a refusal
@@ -123,21 +123,21 @@
 		kv = &st
 	}
 	dm.guard = guard.New(*kv)
-	link := pacer.New(se.Link)
-	dm.controlBytes.Sent, dm.pathBytes.Sent = link.Sent, link.Sent
+	link := pacer.New(se.LinkRate)
+	dm.controlBytes.OnSent, dm.pathBytes.OnSent = link.Sent, link.Sent
 	var src ctrl.Source
 	if dm.adapter.Source != nil {
 		src = dm.adapter.Source(se.Domains)
 	}
 	dm.Node = ctrl.New(ctrl.Config{
 		Source: src,
-		VM:     se.VM, Domain: se.Domain, Control: se.Control, Inlet: se.Inlet, Seeds: se.Seeds, Token: se.Token, Capacity: uint32(se.Link / 1e6),
-		Store: dm.guard.Store(), OnNewEpoch: dm.guard.Close, Counts: dm.counts, FirstStart: se.FirstStart, Log: dm.log, Dial: dm.controlBytes.Dialer(dialer.Dial), Drain: dm.Drain,
+		VM:     se.VM, Domain: se.Domain, Control: se.Control, Inlet: se.Inlet, Seeds: se.Seeds, Token: se.Token, Capacity: uint32(se.LinkRate / 1e6),
+		Store: dm.guard.Store(), OnNewEpoch: dm.guard.ResetBreaker, Counts: dm.counts, FirstStart: se.FirstStart, Log: dm.log, Dial: dm.controlBytes.Dialer(dialer.Dial), Drain: dm.Drain,
 	})
 	dm.store = dm.Node.Store()
 	dm.Outlet = outlet.New(outlet.Options{
-		Log: dm.log, LogSample: se.AccessSample, Token: se.Token, Names: dm.adapter.Names, Service: se.Service, LinkRate: se.Link,
-		Work: func() limit.Activity { return dm.Inlet.Gate.Activity() }, RetryBound: &se.Repeats, Poison: dm.Node.Board.Poison.Get,
+		Log: dm.log, LogSample: se.LogSample, Token: se.Token, Names: dm.adapter.Names, Service: se.Service, LinkRate: se.LinkRate,
+		Work: func() limit.Activity { return dm.Inlet.Gate.Activity() }, RetryBound: &se.RetryBound, Poison: dm.Node.Board.Poison.Get,
 		Forwarder: proxy.New(proxy.Options{Dial: dm.pathBytes.Dialer(dialer.Dial), MaxIdle: maxIdlePerInlet, IdleTimeout: inletIdleTimeout}),
 	})
 	dm.Inlet = inlet.New(proxy.Options{}, link)
@@ -157,7 +157,7 @@
 
 // Reload applies those changed settings that can change while the daemon runs.
 func (dm *Daemon) Reload(se setup.Settings) {
-	dm.Outlet.SetLogSample(se.AccessSample)
+	dm.Outlet.SetLogSample(se.LogSample)
 	dm.drainTimeout.Store(int64(se.DrainTimeout))
 }
 
@@ -262,9 +262,9 @@
 
 func (dm *Daemon) handlers() admin.Handlers {
 	return admin.Handlers{
-		Announce: dm.announce, Withdraw: dm.withdraw, Refused: dm.announcementRefused, Ready: dm.ready, Status: dm.Status, Drain: dm.drainVM,
-		Sample: dm.Outlet.SetLogSample, Vars: dm.vars(),
-		Unsent: func(err error) { dm.log.Debug("page-unsent", slog.Any("error", err)) },
+		Announce: dm.announce, Withdraw: dm.withdraw, OnBadAnnouncement: dm.announcementRefused, Ready: dm.ready, Status: dm.Status, Drain: dm.drainVM,
+		SetLogSample: dm.Outlet.SetLogSample, Vars: dm.vars(),
+		OnWriteError: func(err error) { dm.log.Debug("page-unsent", slog.Any("error", err)) },
 	}
 }
 
@@ -322,16 +322,16 @@
 	num("control-bytes-out", dm.controlBytes.Out.Load)
 	num("platform-calls", dm.guard.Calls.Load)
 	num("platform-epoch", func() int64 { return int64(bd.KnownEpoch()) })
-	num("platform-calls-held", dm.guard.Held.Load)
-	m.Set("platform-calls-by-purpose", &dm.guard.Purposes)
-	m.Set("platform-bytes-by-purpose", &dm.guard.Read)
+	num("platform-calls-held", dm.guard.Rejected.Load)
+	m.Set("platform-calls-by-purpose", &dm.guard.CallsByPurpose)
+	m.Set("platform-bytes-by-purpose", &dm.guard.BytesByPurpose)
 	m.Set("link-bytes-by-kind", dm.Node.Traffic)
 	num("requests-suspected", func() int64 { n, _ := bd.Poison.Get().Counts(); return int64(n) })
 	num("requests-poison", func() int64 { _, n := bd.Poison.Get().Counts(); return int64(n) })
 	num("slots-running", func() int64 { return int64(dm.Inlet.Gate.Load().Running) })
 	num("slots-waiting", func() int64 { return int64(dm.Inlet.Gate.Load().Waiting) })
 	num("resident-bytes", func() int64 { return ownUsage().Resident })
-	num("processor-ms", func() int64 { return ownUsage().Processor.Milliseconds() })
+	num("processor-ms", func() int64 { return ownUsage().CPUTime.Milliseconds() })
 	m.Set("outlet", dm.Outlet.Stats.Var())
 	m.Set("inlet", dm.Inlet.Stats.Var())
 	return m
--- a/internal/node/daemon/recovery_test.go
+++ b/internal/node/daemon/recovery_test.go
@@ -14,7 +14,7 @@
 	"github.com/flamingomast/flamingomast/internal/mesh/member"
 	"github.com/flamingomast/flamingomast/internal/node/admin"
 	"github.com/flamingomast/flamingomast/internal/node/setup"
-	"github.com/flamingomast/flamingomast/internal/plat/stand"
+	"github.com/flamingomast/flamingomast/internal/plat/fakekv"
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
@@ -59,7 +59,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				kv := stand.New().Store()
+				kv := fakekv.New().Store()
 				dm := New(setup.Settings{VM: "vm-0", Domain: "d"}, Options{Store: &kv})
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
@@ -89,12 +89,12 @@
 }
 
 // TestFirstStart guards against needless waiting when hundreds of daemons start for the first time:
-// each read from the store what a predecessor had acknowledged, and kept its backend server waiting
-// for peers that could not know. At the first start the store is not read, and the server serves at
-// once.
+// each would read from the store what a predecessor acknowledged, and keep its backend server
+// waiting for peers that cannot know. At the first start the store is not read, and the server
+// serves at once.
 func TestFirstStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := stand.New()
+		st := fakekv.New()
 		kv := st.Store()
 		dm := New(setup.Settings{VM: "vm-0", Domain: "d", FirstStart: true}, Options{Store: &kv})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -129,7 +129,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				kv := stand.New().Store()
+				kv := fakekv.New().Store()
 				grant, faults := kv.Grant, 2
 				kv.Grant = func(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
 					if faults--; faults >= 0 {
@@ -160,12 +160,12 @@
 	}
 }
 
-// TestLeavingOverwritten guards against a departure that is lost to writes of the VM's former
-// process, which the store executes late. The write that found another revision was treated as
-// done, and the next process sent requests to the server.
+// TestLeavingOverwritten guards against a departure that is lost to writes of the predecessor,
+// which the store executes late. If a write that finds another revision counted as done, the next
+// process would send requests to the server.
 func TestLeavingOverwritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		kv := stand.New().Store()
+		kv := fakekv.New().Store()
 		swap, lateWrites := kv.Swap, 2
 		kv.Swap = func(ctx context.Context, ch store.Change) (bool, store.Entry, error) {
 			if lateWrites--; lateWrites >= 0 {
@@ -198,7 +198,7 @@
 // from an older copy.
 func TestLeavingStoredAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := stand.New()
+		st := fakekv.New()
 		kv := st.Store()
 		dm := New(setup.Settings{VM: "vm-0", Domain: "d"}, Options{Store: &kv})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -209,7 +209,7 @@
 			t.Fatal(err)
 		}
 		for range 2 {
-			st.ComeBack(bk)
+			st.RestoreInNewEpoch(bk)
 			calls := st.Calls.Total()
 			// Another call, or a peer, reveals the epoch.
 			if _, err := dm.Node.Store().Get(ctx, "any"); err != nil {
@@ -224,7 +224,7 @@
 			}
 		}
 		time.Sleep(departureTTL)
-		st.ComeBack(bk)
+		st.RestoreInNewEpoch(bk)
 		if _, err := dm.Node.Store().Get(ctx, "any"); err != nil {
 			t.Fatal(err)
 		}
@@ -246,7 +246,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				kv := stand.New().Store()
+				kv := fakekv.New().Store()
 				if _, _, err := kv.Swap(t.Context(), store.Change{Key: "leaving/vm-0", Value: []byte(value)}); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/node/demo/callers.go
+++ b/internal/node/demo/callers.go
@@ -19,12 +19,12 @@
 
 // The load of a demonstration.
 const (
-	workers  = 8
-	thinking = 10 * time.Millisecond
+	workers   = 8
+	thinkTime = 10 * time.Millisecond
 )
 
-// callers send steady requests through the outlets of all units, in turn GET
-// and POST, each POST with an id of its own that may run only once.
+// callers send a steady load of requests through the outlets of all VMs, GET and POST in
+// turn. Each POST has its own ID and must run only once.
 type callers struct {
 	fl   *fleet
 	http *http.Client
@@ -41,10 +41,10 @@
 	return cl
 }
 
-// refresh lists the outlets anew.
+// refresh updates the list of outlets.
 func (cl *callers) refresh() {
 	var list []string
-	cl.fl.eachUnit(func(un *unit) { list = append(list, un.se.Outlet) })
+	cl.fl.eachVM(func(rv *runningVM) { list = append(list, rv.se.Outlet) })
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	cl.outlets = list
@@ -62,7 +62,7 @@
 		wg.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				cl.send(fmt.Sprintf("%d-%d", w, n), n%2 == 0)
-				_ = wait(ctx, thinking)
+				_ = sleep(ctx, thinkTime)
 			}
 		})
 	}
@@ -70,7 +70,7 @@
 	cl.http.CloseIdleConnections()
 }
 
-// send sends one request and judges its answer.
+// send sends one request and counts its outcome.
 func (cl *callers) send(id string, get bool) {
 	sv := cl.fl.ms.Services[rand.IntN(len(cl.fl.ms.Services))].Name
 	method, body := http.MethodPost, io.Reader(strings.NewReader(id))
@@ -90,25 +90,25 @@
 	cl.requests.Add(1)
 	res, err := cl.http.Do(req)
 	if err != nil {
-		cl.fail(id, err.Error())
+		cl.recordFailure(id, err.Error())
 		return
 	}
 	defer res.Body.Close()
 	text, err := io.ReadAll(res.Body)
 	switch {
 	case err != nil:
-		cl.fail(id, err.Error())
+		cl.recordFailure(id, err.Error())
 	case res.Header.Get(result.OutcomeHeader) == result.NotRun.String():
 		cl.notRun.Add(1)
 		cl.fl.op.Log.Warn("request-refused", slog.String("id", id), slog.String("reason", res.Header.Get(result.ReasonHeader)))
 	case res.StatusCode != http.StatusOK || !strings.Contains(string(text), "/demo/"+id+" "):
-		cl.fail(id, res.Status+" "+string(text))
+		cl.recordFailure(id, res.Status+" "+string(text))
 	default:
 		cl.answered.Add(1)
 	}
 }
 
-func (cl *callers) fail(id, why string) {
+func (cl *callers) recordFailure(id, cause string) {
 	cl.failed.Add(1)
-	cl.fl.op.Log.Error("request-failed", slog.String("id", id), slog.String("cause", why))
+	cl.fl.op.Log.Error("request-failed", slog.String("id", id), slog.String("cause", cause))
 }
--- a/internal/path/inlet/inlet.go
+++ b/internal/path/inlet/inlet.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"github.com/flamingomast/flamingomast/internal/mesh/poison"
+	"github.com/flamingomast/flamingomast/internal/path/delay"
 	"github.com/flamingomast/flamingomast/internal/path/ident"
-	"github.com/flamingomast/flamingomast/internal/path/lapse"
 	"github.com/flamingomast/flamingomast/internal/path/limit"
 	"github.com/flamingomast/flamingomast/internal/path/pacer"
 	"github.com/flamingomast/flamingomast/internal/path/proxy"
@@ -42,8 +42,8 @@
 	Gate  *limit.Limiter
 	// Unreachable is called when the backend server accepts no connection.
 	Unreachable func(Target)
-	// Poison returns the known requests that crashed servers; Report sends new reports to all
-	// daemons. Both are set before use.
+	// Poison returns the requests that are known to have crashed servers; Report sends new reports
+	// to all daemons. Both are set before use.
 	Poison func() *poison.View
 	Report func([]poison.Report)
 	// Token is the mesh token that outlets must present; empty for none. It is set before use.
@@ -55,7 +55,7 @@
 	op      proxy.Options
 	fw      atomic.Pointer[proxy.Forwarder]
 	target  atomic.Pointer[Target]
-	lapses  lapse.Tracker
+	lapses  delay.Tracker
 	crashes crashDetector
 	// suspectRunning is set while a request runs that is suspected of having crashed several
 	// servers.
@@ -96,9 +96,9 @@
 // Close closes the idle connections to the backend server.
 func (in *Inlet) Close() { in.fw.Load().Close() }
 
-// SetTarget replaces the target. Running requests continue on the old one. Kept connections to
-// another instance of the backend server are closed: a request that may run only once would be lost
-// if written to a connection that nobody reads.
+// SetTarget replaces the target. Running requests continue on the old one. Keep-alive connections
+// to another instance of the backend server are closed: a request that may run only once would be
+// lost if written to a connection that nobody reads.
 func (in *Inlet) SetTarget(tg Target) {
 	old := in.target.Swap(&tg)
 	if old != nil && old.Addr == "" && tg.Addr != "" {
@@ -144,19 +144,19 @@
 		return
 	}
 	defer release()
-	tk, rf := in.Gate.Acquire(ctx, rq)
+	slot, rf := in.Gate.Acquire(ctx, rq)
 	sr.Queue.Record(time.Since(start))
 	if rf != nil {
 		sr.Outcomes.Add(rf.Outcome.String()+"/"+string(rf.Reason), 1)
 		in.refuse(w, r, rf)
 		return
 	}
-	defer tk.Release()
+	defer slot.Release()
 	if ctx.Err() != nil {
 		in.refuse(w, r, &result.Refusal{Outcome: result.NotRun, Reason: result.ReasonDeadlinePassed})
 		return
 	}
-	in.forward(ctx, w, r, tg, &admittedRequest{start: start, sr: sr, tk: tk, tf: tf})
+	in.forward(ctx, w, r, tg, &admittedRequest{start: start, sr: sr, slot: slot, tf: tf})
 	sr.Latency.Record(time.Since(start))
 }
 
@@ -190,9 +190,9 @@
 func (in *Inlet) refuse(w http.ResponseWriter, r *http.Request, rf *result.Refusal) {
 	load := in.load().String()
 	w.Header().Set(result.LoadHeader, load)
-	event := logs.Refused
+	event := logs.InletRefused
 	if rf.Outcome != result.NotRun || rf.Reason == result.ReasonShed {
-		event = logs.Failed
+		event = logs.InletFailed
 	}
 	in.Log.LogAttrs(context.Background(), slog.LevelWarn, event, slog.String(logs.ID, in.callerRequestID(r)),
 		slog.String(logs.Outcome, rf.Outcome.String()), slog.String(logs.Reason, string(rf.Reason)),
@@ -228,7 +228,7 @@
 
 // withDeadline returns the request's context. The timeout in the header counts from when the
 // request was sent. A request that stayed unread for longer than that is not run: its caller has
-// gone, even if the inlet has not noticed yet.
+// disconnected, even if the inlet has not noticed yet.
 func (in *Inlet) withDeadline(r *http.Request, now time.Time) (context.Context, context.CancelFunc) {
 	ms, err := strconv.ParseInt(r.Header.Get(result.TimeoutHeader), 10, 32)
 	if err != nil || ms <= 0 {
@@ -242,13 +242,13 @@
 type admittedRequest struct {
 	start time.Time
 	sr    *hist.Series
-	tk    *limit.Slot
+	slot  *limit.Slot
 	tf    *transfer
 }
 
 // spent returns how long the request has waited for its slot and held it until now.
 func (ar *admittedRequest) spent(now time.Time) result.SlotTimes {
-	return result.SlotTimes{Wait: ar.tk.AcquiredAt().Sub(ar.start), ServiceTime: now.Sub(ar.tk.AcquiredAt())}
+	return result.SlotTimes{Wait: ar.slot.AcquiredAt().Sub(ar.start), ServiceTime: now.Sub(ar.slot.AcquiredAt())}
 }
 
 // forward sends an admitted request to the backend server and the response back. The slot is
@@ -294,7 +294,7 @@
 		}
 		if size > 0 {
 			in.crashes.finish(rr, true)
-			ar.tk.Release()
+			ar.slot.Release()
 			in.clearSuspect(r, pr)
 		}
 	}
--- a/internal/path/outlet/faults_test.go
+++ b/internal/path/outlet/faults_test.go
@@ -42,25 +42,25 @@
 
 // TestServerFails: the only backend server fails in each way, for each kind of request. It must
 // receive the request exactly once, without a retry by the transport or the outlet. The caller must
-// be told that the request may have run, or must see its connection break; a truncated answer must
-// never look complete.
+// be told that the request may have run, or must see its connection break; a truncated response
+// must never look complete.
 func TestServerFails(t *testing.T) {
 	for _, fa := range faulty.Faults {
 		t.Run(fa.Name, func(t *testing.T) {
 			for _, kd := range requestKinds {
 				t.Run(kd.name, func(t *testing.T) {
 					t.Parallel()
-					rs := newFaultyServer(t, fa.Behave)
+					rs := newFaultyServer(t, fa.Handler)
 					rg := newRig(t, rs.Addr)
-					an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
-					if n := rs.Seen(); n != 1 {
+					rp := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
+					if n := rs.RequestCount(); n != 1 {
 						t.Errorf("the server saw the request %d times", n)
 					}
 					switch {
-					case fa.Broken && an.err == nil && an.outcome != "may-have-run":
-						t.Errorf("a truncated answer looked complete: %+v", an)
-					case !fa.Broken && (an.outcome != "may-have-run" || an.status != http.StatusBadGateway || an.err != nil):
-						t.Errorf("the caller got %+v, want may-have-run", an)
+					case fa.HeadSent && rp.err == nil && rp.outcome != "may-have-run":
+						t.Errorf("a truncated response looked complete: %+v", rp)
+					case !fa.HeadSent && (rp.outcome != "may-have-run" || rp.status != http.StatusBadGateway || rp.err != nil):
+						t.Errorf("the caller got %+v, want may-have-run", rp)
 					}
 				})
 			}
@@ -74,7 +74,7 @@
 func TestServerFailsOnKeptConnection(t *testing.T) {
 	fn := func(cn net.Conn, n int, req *http.Request) bool {
 		if n == 1 {
-			return faulty.Well(cn, n, req)
+			return faulty.RespondOK(cn, n, req)
 		}
 		faulty.ReadBody(req)
 		return false
@@ -83,28 +83,28 @@
 		t.Run(kd.name, func(t *testing.T) {
 			rs := newFaultyServer(t, fn)
 			rg := newRig(t, rs.Addr)
-			if an := rg.do(rg.request("GET", "/first", "")); an.status != http.StatusOK {
-				t.Fatalf("the first request: %+v", an)
+			if rp := rg.do(rg.request("GET", "/first", "")); rp.status != http.StatusOK {
+				t.Fatalf("the first request: %+v", rp)
 			}
-			an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
-			if n := rs.Seen(); n != 2 {
+			rp := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
+			if n := rs.RequestCount(); n != 2 {
 				t.Errorf("the server saw %d requests, want the first and this one once", n)
 			}
-			if an.outcome != "may-have-run" {
-				t.Errorf("the caller got %+v", an)
+			if rp.outcome != "may-have-run" {
+				t.Errorf("the caller got %+v", rp)
 			}
 		})
 	}
 }
 
-// TestTransportResends shows the behaviour that the test above guards against: http.Transport sends
+// TestTransportResends shows the behavior that the test above guards against: http.Transport sends
 // such requests twice by default.
 func TestTransportResends(t *testing.T) {
 	for _, tc := range []struct {
 		method, key string
 		want        int
 	}{{"GET", "", 3}, {"DELETE", "k", 3}, {"POST", "k", 3}, {"POST", "", 2}} {
-		rs := newFaultyServer(t, func(cn net.Conn, n int, req *http.Request) bool { return n == 1 && faulty.Well(cn, n, req) })
+		rs := newFaultyServer(t, func(cn net.Conn, n int, req *http.Request) bool { return n == 1 && faulty.RespondOK(cn, n, req) })
 		tr := &http.Transport{}
 		cl := &http.Client{Transport: tr}
 		for range 2 {
@@ -117,7 +117,7 @@
 			}
 			send(cl, req)
 		}
-		if n := rs.Seen(); n != tc.want {
+		if n := rs.RequestCount(); n != tc.want {
 			t.Errorf("%s key %q: the server saw %d requests, want %d", tc.method, tc.key, n, tc.want)
 		}
 		tr.CloseIdleConnections()
@@ -129,23 +129,23 @@
 // it may have run.
 func TestRetryOnOtherServer(t *testing.T) {
 	for _, fa := range faulty.Faults {
-		if fa.Broken {
+		if fa.HeadSent {
 			continue
 		}
 		for _, kd := range requestKinds {
 			t.Run(fa.Name+"/"+kd.name, func(t *testing.T) {
 				t.Parallel()
-				bad, good := newFaultyServer(t, fa.Behave), newFaultyServer(t, faulty.Well)
+				bad, good := newFaultyServer(t, fa.Handler), newFaultyServer(t, faulty.RespondOK)
 				// The failing server is in the outlet's own failure domain and is therefore tried
 				// first.
 				rg := newRig(t, bad.Addr, good.Addr)
-				an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
-				runs := [2]int{bad.Seen(), good.Seen()}
-				if kd.repeatable && (an.status != http.StatusOK || runs != [2]int{1, 1}) {
-					t.Errorf("got %+v, runs %v; want an answer of the other server", an, runs)
+				rp := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
+				runs := [2]int{bad.RequestCount(), good.RequestCount()}
+				if kd.repeatable && (rp.status != http.StatusOK || runs != [2]int{1, 1}) {
+					t.Errorf("got %+v, runs %v; want a response of the other server", rp, runs)
 				}
-				if !kd.repeatable && (an.outcome != "may-have-run" || runs != [2]int{1, 0}) {
-					t.Errorf("got %+v, runs %v; want one run", an, runs)
+				if !kd.repeatable && (rp.outcome != "may-have-run" || runs != [2]int{1, 0}) {
+					t.Errorf("got %+v, runs %v; want one run", rp, runs)
 				}
 			})
 		}
@@ -154,14 +154,14 @@
 
 // TestNotRunSentElsewhere: one of two servers does not run the request: nothing listens there, the
 // server sheds with the agreed header, its slots are full, it drains, its inlet belongs to another
-// VM or process, or its VM is gone. Every kind of request is then answered by the other server and
-// runs once.
+// VM or process, or its VM no longer exists. Every kind of request is then answered by the other
+// server and runs once.
 func TestNotRunSentElsewhere(t *testing.T) {
 	// Nothing listens on port 1 of the loopback address, and no other test is given it.
 	const unusedAddr = "127.0.0.1:1"
 	for _, tc := range []struct {
 		name        string
-		fn          faulty.Behave
+		fn          faulty.Handler
 		injectFault func(rg *rig)
 		// reason is what the caller is told if there is no other server, runs how many requests the
 		// refusing server sees.
@@ -194,20 +194,20 @@
 			t.Run(tc.name+"/"+kd.name, func(t *testing.T) {
 				fn := tc.fn
 				if fn == nil {
-					fn = faulty.Well
+					fn = faulty.RespondOK
 				}
-				bad, good := newFaultyServer(t, fn), newFaultyServer(t, faulty.Well)
+				bad, good := newFaultyServer(t, fn), newFaultyServer(t, faulty.RespondOK)
 				rg := newRig(t, bad.Addr, good.Addr)
 				tc.injectFault(rg)
-				an := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
-				if an.status != http.StatusOK || bad.Seen() != tc.runs || good.Seen() != 1 {
-					t.Errorf("got %+v, runs %d and %d", an, bad.Seen(), good.Seen())
+				rp := rg.do(rg.request(kd.method, kd.path, kd.body, kd.hdr...))
+				if rp.status != http.StatusOK || bad.RequestCount() != tc.runs || good.RequestCount() != 1 {
+					t.Errorf("got %+v, runs %d and %d", rp, bad.RequestCount(), good.RequestCount())
 				}
 				alone := newRig(t, bad.Addr)
 				tc.injectFault(alone)
-				an = alone.do(alone.request(kd.method, kd.path, kd.body, kd.hdr...))
-				if an.outcome != "not-run" || an.reason != tc.reason {
-					t.Errorf("without another server got %+v, want not-run for %s", an, tc.reason)
+				rp = alone.do(alone.request(kd.method, kd.path, kd.body, kd.hdr...))
+				if rp.outcome != "not-run" || rp.reason != tc.reason {
+					t.Errorf("without another server got %+v, want not-run for %s", rp, tc.reason)
 				}
 			})
 		}
@@ -225,13 +225,13 @@
 		return false
 	})
 	rg := newRig(t, rs.Addr)
-	an := rg.do(rg.request("POST", "/short", "visit"))
+	rp := rg.do(rg.request("POST", "/short", "visit"))
 	close(done)
-	if an.status != http.StatusGatewayTimeout || an.outcome != "may-have-run" || an.reason != "deadline-passed" {
-		t.Errorf("got %+v", an)
+	if rp.status != http.StatusGatewayTimeout || rp.outcome != "may-have-run" || rp.reason != "deadline-passed" {
+		t.Errorf("got %+v", rp)
 	}
-	if ms, err := strconv.Atoi(<-timeouts); rs.Seen() != 1 || err != nil || ms > 200 {
-		t.Errorf("the server saw it %d times, with %d ms left of 200", rs.Seen(), ms)
+	if ms, err := strconv.Atoi(<-timeouts); rs.RequestCount() != 1 || err != nil || ms > 200 {
+		t.Errorf("the server saw it %d times, with %d ms left of 200", rs.RequestCount(), ms)
 	}
 	eventually(t, func() bool { return rg.vms[0].in.Gate.Load().Running == 0 })
 }
@@ -251,12 +251,12 @@
 	}
 }
 
-// TestSurplusBytes: a server sends bytes after its answer in the same write, with each form of
-// body. These bytes are a complete answer themselves and could be taken for the answer to the next
-// caller's request on the connection.
+// TestSurplusBytes: a server sends bytes after its response in the same write, with each form of
+// body. These bytes are a complete response themselves and could be taken for the response to the
+// next caller's request on the connection.
 func TestSurplusBytes(t *testing.T) {
 	const injected = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen"
-	for _, tc := range []struct{ name, answer string }{
+	for _, tc := range []struct{ name, response string }{
 		{"with a length", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"},
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n0\r\n\r\n"},
 		{"chunked, with a blank line within", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nfi\r\n\r\nrst\r\n0\r\n\r\n"},
@@ -267,28 +267,29 @@
 		t.Run(tc.name, func(t *testing.T) {
 			rs := newFaultyServer(t, func(cn net.Conn, n int, req *http.Request) bool {
 				if strings.HasPrefix(req.URL.Path, "/good") {
-					return faulty.Well(cn, n, req)
+					return faulty.RespondOK(cn, n, req)
 				}
 				faulty.ReadBody(req)
-				_, err := fmt.Fprint(cn, tc.answer, injected)
+				_, err := fmt.Fprint(cn, tc.response, injected)
 				return err == nil
 			})
 			rg := newRig(t, rs.Addr)
 			for i := range 50 {
-				if an := rg.do(rg.request("GET", "/bad", "")); an.err != nil || strings.Contains(an.body, "stolen") {
-					t.Fatalf("round %d: the bad answer: %+v", i, an)
+				if rp := rg.do(rg.request("GET", "/bad", "")); rp.err != nil || strings.Contains(rp.body, "stolen") {
+					t.Fatalf("round %d: the bad response: %+v", i, rp)
 				}
 				path := fmt.Sprint("/good/", i)
-				if an := rg.do(rg.request("GET", path, "")); an.body != "ok "+path {
-					t.Fatalf("round %d: the next caller got %+v", i, an)
+				if rp := rg.do(rg.request("GET", path, "")); rp.body != "ok "+path {
+					t.Fatalf("round %d: the next caller got %+v", i, rp)
 				}
 			}
 		})
 	}
 }
 
-// TestAnswersNotMixed: hundreds of concurrent callers have an individual answer each. Some callers
-// cancel, and some answers are cut off. Each caller must get its own answer completely or an error.
+// TestAnswersNotMixed: hundreds of concurrent callers have an individual response each. Some
+// callers cancel, and some responses are truncated. Each caller must get its own response
+// completely or an error.
 func TestAnswersNotMixed(t *testing.T) {
 	size := func(id int) int { return (id * 7919) % 70_000 }
 	text := func(id int) string { return strings.Repeat(fmt.Sprintf("%08d", id), size(id)/8+1) }
@@ -302,7 +303,7 @@
 		case 1:
 			_ = http.NewResponseController(w).Flush()
 		case 2:
-			// Cut off in the middle.
+			// The response is truncated in the middle.
 			_, _ = io.WriteString(w, body[:len(body)/2])
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
@@ -329,16 +330,16 @@
 					time.AfterFunc(time.Duration(rnd.IntN(3000))*time.Microsecond, cancel)
 				}
 				req := rg.request("GET", fmt.Sprint("/id/", id), "").WithContext(ctx)
-				an := send(cl, req)
+				rp := send(cl, req)
 				cancel()
-				if an.err == nil && an.status == http.StatusOK {
+				if rp.err == nil && rp.status == http.StatusOK {
 					want := sha256.Sum256([]byte(text(id)))
-					if got := sha256.Sum256([]byte(an.body)); got != want {
-						t.Errorf("request %d: an answer of %d bytes, digest %s, want %d bytes", id, len(an.body), hex.EncodeToString(got[:4]), len(text(id)))
+					if got := sha256.Sum256([]byte(rp.body)); got != want {
+						t.Errorf("request %d: a response of %d bytes, digest %s, want %d bytes", id, len(rp.body), hex.EncodeToString(got[:4]), len(text(id)))
 					}
 				}
-				if id%5 == 2 && an.err == nil && an.status == http.StatusOK {
-					t.Errorf("request %d: a truncated answer looked complete", id)
+				if id%5 == 2 && rp.err == nil && rp.status == http.StatusOK {
+					t.Errorf("request %d: a truncated response looked complete", id)
 				}
 			}
 		})
--- a/internal/path/outlet/request.go
+++ b/internal/path/outlet/request.go
@@ -10,9 +10,9 @@
 
 	"github.com/flamingomast/flamingomast/internal/conf/snap"
 	"github.com/flamingomast/flamingomast/internal/mesh/poison"
-	"github.com/flamingomast/flamingomast/internal/path/again"
 	"github.com/flamingomast/flamingomast/internal/path/pacer"
 	"github.com/flamingomast/flamingomast/internal/path/pick"
+	"github.com/flamingomast/flamingomast/internal/path/resend"
 	"github.com/flamingomast/flamingomast/internal/path/result"
 	"github.com/flamingomast/flamingomast/internal/path/retry"
 	"github.com/flamingomast/flamingomast/internal/path/shed"
@@ -50,7 +50,7 @@
 	parentRetry float64
 	// callerTry is the caller's try that this request is, callerRetry whether it retries an earlier
 	// one.
-	callerTry   *again.Try
+	callerTry   *resend.Try
 	callerRetry bool
 	// version is the configuration version the request was routed by, vm the last VM it was sent
 	// to.
@@ -63,8 +63,8 @@
 	// attempts counts all attempts, rejections those rejected for lack of capacity or shed,
 	// delivered those that may have reached a backend server.
 	attempts, rejections, delivered int
-	// serverExits counts the backend servers that exited while they ran the request.
-	serverExits int
+	// serverCrashes counts the backend servers that crashed while they ran the request.
+	serverCrashes int
 	// lastRefusal is the refusal of the last attempt, nil if it was answered.
 	lastRefusal *result.Refusal
 }
@@ -115,7 +115,7 @@
 		rq.lastRefusal = rf
 		rq.logAttempt(ep, rf)
 		if rf.Reason == result.ReasonServerCrashed {
-			rq.serverExits = max(rq.serverExits+1, rf.Crashes)
+			rq.serverCrashes = max(rq.serverCrashes+1, rf.Crashes)
 		}
 		if !staleConn(rf) {
 			rq.tried.Add(ep)
@@ -140,8 +140,8 @@
 	}
 }
 
-// staleConn reports whether the request was sent on a kept connection that was already closed. That
-// says nothing about the server, which may be tried again.
+// staleConn reports whether the request was sent on a keep-alive connection that was already
+// closed. That says nothing about the server, which may be tried again.
 func staleConn(rf *result.Refusal) bool {
 	return rf.Outcome == result.NotRun && rf.Reason == result.ReasonConnectionBroken
 }
@@ -178,7 +178,7 @@
 	if rq.ctx.Err() != nil || rq.attempts >= retry.MaxAttempts || !rq.body.replayable() {
 		return false
 	}
-	if rq.serverExits >= poison.RefuseThreshold {
+	if rq.serverCrashes >= poison.RefuseThreshold {
 		return false
 	}
 	if mayHaveReached(rf) {
@@ -219,16 +219,16 @@
 	return rf.Outcome != result.NotRun || rf.Reason == result.ReasonShed
 }
 
-// refuse writes the final answer of a request that no server answered. It does not wait; the answer
-// says when the caller should retry.
+// refuse writes the final response of a request that no server answered. It does not wait; the
+// response says when the caller should retry.
 func (rq *request) refuse(rf *result.Refusal) {
 	rq.record(rf.Outcome, rf.Reason)
 	rq.setRetryAfter(rf)
 	retryAdvised := rf.Outcome == result.NotRun && rf.Reason != result.ReasonPoison
 	rq.ou.callerTries.Failed(rq.callerTry, time.Now(), retryAdvised, &rq.rs.callerRetries)
-	// The refusal is written even if the caller seems to have gone. The context of a request is
-	// also cancelled when a read from the caller fails, and net/http sends an empty 200 for a
-	// handler that returns without an answer.
+	// The refusal is written even if the caller seems to have disconnected. The context of a
+	// request is also cancelled when a read from the caller fails, and net/http sends an empty 200
+	// for a handler that returns without a response.
 	if rq.body.streamed() || rq.body.incomplete {
 		rq.w.Header().Set("Connection", "close")
 	}
@@ -237,8 +237,8 @@
 
 // Delays after which refused callers are asked to retry.
 const (
-	// objectiveDivisor gives the shortest delay as a fraction of the objective: early enough for an
-	// answer in time, and late enough for slots to become free.
+	// objectiveDivisor gives the shortest delay as a fraction of the objective: early enough for a
+	// response in time, and late enough for slots to become free.
 	objectiveDivisor = 4
 	// defaultRetryDelay is the shortest delay if no objective is declared.
 	defaultRetryDelay = 100 * time.Millisecond
@@ -251,7 +251,7 @@
 // expected to be free, with a jitter of up to the same length, so that callers refused together do
 // not retry together.
 func (rq *request) setRetryAfter(rf *result.Refusal) {
-	if rf.Reason == result.ReasonPoison || rq.serverExits >= poison.RefuseThreshold {
+	if rf.Reason == result.ReasonPoison || rq.serverCrashes >= poison.RefuseThreshold {
 		// A retry would be refused as well.
 		rf.RetryAfter = 0
 		return
@@ -293,7 +293,7 @@
 	rq.logResult(oc, re, took)
 }
 
-// logResult logs the end of a request: every failure, and a sample of the answers.
+// logResult logs the end of a request: every failure, and a sample of the answered requests.
 func (rq *request) logResult(oc result.Outcome, re result.Reason, took time.Duration) {
 	level := slog.LevelWarn
 	if oc == result.Answered {
@@ -305,10 +305,10 @@
 	rq.ou.log.LogAttrs(context.Background(), level, logs.Request, slog.String(logs.ID, rq.id()),
 		slog.String("service", rq.sv.Name), slog.String("route", rq.route.Name), slog.Uint64(logs.Version, rq.version),
 		slog.String("method", rq.r.Method), slog.String(logs.Outcome, oc.String()), slog.String(logs.Reason, string(re)),
-		slog.Int("attempts", rq.attempts), slog.String(logs.VM, rq.vm), rq.softwareAttr(), slog.Duration(logs.Elapsed, rq.elapsed),
+		slog.Int("attempts", rq.attempts), slog.String(logs.TargetVM, rq.vm), rq.softwareAttr(), slog.Duration(logs.Elapsed, rq.elapsed),
 		slog.Duration(logs.Queued, rq.queued), slog.Duration(logs.Limit, rq.limit), rq.causeAttr(),
 		slog.Duration(logs.Objective, rq.route.Objective),
-		slog.Duration(logs.Wait, rq.spent.Wait), slog.Duration(logs.Held, rq.spent.ServiceTime), slog.Duration(logs.Took, took))
+		slog.Duration(logs.Wait, rq.spent.Wait), slog.Duration(logs.ServiceTime, rq.spent.ServiceTime), slog.Duration(logs.Took, took))
 }
 
 // softwareAttr returns the log attribute for the last server's software version, empty unless the
@@ -333,7 +333,7 @@
 func (rq *request) logAttempt(ep *pick.Endpoint, rf *result.Refusal) {
 	load, age := ep.EstimatedLoad(time.Now())
 	rq.ou.log.LogAttrs(context.Background(), slog.LevelInfo, logs.Attempt, slog.String(logs.ID, rq.id()),
-		slog.String(logs.VM, ep.VM), slog.String(logs.Outcome, rf.Outcome.String()), slog.String(logs.Reason, string(rf.Reason)),
+		slog.String(logs.TargetVM, ep.VM), slog.String(logs.Outcome, rf.Outcome.String()), slog.String(logs.Reason, string(rf.Reason)),
 		slog.Float64(logs.Load, load), slog.Duration(logs.LoadAge, age), slog.Duration(logs.Took, time.Since(rq.start)), rf.CauseAttr())
 }
 
--- a/internal/path/proxy/proxy_test.go
+++ b/internal/path/proxy/proxy_test.go
@@ -43,7 +43,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			sr, err := faulty.New(func(cn net.Conn, n int, req *http.Request) bool {
-				return faulty.Sends(fmt.Sprintf(tc.format, len(req.URL.Path), req.URL.Path)+unsolicited, true)(cn, n, req)
+				return faulty.RespondRaw(fmt.Sprintf(tc.format, len(req.URL.Path), req.URL.Path)+unsolicited, true)(cn, n, req)
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -76,7 +76,7 @@
 	}
 }
 
-// TestGreeting checks that a server which sends data first is not taken for an HTTP server, and
+// TestGreeting checks that a server which sends data first is not treated as an HTTP server, and
 // that nothing of the request is sent to it.
 func TestGreeting(t *testing.T) {
 	client, server := net.Pipe()
@@ -127,8 +127,8 @@
 	}
 }
 
-// brokenConn blocks when read and fails when written, like a connection whose peer went away
-// unnoticed.
+// brokenConn blocks when read and fails when written, like a connection whose peer disappeared
+// without closing it.
 type brokenConn struct {
 	net.Conn
 }
--- a/internal/path/shed/shed.go
+++ b/internal/path/shed/shed.go
@@ -5,13 +5,13 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/flamingomast/flamingomast/internal/plat/steady"
+	"github.com/flamingomast/flamingomast/internal/plat/mono"
 )
 
 // The parameters of a throttle.
 const (
 	// offersPerAccept is how many requests are offered for each accepted one. When all servers of a
-	// service but one are gone, every outlet offers its whole load to that one, and refusing it
+	// service but one are down, every outlet offers its whole load to that one, and refusing it
 	// takes the inlet more time than serving. At 2, refusals cost at most as many messages as
 	// responses, and capacity that becomes available is found within one half-life.
 	offersPerAccept = 2
@@ -46,7 +46,7 @@
 )
 
 func (co *counter) read(now time.Time) (requests, accepts float64, tick uint64) {
-	tick = uint64(steady.Millis(now)/tickMs) & tickMask
+	tick = uint64(mono.Millis(now)/tickMs) & tickMask
 	pk := co.packed.Load()
 	age := (tick - pk&tickMask) & tickMask
 	if age > tickMask/2 {
--- a/internal/plat/faulty/faulty.go
+++ b/internal/plat/faulty/faulty.go
@@ -10,24 +10,24 @@
 	"sync"
 )
 
-// Behave handles a request, number n on its connection counting from 1, whose
-// body it has to read itself. It reports whether the connection goes on.
-type Behave func(cn net.Conn, n int, req *http.Request) bool
+// Handler handles request number n, counted from 1, of a connection. It has to read the request
+// body itself, and returns whether to keep the connection open.
+type Handler func(cn net.Conn, n int, req *http.Request) bool
 
-// Server is a backend server that does as Behave says.
+// Server is a backend server that passes each request to a Handler.
 type Server struct {
-	// Addr is where it listens.
+	// Addr is the address that the server listens on.
 	Addr string
 
-	ln     net.Listener
-	behave Behave
-	mu     sync.Mutex
-	seen   int
-	conns  map[net.Conn]bool
+	ln       net.Listener
+	handler  Handler
+	mu       sync.Mutex
+	requests int
+	conns    map[net.Conn]bool
 }
 
-// New starts a server on a free loopback port; Close ends it.
-func New(fn Behave) (*Server, error) {
+// New starts a server on a free loopback port. Close stops it.
+func New(fn Handler) (*Server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -35,9 +35,9 @@
 	return Serve(ln, fn), nil
 }
 
-// Serve starts a server on ln; Close ends it.
-func Serve(ln net.Listener, fn Behave) *Server {
-	sr := &Server{Addr: ln.Addr().String(), ln: ln, behave: fn, conns: map[net.Conn]bool{}}
+// Serve starts a server on ln. Close stops it.
+func Serve(ln net.Listener, fn Handler) *Server {
+	sr := &Server{Addr: ln.Addr().String(), ln: ln, handler: fn, conns: map[net.Conn]bool{}}
 	go sr.accept()
 	return sr
 }
@@ -69,22 +69,22 @@
 			return
 		}
 		sr.mu.Lock()
-		sr.seen++
+		sr.requests++
 		sr.mu.Unlock()
-		if !sr.behave(cn, n, req) {
+		if !sr.handler(cn, n, req) {
 			return
 		}
 	}
 }
 
-// Seen returns how many requests the server has read the head of.
-func (sr *Server) Seen() int {
+// RequestCount returns the number of requests whose headers the server has read.
+func (sr *Server) RequestCount() int {
 	sr.mu.Lock()
 	defer sr.mu.Unlock()
-	return sr.seen
+	return sr.requests
 }
 
-// Close ends the server and all its connections.
+// Close stops the server and closes all its connections.
 func (sr *Server) Close() {
 	sr.ln.Close()
 	sr.mu.Lock()
@@ -94,20 +94,20 @@
 	}
 }
 
-// Well answers with "ok" and the request's path, in good order.
-func Well(cn net.Conn, _ int, req *http.Request) bool {
+// RespondOK is a Handler that responds with "ok" and the request's path.
+func RespondOK(cn net.Conn, _ int, req *http.Request) bool {
 	ReadBody(req)
 	text := "ok " + req.URL.Path
 	_, err := fmt.Fprintf(cn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	return err == nil
 }
 
-// ReadBody reads a request's body to its end.
+// ReadBody reads and discards the body of a request.
 func ReadBody(req *http.Request) { _, _ = io.Copy(io.Discard, req.Body) }
 
-// Sends returns what reads a request and sends text in place of an answer; the
-// connection goes on if keep is set.
-func Sends(text string, keep bool) Behave {
+// RespondRaw returns a Handler that reads the request and writes text instead of a well-formed
+// response. It keeps the connection open if keep is set.
+func RespondRaw(text string, keep bool) Handler {
 	return func(cn net.Conn, _ int, req *http.Request) bool {
 		ReadBody(req)
 		_, err := io.WriteString(cn, text)
@@ -115,8 +115,8 @@
 	}
 }
 
-// resets returns what does as fn says and ends the connection by a TCP reset.
-func resets(fn Behave) Behave {
+// withReset returns a Handler that calls fn and then closes the connection with a TCP reset.
+func withReset(fn Handler) Handler {
 	return func(cn net.Conn, n int, req *http.Request) bool {
 		fn(cn, n, req)
 		if tc, ok := cn.(*net.TCPConn); ok {
@@ -126,49 +126,49 @@
 	}
 }
 
-// Fault is a way in which a backend server fails.
+// Fault is a failure mode of a backend server.
 type Fault struct {
-	Name   string
-	Behave Behave
-	// Broken says that the head of an answer is sent before the failure.
-	Broken bool
+	Name    string
+	Handler Handler
+	// HeadSent reports whether complete response headers are sent before the failure.
+	HeadSent bool
 }
 
 const (
-	head = "HTTP/1.1 200 OK\r\n"
-	// half is an answer that ends before its length.
-	half = head + "Content-Length: 10\r\n\r\nhalf"
+	statusLine = "HTTP/1.1 200 OK\r\n"
+	// truncated is a response whose body is shorter than its Content-Length.
+	truncated = statusLine + "Content-Length: 10\r\n\r\nhalf"
 )
 
-// Faults are the ways known. In each the server has read the request.
+// Faults are the known failure modes. In each the server has read the request headers.
 var Faults = []Fault{
-	{Name: "closes-after-head", Behave: func(net.Conn, int, *http.Request) bool { return false }},
-	{Name: "closes-after-body", Behave: Sends("", false)},
-	{Name: "resets-after-body", Behave: resets(Sends("", false))},
-	{Name: "closes-in-answer-head", Behave: Sends(head+"Content-Le", false)},
-	{Name: "conflicting-lengths", Behave: Sends(head+"Content-Length: 2\r\nContent-Length: 5\r\n\r\nokokok", false)},
-	{Name: "huge-head", Behave: hugeHead},
-	{Name: "endless-interim", Behave: endlessInterim},
-	{Name: "no-http", Behave: Sends("220 mail ready\r\n", false)},
-	{Name: "closes-after-answer-head", Behave: Sends(head+"Content-Length: 10\r\n\r\n", false), Broken: true},
-	{Name: "closes-in-answer-body", Behave: Sends(half, false), Broken: true},
-	{Name: "resets-in-answer-body", Behave: resets(Sends(half, false)), Broken: true},
-	{Name: "closes-in-chunked-body", Behave: Sends(head+"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", false), Broken: true},
-	{Name: "bad-chunk", Behave: Sends(head+"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\nzz\r\n", false), Broken: true},
+	{Name: "closes-after-head", Handler: func(net.Conn, int, *http.Request) bool { return false }},
+	{Name: "closes-after-body", Handler: RespondRaw("", false)},
+	{Name: "resets-after-body", Handler: withReset(RespondRaw("", false))},
+	{Name: "closes-in-answer-head", Handler: RespondRaw(statusLine+"Content-Le", false)},
+	{Name: "conflicting-lengths", Handler: RespondRaw(statusLine+"Content-Length: 2\r\nContent-Length: 5\r\n\r\nokokok", false)},
+	{Name: "huge-head", Handler: hugeHead},
+	{Name: "endless-interim", Handler: endlessInterim},
+	{Name: "no-http", Handler: RespondRaw("220 mail ready\r\n", false)},
+	{Name: "closes-after-answer-head", Handler: RespondRaw(statusLine+"Content-Length: 10\r\n\r\n", false), HeadSent: true},
+	{Name: "closes-in-answer-body", Handler: RespondRaw(truncated, false), HeadSent: true},
+	{Name: "resets-in-answer-body", Handler: withReset(RespondRaw(truncated, false)), HeadSent: true},
+	{Name: "closes-in-chunked-body", Handler: RespondRaw(statusLine+"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", false), HeadSent: true},
+	{Name: "bad-chunk", Handler: RespondRaw(statusLine+"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\nzz\r\n", false), HeadSent: true},
 }
 
-// hugeHead makes its megabyte when it is used, not when a process starts: every
-// daemon has this package in it.
+// hugeHead responds with 1 MiB of headers. It builds them per request rather than at package
+// initialization, since every daemon links this package.
 func hugeHead(cn net.Conn, n int, req *http.Request) bool {
-	return Sends(head+"X: "+strings.Repeat("x", 1<<20)+"\r\n\r\n", false)(cn, n, req)
+	return RespondRaw(statusLine+"X: "+strings.Repeat("x", 1<<20)+"\r\n\r\n", false)(cn, n, req)
 }
 
-// interims is how many interim answers an endless series has.
-const interims = 100_000
+// interimCount is the number of interim responses that endlessInterim sends.
+const interimCount = 100_000
 
 func endlessInterim(cn net.Conn, _ int, req *http.Request) bool {
 	ReadBody(req)
-	for range interims {
+	for range interimCount {
 		if _, err := io.WriteString(cn, "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"); err != nil {
 			break
 		}
@@ -176,7 +176,7 @@
 	return false
 }
 
-// Find returns the fault of a name.
+// Find returns the fault with the given name.
 func Find(name string) (Fault, bool) {
 	for _, fa := range Faults {
 		if fa.Name == name {
--- a/internal/plat/remote/client.go
+++ b/internal/plat/remote/client.go
@@ -16,18 +16,18 @@
 	"github.com/flamingomast/flamingomast/internal/plat/store"
 )
 
-// CallTimeout bounds the time in which nothing moves in a call. A watch has its own wait
-// besides.
+// CallTimeout is how long a call may go without progress. A watch may take its wait time
+// in addition.
 const CallTimeout = 3 * time.Second
 
 // Client calls a key-value service at one address.
 type Client struct {
 	kv kvpb.KeyValueClient
-	// epoch is the newest one that an answer bore.
+	// epoch is the highest epoch seen in a response.
 	epoch atomic.Int64
 }
 
-// New returns a client of the service at addr (host:port).
+// New returns a client for the service at addr (host:port).
 func New(addr string) *Client {
 	return newClient(addr, (&net.Dialer{Timeout: time.Second}).DialContext)
 }
@@ -38,11 +38,11 @@
 		MaxIdleConnsPerHost: 4,
 		IdleConnTimeout:     time.Minute,
 	}}
-	do := func(req *http.Request) (*http.Response, error) { return dialer.DoFresh(hc, req) }
+	do := func(req *http.Request) (*http.Response, error) { return dialer.DoSkipStale(hc, req) }
 	return &Client{kv: kvpb.NewKeyValueClient(&stall.Client{HTTP: do, Timeout: CallTimeout}, "http://"+addr)}
 }
 
-// Store returns the functions of the platform's interface.
+// Store returns the client as a store.Store.
 func (cl *Client) Store() store.Store {
 	return store.Store{
 		Get: cl.get, List: cl.list, Swap: cl.swap, Watch: cl.watch, WatchAll: cl.watchAll, Grant: cl.grant, Renew: cl.renew, Revoke: cl.revoke,
@@ -50,8 +50,8 @@
 	}
 }
 
-// sawEpoch notes the epoch of an answer.
-func (cl *Client) sawEpoch(epoch int64) {
+// observeEpoch records the epoch of a response.
+func (cl *Client) observeEpoch(epoch int64) {
 	for {
 		old := cl.epoch.Load()
 		if epoch <= old || cl.epoch.CompareAndSwap(old, epoch) {
@@ -60,18 +60,19 @@
 	}
 }
 
-// fault maps an error to a *store.Error. A write whose answer did not come is
-// unknown; only an answer of the service itself tells that it had no effect.
-func fault(op, key string, write bool, err error) error {
+// storeError converts the error of a call to a *store.Error. A write without a response
+// may have taken effect, unless no connection could be opened; only the error response of
+// the service tells what became of it.
+func storeError(op, key string, write bool, err error) error {
 	er := &store.Error{Kind: store.Unavailable, Op: op, Key: key, Err: err}
 	var ce *connect.Error
 	if errors.As(err, &ce) && connect.IsWireError(err) {
-		er.Kind = kindOf(ce.Code())
+		er.Kind = kindFromCode(ce.Code())
 		return er
 	}
 	var oe *net.OpError
-	dialed := !errors.As(err, &oe) || oe.Op != "dial"
-	if write && dialed {
+	connected := !errors.As(err, &oe) || oe.Op != "dial"
+	if write && connected {
 		er.Kind = store.Unknown
 	}
 	return er
@@ -82,14 +83,14 @@
 ) (*Res, error) {
 	res, err := fn(stall.WithHeadTimeout(ctx, timeout), connect.NewRequest(req))
 	if err != nil {
-		return nil, fault(op, key, write, err)
+		return nil, storeError(op, key, write, err)
 	}
 	return res.Msg, nil
 }
 
-// entryOf reads an entry of an answer.
-func (cl *Client) entryOf(pb *kvpb.Entry) store.Entry {
-	cl.sawEpoch(pb.GetEpoch())
+// decodeEntry converts an entry of a response and records its epoch.
+func (cl *Client) decodeEntry(pb *kvpb.Entry) store.Entry {
+	cl.observeEpoch(pb.GetEpoch())
 	return store.Entry{Value: pb.GetValue(), Revision: store.Revision{Epoch: store.Epoch(pb.GetEpoch()), Number: pb.GetRevision()}}
 }
 
@@ -98,7 +99,7 @@
 	if err != nil {
 		return store.Entry{}, err
 	}
-	return cl.entryOf(res.Entry), nil
+	return cl.decodeEntry(res.Entry), nil
 }
 
 func (cl *Client) list(ctx context.Context, prefix string) ([]store.Item, error) {
@@ -106,14 +107,14 @@
 	if err != nil {
 		return nil, err
 	}
-	cl.sawEpoch(res.Epoch)
-	return cl.itemsOf(res.Items), nil
+	cl.observeEpoch(res.Epoch)
+	return cl.decodeItems(res.Items), nil
 }
 
-// itemsOf reads the items of an answer.
-func (cl *Client) itemsOf(list []*kvpb.Item) (items []store.Item) {
+// decodeItems converts the items of a response.
+func (cl *Client) decodeItems(list []*kvpb.Item) (items []store.Item) {
 	for _, it := range list {
-		items = append(items, store.Item{Key: it.Key, Entry: cl.entryOf(it.Entry)})
+		items = append(items, store.Item{Key: it.Key, Entry: cl.decodeEntry(it.Entry)})
 	}
 	return items
 }
@@ -127,7 +128,7 @@
 	if err != nil {
 		return false, store.Entry{}, err
 	}
-	return res.Swapped, cl.entryOf(res.Current), nil
+	return res.Swapped, cl.decodeEntry(res.Current), nil
 }
 
 func (cl *Client) watch(ctx context.Context, key string, after store.Revision, wait time.Duration) (store.Entry, error) {
@@ -136,7 +137,7 @@
 	if err != nil {
 		return store.Entry{}, err
 	}
-	return cl.entryOf(res.Entry), nil
+	return cl.decodeEntry(res.Entry), nil
 }
 
 func (cl *Client) watchAll(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Listing, error) {
@@ -145,9 +146,9 @@
 	if err != nil {
 		return store.Listing{}, err
 	}
-	cl.sawEpoch(res.Epoch)
+	cl.observeEpoch(res.Epoch)
 	at := store.Revision{Epoch: store.Epoch(res.Epoch), Number: res.Revision}
-	return store.Listing{Changed: res.Changed, Items: cl.itemsOf(res.Items), At: at}, nil
+	return store.Listing{Changed: res.Changed, Items: cl.decodeItems(res.Items), Revision: at}, nil
 }
 
 func (cl *Client) grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
@@ -155,7 +156,7 @@
 	if err != nil {
 		return store.LeaseID{}, err
 	}
-	cl.sawEpoch(res.Epoch)
+	cl.observeEpoch(res.Epoch)
 	return store.LeaseID{Epoch: store.Epoch(res.Epoch), Number: res.Lease}, nil
 }
 
--- a/internal/stat/acct/slots.go
+++ b/internal/stat/acct/slots.go
@@ -5,32 +5,32 @@
 	"time"
 
 	"github.com/flamingomast/flamingomast/internal/path/result"
+	"github.com/flamingomast/flamingomast/internal/stat/diag"
 	"github.com/flamingomast/flamingomast/internal/stat/logs"
-	"github.com/flamingomast/flamingomast/internal/stat/trail"
 )
 
-// held has, for each service and VM, when its slots were held.
-type held map[string]map[string]*server
+// slotUse records, by service and VM, when the slots of the backend server were in use.
+type slotUse map[string]map[string]*server
 
-// server is when the slots of one backend server were held.
+// server records when the slots of one backend server were in use.
 type server struct {
 	spans []span
-	// slots is how many it has, as its inlet says when it refuses a request; 0 where it
-	// refused none, and then nobody was refused beside it.
+	// slots is the number of slots that the inlet reports when it refuses a request. It is 0 if
+	// the inlet refused none, and the server then counts as having no free slot.
 	slots int
 }
 
 type span struct{ from, until time.Time }
 
-// slotsOf reads from answered requests when slots were held: until the answer came, for
-// as long as its inlet says. The slots of each VM are those that it tells in refusals.
-func slotsOf(requests []*trail.Line, slots map[string]int) held {
-	all := held{}
+// slotUseOf derives the use of slots from answered requests: a slot was in use until the response
+// arrived, for the service time that the inlet reported. slots holds the number of slots by VM.
+func slotUseOf(requests []*diag.Line, slots map[string]int) slotUse {
+	all := slotUse{}
 	for _, ln := range requests {
 		if ln.Text(logs.Outcome) != result.Answered.String() {
 			continue
 		}
-		service, vm := ln.Text("service"), ln.Text(logs.VM)
+		service, vm := ln.Text("service"), ln.Text(logs.TargetVM)
 		if all[service] == nil {
 			all[service] = map[string]*server{}
 		}
@@ -38,7 +38,7 @@
 			all[service][vm] = &server{slots: slots[vm]}
 		}
 		se := all[service][vm]
-		se.spans = append(se.spans, span{ln.Time.Add(-ln.Span(logs.Held)), ln.Time})
+		se.spans = append(se.spans, span{ln.Time.Add(-ln.Duration(logs.ServiceTime)), ln.Time})
 	}
 	for _, servers := range all {
 		for _, se := range servers {
@@ -48,12 +48,13 @@
 	return all
 }
 
-// longest bounds for how long a slot is held, so that not all spans are looked at.
-const longest = 5 * time.Second
+// maxServiceTime is the longest time that a slot is assumed to be in use. It bounds the spans to
+// search.
+const maxServiceTime = 5 * time.Second
 
-// at returns how many slots were held at a moment.
-func (se *server) at(now time.Time) int {
-	first, _ := slices.BinarySearchFunc(se.spans, now.Add(-longest), func(sp span, at time.Time) int { return sp.from.Compare(at) })
+// inUseAt returns how many slots were in use at a given time.
+func (se *server) inUseAt(now time.Time) int {
+	first, _ := slices.BinarySearchFunc(se.spans, now.Add(-maxServiceTime), func(sp span, at time.Time) int { return sp.from.Compare(at) })
 	n := 0
 	for _, sp := range se.spans[first:] {
 		if sp.from.After(now) {
@@ -66,24 +67,23 @@
 	return n
 }
 
-// onTheWay is how many requests of a server are taken to be on their way to or from it,
-// with a slot that looks free.
-const onTheWay = 1
+// inTransit is the number of requests assumed to be in transit to or from a server, so that their
+// slots look free.
+const inTransit = 1
 
-// free reports whether a server of a service that answered in the seconds around a moment
-// had a free slot then.
-func (he held) free(service string, now time.Time) bool {
-	for _, se := range he[service] {
-		if se.serves(now) && se.at(now)+onTheWay < se.slots {
+// hasFree reports whether an active server of a service had a free slot at a given time.
+func (su slotUse) hasFree(service string, now time.Time) bool {
+	for _, se := range su[service] {
+		if se.active(now) && se.inUseAt(now)+inTransit < se.slots {
 			return true
 		}
 	}
 	return false
 }
 
-// serves reports whether a request began within a second before a moment and one within a
-// second after it: a server that is gone has no free slot.
-func (se *server) serves(now time.Time) bool {
+// active reports whether a request began within a second before the given time and another within
+// a second after it. A server that has stopped has no free slots.
+func (se *server) active(now time.Time) bool {
 	i, _ := slices.BinarySearchFunc(se.spans, now, func(sp span, at time.Time) int { return sp.from.Compare(at) })
 	return i > 0 && now.Sub(se.spans[i-1].from) < time.Second && i < len(se.spans) && se.spans[i].from.Sub(now) < time.Second
 }
--- a/internal/stat/expo/expo.go
+++ b/internal/stat/expo/expo.go
@@ -11,16 +11,17 @@
 	"strings"
 )
 
-// prefix begins the name of each metric.
+// prefix is prepended to the name of each metric.
 const prefix = "flamingomast_"
 
-// Write writes the numbers of vars, a line each. Its own numbers become metrics;
-// a map in it holds series by name, which become a label, with the numbers of
-// each in turn or maps of them, whose keys become another label.
+// Write writes the numbers and booleans in vars, one sample per line. Top-level values become
+// metrics without labels. The keys of a top-level map become the label series. If the values of
+// that map are maps themselves, their keys become part of the metric name, and the keys of maps
+// within those become the label key.
 func Write(w io.Writer, vars *expvar.Map) error {
 	var top map[string]any
 	if err := json.Unmarshal([]byte(vars.String()), &top); err != nil {
-		return fmt.Errorf("expo: the metrics cannot be read: %w", err)
+		return fmt.Errorf("expo: cannot decode the expvar metrics: %w", err)
 	}
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(top)) {
@@ -30,7 +31,7 @@
 				writeSeries(&b, name, series, v[series])
 			}
 		default:
-			line(&b, name, "", v)
+			writeSample(&b, name, "", v)
 		}
 	}
 	_, err := io.WriteString(w, b.String())
@@ -39,25 +40,25 @@
 
 func writeSeries(b *strings.Builder, name, series string, v any) {
 	label := `series="` + escape(series) + `"`
-	parts, ok := v.(map[string]any)
+	metrics, ok := v.(map[string]any)
 	if !ok {
-		line(b, name, label, v)
+		writeSample(b, name, label, v)
 		return
 	}
-	for _, part := range slices.Sorted(maps.Keys(parts)) {
-		leaf, ok := parts[part].(map[string]any)
+	for _, metric := range slices.Sorted(maps.Keys(metrics)) {
+		values, ok := metrics[metric].(map[string]any)
 		if !ok {
-			line(b, name+"_"+part, label, parts[part])
+			writeSample(b, name+"_"+metric, label, metrics[metric])
 			continue
 		}
-		for _, key := range slices.Sorted(maps.Keys(leaf)) {
-			line(b, name+"_"+part, label+`,key="`+escape(key)+`"`, leaf[key])
+		for _, key := range slices.Sorted(maps.Keys(values)) {
+			writeSample(b, name+"_"+metric, label+`,key="`+escape(key)+`"`, values[key])
 		}
 	}
 }
 
-// line writes one number; what is none is left out.
-func line(b *strings.Builder, name, labels string, v any) {
+// writeSample writes a sample. It skips values that are neither numbers nor booleans.
+func writeSample(b *strings.Builder, name, labels string, v any) {
 	text := ""
 	switch v := v.(type) {
 	case float64:
@@ -70,14 +71,14 @@
 	default:
 		return
 	}
-	b.WriteString(prefix + strings.Map(wordRune, name))
+	b.WriteString(prefix + strings.Map(nameRune, name))
 	if labels != "" {
 		b.WriteString("{" + labels + "}")
 	}
 	b.WriteString(" " + text + "\n")
 }
 
-func wordRune(r rune) rune {
+func nameRune(r rune) rune {
 	if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '_' {
 		return r
 	}
--- a/internal/stat/logs/limit.go
+++ b/internal/stat/logs/limit.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// The number of lines that are kept.
+// The limits on the number of lines.
 const (
-	// rate and burst are for each event and level: with some twenty events a
-	// daemon writes a few hundred lines a second at most, whatever the load.
+	// rate, in lines per second, and burst apply to each event and level. With about twenty events,
+	// a daemon writes at most a few hundred lines per second under any load.
 	rate  = 10.0
 	burst = 40.0
-	// warnFactor is how many times as many lines of failures are kept.
+	// warnFactor multiplies both limits for warnings and errors.
 	warnFactor = 4
-	// reportEvery is how often the number of lines that were left out is told.
-	reportEvery = 5 * time.Second
+	// reportInterval is the minimum time between reports of dropped lines.
+	reportInterval = 5 * time.Second
 )
 
-// LeftOut is the event that tells how many lines of which event were left out.
-const LeftOut = "log-lines-left-out"
+// LinesDropped is the event that reports the number of dropped lines by event.
+const LinesDropped = "log-lines-left-out"
 
-// Handler keeps a bounded number of lines of each event, failures before
-// successes.
+// Handler limits the rate of lines of each event and level. Warnings and errors have a limit of
+// their own, so that lines of successes cannot displace them.
 type Handler struct {
 	next slog.Handler
-	st   *state
+	li   *limiter
 }
 
-type state struct {
-	mu     sync.Mutex
-	events map[key]*bucket
-	next   time.Time
+type limiter struct {
+	mu         sync.Mutex
+	buckets    map[key]*bucket
+	nextReport time.Time
 }
 
 type key struct {
@@ -41,35 +41,36 @@
 }
 
 type bucket struct {
-	left float64
-	at   time.Time
-	lost int
+	tokens  float64
+	updated time.Time
+	dropped int
 }
 
-// NewHandler returns a handler before next.
+// NewHandler returns a handler that passes the lines within the limits to next.
 func NewHandler(next slog.Handler) *Handler {
-	return &Handler{next: next, st: &state{events: map[key]*bucket{}}}
+	return &Handler{next: next, li: &limiter{buckets: map[key]*bucket{}}}
 }
 
-// Enabled passes the question on.
+// Enabled reports whether the next handler is enabled for a level.
 func (ha *Handler) Enabled(ctx context.Context, lv slog.Level) bool { return ha.next.Enabled(ctx, lv) }
 
-// WithAttrs returns a handler that shares the bounds.
+// WithAttrs returns a handler with additional attributes that shares the limits.
 func (ha *Handler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &Handler{next: ha.next.WithAttrs(attrs), st: ha.st}
+	return &Handler{next: ha.next.WithAttrs(attrs), li: ha.li}
 }
 
-// WithGroup returns a handler that shares the bounds.
+// WithGroup returns a handler with a group that shares the limits.
 func (ha *Handler) WithGroup(name string) slog.Handler {
-	return &Handler{next: ha.next.WithGroup(name), st: ha.st}
+	return &Handler{next: ha.next.WithGroup(name), li: ha.li}
 }
 
-// Handle writes a line unless there were too many of its event.
+// Handle passes a line on unless it exceeds the limits. It also reports dropped lines when a
+// report is due.
 func (ha *Handler) Handle(ctx context.Context, rec slog.Record) error {
-	keep, lost := ha.st.take(key{rec.Message, rec.Level}, rec.Time)
-	if lost != nil {
-		line := slog.NewRecord(rec.Time, slog.LevelWarn, LeftOut, 0)
-		for event, n := range lost {
+	keep, dropped := ha.li.admit(key{rec.Message, rec.Level}, rec.Time)
+	if dropped != nil {
+		line := slog.NewRecord(rec.Time, slog.LevelWarn, LinesDropped, 0)
+		for event, n := range dropped {
 			line.AddAttrs(slog.Int(event, n))
 		}
 		if err := ha.next.Handle(ctx, line); err != nil {
@@ -82,38 +83,39 @@
 	return ha.next.Handle(ctx, rec)
 }
 
-// take reports whether a line is kept, and from time to time how many were not.
-func (st *state) take(ky key, now time.Time) (keep bool, lost map[string]int) {
-	st.mu.Lock()
-	defer st.mu.Unlock()
+// admit reports whether a line is within the limits. If a report is due, it also returns the
+// number of dropped lines by event.
+func (li *limiter) admit(ky key, now time.Time) (keep bool, dropped map[string]int) {
+	li.mu.Lock()
+	defer li.mu.Unlock()
 	factor := 1.0
 	if ky.level >= slog.LevelWarn {
 		factor = warnFactor
 	}
-	bu := st.events[ky]
+	bu := li.buckets[ky]
 	if bu == nil {
-		bu = &bucket{left: burst * factor, at: now}
-		st.events[ky] = bu
+		bu = &bucket{tokens: burst * factor, updated: now}
+		li.buckets[ky] = bu
 	}
-	bu.left = min(burst*factor, bu.left+rate*factor*max(0, now.Sub(bu.at).Seconds()))
-	bu.at = now
-	if keep = bu.left >= 1; keep {
-		bu.left--
+	bu.tokens = min(burst*factor, bu.tokens+rate*factor*max(0, now.Sub(bu.updated).Seconds()))
+	bu.updated = now
+	if keep = bu.tokens >= 1; keep {
+		bu.tokens--
 	} else {
-		bu.lost++
+		bu.dropped++
 	}
-	if now.Before(st.next) {
+	if now.Before(li.nextReport) {
 		return keep, nil
 	}
-	st.next = now.Add(reportEvery)
-	for k, b := range st.events {
-		if b.lost > 0 {
-			if lost == nil {
-				lost = map[string]int{}
+	li.nextReport = now.Add(reportInterval)
+	for k, b := range li.buckets {
+		if b.dropped > 0 {
+			if dropped == nil {
+				dropped = map[string]int{}
 			}
-			lost[k.event] += b.lost
-			b.lost = 0
+			dropped[k.event] += b.dropped
+			b.dropped = 0
 		}
 	}
-	return keep, lost
+	return keep, dropped
 }
--- a/internal/stat/logs/logs_test.go
+++ b/internal/stat/logs/logs_test.go
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// stuck is a reader of the log that has stopped reading.
-type stuck struct{ free chan struct{} }
+// blockedWriter blocks each write until unblock is closed, as a pipe whose reader has stopped.
+type blockedWriter struct{ unblock chan struct{} }
 
-func (st stuck) Write(p []byte) (int, error) {
-	<-st.free
+func (bw blockedWriter) Write(p []byte) (int, error) {
+	<-bw.unblock
 	return len(p), nil
 }
 
-// TestStoppedReader: the pipe behind standard output is full and nobody reads.
-// Requests go on; what is lost is counted and memory is bounded.
+// TestStoppedReader checks that writes do not block when the pipe behind standard output is full
+// and nobody reads it, that dropped lines are counted and that the memory used is bounded.
 func TestStoppedReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := stuck{free: make(chan struct{})}
-		wr := NewWriter(st)
+		bw := blockedWriter{unblock: make(chan struct{})}
+		wr := NewWriter(bw)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
@@ -41,20 +41,20 @@
 		for range 10_000 {
 			_, _ = wr.Write(line)
 		}
-		if held := len(wr.held); held > maxHeld {
-			t.Errorf("%d bytes are held, bound %d", held, maxHeld)
+		if pending := len(wr.pending); pending > maxPending {
+			t.Errorf("%d bytes are pending, limit %d", pending, maxPending)
 		}
-		if wr.Lost() < 20_000-2*maxHeld/200-1 {
-			t.Errorf("%d of 20000 lines are counted as lost", wr.Lost())
+		if wr.Dropped() < 20_000-2*maxPending/200-1 {
+			t.Errorf("%d of 20000 lines are counted as dropped", wr.Dropped())
 		}
-		close(st.free)
+		close(bw.unblock)
 		cancel()
 		<-done
 	})
 }
 
-// TestBound: five times the load writes no more lines, says how many it left
-// out, and keeps the failures among ten times as many successes.
+// TestBound checks that the number of lines stays within the limits under load, that dropped lines
+// are reported, and that warnings are kept among ten times as many lines of successes.
 func TestBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
@@ -68,7 +68,7 @@
 			time.Sleep(time.Second / perSecond)
 		}
 		kept := map[string]int{}
-		leftOut := 0.0
+		dropped := 0.0
 		dec := json.NewDecoder(&out)
 		for {
 			var line map[string]any
@@ -77,25 +77,25 @@
 			} else if err != nil {
 				t.Fatal(err)
 			}
-			if line["msg"] == LeftOut {
-				leftOut += line["request"].(float64)
+			if line["msg"] == LinesDropped {
+				dropped += line["request"].(float64)
 				continue
 			}
 			kept[line["level"].(string)]++
 		}
 		if n := kept["INFO"]; n > burst+rate*seconds+1 {
-			t.Errorf("%d lines of successes, bound %g", n, burst+rate*seconds+1)
+			t.Errorf("%d lines of successes, limit %g", n, burst+rate*seconds+1)
 		}
 		if n := kept["WARN"]; n < 500 {
 			t.Errorf("%d of 1000 lines of failures are kept", n)
 		}
-		if leftOut < 4000 {
-			t.Errorf("%g lines are told as left out", leftOut)
+		if dropped < 4000 {
+			t.Errorf("%g lines are reported as dropped", dropped)
 		}
 	})
 }
 
-// BenchmarkLine is the price of a line that is kept and of one that is not.
+// BenchmarkLine measures the cost of a line that is written and of one that is dropped.
 func BenchmarkLine(b *testing.B) {
 	wr := NewWriter(io.Discard)
 	go wr.Run(b.Context())
--- a/internal/stat/usage/usage.go
+++ b/internal/stat/usage/usage.go
@@ -9,42 +9,42 @@
 	"time"
 )
 
-// Usage is what a process takes of its machine.
+// Usage is the resource usage of a process.
 type Usage struct {
-	// Resident is its resident set in bytes.
+	// Resident is the size of the resident set in bytes.
 	Resident int64
-	// Processor is the time that its threads have run.
-	Processor time.Duration
+	// CPUTime is the user and system time of all threads.
+	CPUTime time.Duration
 }
 
-// tick is the unit of processor time in /proc (USER_HZ, proc(5)).
-const tick = time.Second / 100
+// clockTick is the unit of CPU time in /proc (1/USER_HZ, see proc(5)).
+const clockTick = time.Second / 100
 
-// The places of user and system time in /proc/PID/stat, counted from the field
-// behind the program's name.
+// The positions of user and system time in /proc/PID/stat, counted from the field after the
+// program name.
 const (
-	userField   = 11
-	systemField = 12
+	utimeField = 11
+	stimeField = 12
 )
 
-// Of returns the usage of the process pid, or of this one for 0.
+// Of returns the usage of the process pid, or of the calling process if pid is 0.
 func Of(pid int) (Usage, error) {
 	dir := "/proc/self"
 	if pid != 0 {
 		dir = "/proc/" + strconv.Itoa(pid)
 	}
-	resident, err := resident(dir + "/status")
+	resident, err := residentBytes(dir + "/status")
 	if err != nil {
 		return Usage{}, err
 	}
-	processor, err := processor(dir + "/stat")
+	cpu, err := cpuTime(dir + "/stat")
 	if err != nil {
 		return Usage{}, err
 	}
-	return Usage{Resident: resident, Processor: processor}, nil
+	return Usage{Resident: resident, CPUTime: cpu}, nil
 }
 
-func resident(file string) (int64, error) {
+func residentBytes(file string) (int64, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return 0, err
@@ -57,26 +57,26 @@
 		kb, err := strconv.ParseInt(strings.TrimSpace(strings.TrimSuffix(rest, "kB")), 10, 64)
 		return kb << 10, err
 	}
-	return 0, fmt.Errorf("usage: %s has no VmRSS", file)
+	return 0, fmt.Errorf("usage: no VmRSS in %s", file)
 }
 
-func processor(file string) (time.Duration, error) {
+func cpuTime(file string) (time.Duration, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return 0, err
 	}
-	// The program's name, in parentheses, may hold spaces.
+	// The program name is in parentheses and may contain spaces.
 	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
-	if len(fields) <= systemField {
-		return 0, fmt.Errorf("usage: %s has %d fields", file, len(fields))
+	if len(fields) <= stimeField {
+		return 0, fmt.Errorf("usage: %s has only %d fields after the program name", file, len(fields))
 	}
 	sum := time.Duration(0)
-	for _, i := range []int{userField, systemField} {
+	for _, i := range []int{utimeField, stimeField} {
 		n, err := strconv.ParseInt(fields[i], 10, 64)
 		if err != nil {
 			return 0, fmt.Errorf("usage: %s: %w", file, err)
 		}
-		sum += time.Duration(n) * tick
+		sum += time.Duration(n) * clockTick
 	}
 	return sum, nil
 }
