--- a/internal/mesh/ctrl/holds.go
+++ b/internal/mesh/ctrl/holds.go
@@ -103,9 +103,9 @@
 	}
 }
 
-// sendHeard tells the other relays of the local failure domain which VMs are heard here and which
-// other failure domains are reachable. The full lists are sent each time, so that nothing has to be
-// withdrawn when a link or a relay is lost.
+// sendHeard sends the other relays of the local failure domain the VMs that are heard here and the
+// other failure domains that are reachable. The full lists are sent each time, so that nothing has
+// to be withdrawn when a link or a relay is lost.
 func (nd *Node) sendHeard() {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
@@ -340,7 +340,7 @@
 }
 
 // checkReachability determines which failure domains are reachable, by this relay or by another one
-// of the local failure domain, and tells the members.
+// of the local failure domain, and notifies the members.
 func (nd *Node) checkReachability() {
 	now := time.Now()
 	domains := nd.otherDomains()
--- a/internal/mesh/ctrl/linker.go
+++ b/internal/mesh/ctrl/linker.go
@@ -173,9 +173,9 @@
 }
 
 // relaysOf returns the relays of a failure domain among the members that this daemon can reach.
-// Only relays mark members as gone: if all relays of a failure domain fail together, nobody marks
-// them, and other daemons would try to reach them forever. So each daemon leaves out those that it
-// fails to reach.
+// Only relays mark members as gone: if all relays of a failure domain fail together, they
+// are not marked, and other daemons would try to reach them forever. So each daemon leaves out those
+// that it fails to reach.
 func (lk *linker) relaysOf(domain string) []*member.Record {
 	live := lk.nd.Board.Members.Get().Live(domain)
 	failing := func(rc *member.Record) bool { return lk.failing(rc.Control) }
@@ -336,8 +336,8 @@
 const (
 	// maxUndiscoveredLocal bounds such links within the local failure domain. The first daemon
 	// reached makes the others known, so more are not needed: if many daemons starting together
-	// linked to every address, each link would carry every record. Two allow for one address at
-	// which nobody answers.
+	// linked to every address, each link would carry every record. Two allow for one address that
+	// does not answer.
 	maxUndiscoveredLocal = 2
 	// maxUndiscoveredRemote bounds such links to each other failure domain. Only a relay or a
 	// registered daemon opens them.
--- a/internal/mesh/ctrl/peers.go
+++ b/internal/mesh/ctrl/peers.go
@@ -131,7 +131,7 @@
 		pr.RunningSince = time.Now().Add(-time.Duration(hello.AgeMs) * time.Millisecond)
 		nd.sendNewest(pr)
 	}
-	proven := pr.SentNewest
+	sentNewest := pr.SentNewest
 	floor := nd.minVersionFor(rc)
 	leaving := nd.leaving[rc.VM]
 	nd.mu.Unlock()
@@ -168,7 +168,7 @@
 			pr.SendRollout(ro)
 		}
 	}
-	if first && !proven && !nd.isRelay() && nd.cf.Source.Linearizable {
+	if first && !sentNewest && !nd.isRelay() && nd.cf.Source.Linearizable {
 		nd.requestFreshRead()
 	}
 	nd.wakeLinker()
--- a/internal/mesh/ctrl/scale_test.go
+++ b/internal/mesh/ctrl/scale_test.go
@@ -87,9 +87,10 @@
 	})
 }
 
-// TestScale measures an idle minute and one new version at three sizes. The limits are the measured
-// values with a small margin. Neither the platform calls nor the bytes that a new version costs a
-// member that is no relay may grow with the number of VMs.
+// TestScale limits the traffic and the platform calls of an idle minute, and the bytes and the time
+// that a new version takes, at three sizes, so that a change that makes them grow is noticed. Neither
+// the platform calls nor the bytes that a new version costs a member that is no relay may grow with
+// the number of VMs.
 func TestScale(t *testing.T) {
 	for _, tc := range []struct {
 		size
--- a/internal/node/daemon/recovery_test.go
+++ b/internal/node/daemon/recovery_test.go
@@ -42,7 +42,7 @@
 // TestPredecessorRecovery guards against requests to a backend server that has left. Its drain was
 // acknowledged, its daemon was replaced before the store had the departure, and the first of two
 // peers to answer has not heard of it. Then a delayed announcement from before the drain arrives. A
-// process about whose predecessor nobody knows anything must not keep its server waiting.
+// process whose predecessor is unknown to all peers must not keep its server waiting.
 func TestPredecessorRecovery(t *testing.T) {
 	left := member.Departure{Lifetime: "i-1", Number: 5}
 	for name, tc := range map[string]struct {
--- a/internal/node/heap/heap.go
+++ b/internal/node/heap/heap.go
@@ -16,8 +16,8 @@
 	// targetInterval is the time that should pass between two collections in a busy daemon. On
 	// a VM with a small share of a core, a collection delays requests by a tenth of a second.
 	targetInterval = 15 * time.Second
-	// highUtilization and lowUtilization are fractions of the processor time. Above the first,
-	// memory is spent to save processor time; below the second, it is given back. At a utilization
+	// highUtilization and lowUtilization are fractions of the CPU time. Above the first,
+	// memory is spent to save CPU time; below the second, it is given back. At a utilization
 	// of a quarter, a request takes a third longer because of waiting.
 	highUtilization = 0.25
 	lowUtilization  = 0.12
@@ -28,7 +28,7 @@
 )
 
 // NextPercent returns the next GC percentage, given the present one, the interval between
-// collections under it, and the fraction of its processor time that the daemon used.
+// collections under it, and the fraction of its CPU time that the daemon used.
 func NextPercent(percent int, interval time.Duration, utilization float64) int {
 	if utilization < lowUtilization || interval > quietInterval {
 		return max(percent/2, MinPercent)
@@ -43,7 +43,7 @@
 type Stats struct {
 	// Collections counts those that the runtime started by itself.
 	Collections uint64
-	// Idle and Total are processor time in seconds, as of the last collection. Time in which a
+	// Idle and Total are CPU time in seconds, as of the last collection. Time in which a
 	// runnable process waits for a processor counts as used.
 	Idle, Total float64
 }
@@ -79,7 +79,7 @@
 	return tu.percent, tu.percent != old
 }
 
-// utilization returns the fraction of the processor time that was used between two readings.
+// utilization returns the fraction of the CPU time that was used between two readings.
 func (st *Stats) utilization(next Stats) float64 {
 	if total := next.Total - st.Total; total > 0 {
 		return 1 - (next.Idle-st.Idle)/total
--- a/internal/node/heap/heap_test.go
+++ b/internal/node/heap/heap_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// load is the garbage in MB per second and the fraction of the processor time that is used.
+// load is the garbage in MB per second and the fraction of the CPU time that is used.
 type load struct{ rate, utilization float64 }
 
 // TestRun checks that Run sets the GC percentage at its start and returns when its context ends.
--- a/internal/path/inlet/inlet.go
+++ b/internal/path/inlet/inlet.go
@@ -98,7 +98,7 @@
 
 // SetTarget replaces the target. Running requests continue on the old one. Keep-alive connections
 // to another instance of the backend server are closed: a request that may run only once would be
-// lost if written to a connection that nobody reads.
+// lost if written to a connection that is no longer read.
 func (in *Inlet) SetTarget(tg Target) {
 	old := in.target.Swap(&tg)
 	if old != nil && old.Addr == "" && tg.Addr != "" {
--- a/internal/path/outlet/poison.go
+++ b/internal/path/outlet/poison.go
@@ -11,9 +11,9 @@
 )
 
 // checkPoison refuses a poison request: one that crashes the backend servers that run it. A single
-// such request can take down a whole service, because each outlet retries it and its caller retries
-// it through other outlets. What any daemon has observed of the request is therefore taken into
-// account.
+// such request can crash all backend servers of a service, because each outlet retries it and its
+// caller retries it through other outlets. What any daemon has observed of the request is therefore
+// taken into account.
 func (rq *request) checkPoison() *result.Refusal {
 	vw := rq.ou.poison()
 	if !vw.Suspects(rq.r) {
